--- a/sim/main.cpp
+++ b/sim/main.cpp
@@ -31,6 +31,25 @@
   return 0;
 }
 
+/// Prints "scenario seed hash" for the seeds 1 to @p seeds of all scenarios.
+int printBehaviour(long long seeds) {
+  for (const auto& scenario : allScenarios()) {
+    for (long long seed = 1; seed <= seeds; ++seed) {
+      SimulationOptions options;
+      options.scenario = scenario->name();
+      options.seed = static_cast<std::uint64_t>(seed);
+      const Result<SimulationResult> result = simulate(options);
+      if (!result || !result.value().violations.empty()) {
+        std::fprintf(stderr, "%s seed %lld: violations\n", scenario->name(), seed);
+        return kViolations;
+      }
+      std::printf("%s %lld %016llx\n", scenario->name(), seed,
+                  static_cast<unsigned long long>(result.value().behaviourHash));
+    }
+  }
+  return 0;
+}
+
 int report(const SimulationOptions& options, const SimulationResult& result, bool withTrace) {
   std::printf("seed %llu scenario %s hash %016llx violations %zu simulated %.1f s events %llu\n",
               static_cast<unsigned long long>(options.seed), options.scenario.c_str(),
@@ -58,12 +77,15 @@
   long long seed = 1;
   char* scenario = nullptr;
   char* without = nullptr;
+  long long behaviour = 0;
   int list = 0;
   int trace = 0;
   const poptOption table[] = {
       {"seed", 's', POPT_ARG_LONGLONG, &seed, 0, "Seed of the run", "S"},
       {"scenario", 'c', POPT_ARG_STRING, &scenario, 0, "Scenario (default calm)", "NAME"},
       {"without", 'w', POPT_ARG_STRING, &without, 0, "Safeguard to switch off", "NAME"},
+      {"behaviour", 'b', POPT_ARG_LONGLONG, &behaviour, 0,
+       "Print the behaviour hash of the seeds 1 to N of all scenarios", "N"},
       {"trace", 't', POPT_ARG_NONE, &trace, 0, "Print the end of the trace in any case", nullptr},
       {"list", 'l', POPT_ARG_NONE, &list, 0, "List scenarios and safeguards", nullptr},
       POPT_AUTOHELP POPT_TABLEEND};
@@ -77,6 +99,9 @@
   if (list != 0) {
     return listAll();
   }
+  if (behaviour > 0) {
+    return printBehaviour(behaviour);
+  }
   SimulationOptions options;
   options.seed = static_cast<std::uint64_t>(seed);
   options.scenario = scenario == nullptr ? options.scenario : scenario;
--- a/sim/simulation.cpp
+++ b/sim/simulation.cpp
@@ -98,6 +98,7 @@
   SimulationResult result;
   result.violations = world.violations();
   result.traceHash = world.traceHash();
+  result.behaviourHash = world.behaviourHash();
   const auto& lines = world.traceLines();
   const std::size_t skipped = lines.size() > kTraceTail ? lines.size() - kTraceTail : 0;
   result.trace.assign(lines.begin() + static_cast<std::ptrdiff_t>(skipped), lines.end());
--- a/sim/simulation.h
+++ b/sim/simulation.h
@@ -21,7 +21,8 @@
 struct SimulationResult {
   std::vector<std::string> violations;
   std::uint64_t traceHash = 0;
-  std::vector<std::string> trace;  ///< The last lines.
+  std::uint64_t behaviourHash = 0;  ///< Of all messages and records; free of names.
+  std::vector<std::string> trace;   ///< The last lines.
   double simulatedSeconds = 0;
   std::uint64_t events = 0;
   LiveCounts live;
--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -49,6 +49,10 @@
   }
   void stopTimer(TimerId timer) override { ++generations_[timer]; }
   void persist(PersistId id, std::vector<Mutation> mutations) override {
+    for (const Mutation& mutation : mutations) {
+      node_.world_.mixIntoBehaviour(node_.id_.address + ' ' + mutation.key + ' ' +
+                                    mutation.value.value_or("erased"));
+    }
     const Status appended = node_.disk_->append(mutations);
     const Duration delay = node_.world_.between(kMinSync, kMaxSync);
     const Time syncedAt = node_.disk_->syncedAt(now(), delay);
@@ -293,7 +297,16 @@
   return cuts_.count({std::min(left, right), std::max(left, right)}) == 0;
 }
 
+void World::mixIntoBehaviour(std::string_view bytes) {
+  const std::uint64_t parts[] = {
+      behaviourHash_, static_cast<std::uint64_t>(now_.time_since_epoch().count()), hash64(bytes)};
+  behaviourHash_ = hash64({reinterpret_cast<const char*>(parts), sizeof(parts)});
+}
+
 void World::transmit(const NodeId& from, const NodeId& to, const Message& message) {
+  mixIntoBehaviour(from.address + ' ' + to.address + ' ' +
+                   std::to_string(static_cast<int>(message.service)) + ' ' +
+                   std::to_string(message.kind) + ' ' + message.payload);
   if (from == to) {
     deliverAfter(kLocalDelay, from, to, message);
     return;
--- a/sim/world.h
+++ b/sim/world.h
@@ -140,6 +140,9 @@
   const std::deque<std::string>& traceLines() const { return trace_; }
   /// Hash of all trace lines so far; equal for equal runs.
   std::uint64_t traceHash() const { return traceHash_; }
+  /// Hash of every message sent and every record written so far, with their times. Unlike the trace
+  /// it contains no text for people: a renaming leaves it equal.
+  std::uint64_t behaviourHash() const { return behaviourHash_; }
 
   /// Cuts or heals the connection between two nodes, both ways.
   void cut(const NodeId& left, const NodeId& right);
@@ -178,6 +181,8 @@
   void transmit(const NodeId& from, const NodeId& to, const Message& message);
   void deliverAfter(Duration delay, const NodeId& from, const NodeId& to, const Message& message);
   void mixIntoHash(std::uint64_t value);
+  /// Mixes the current time and @p bytes into the behaviour hash.
+  void mixIntoBehaviour(std::string_view bytes);
   void runNextEvent();
 
   Time now_ = Time(std::chrono::seconds(1000));
@@ -192,6 +197,7 @@
   std::vector<std::string> violations_;
   std::deque<std::string> trace_;
   std::uint64_t traceHash_ = 0;
+  std::uint64_t behaviourHash_ = 0;
   MapCounters counters_;
 };
 
