--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -68,8 +68,8 @@
   }
   const RecordReader& records() const override { return node_.disk_->records(); }
   Counters& counters() override { return node_.world_.counters(); }
-  void logStateChange(std::string_view text) override {
-    node_.world_.trace(node_.id_.address + " " + serviceName(service_) + ": " + std::string(text));
+  void logEvent(const TraceEvent& event) override {
+    node_.world_.trace(node_.id_.address + " " + serviceName(service_) + ": " + event.text());
   }
   void defer(std::function<void()> task) override {
     node_.world_.schedule(Duration{0}, [&node = node_, process = node_.process_,
--- a/src/batch/waiting_token_ledger.cpp
+++ b/src/batch/waiting_token_ledger.cpp
@@ -66,9 +66,9 @@
   }
   if (!logged_ && context_.now() - askedSince_ >= kSlowRebuild) {
     logged_ = true;
-    context_.logStateChange("waiting tokens: no owner of " + std::to_string(unknown_.size()) +
-                            " partitions has answered, one is " +
-                            std::to_string(unknown_.begin()->index));
+    context_.logEvent(TraceEvent("QueuedTokenRebuildSlow", Severity::Warning)
+                          .field("unanswered_partitions", unknown_.size())
+                          .field("first_unanswered", unknown_.begin()->index));
   }
   WaitingTokensRequest request;
   request.ledgerEpoch = epoch_;
@@ -90,7 +90,7 @@
   for (const PartitionTokens& tokens : report.partitions) {
     table_.adopt(tokens, report.number);
     if (report.ledgerEpoch == epoch_ && unknown_.erase(tokens.partition) != 0 && unknown_.empty()) {
-      context_.logStateChange("waiting tokens of all partitions are known");
+      context_.logEvent(TraceEvent("QueuedTokenRebuildFinished"));
     }
   }
 }
--- a/src/kernel/core.h
+++ b/src/kernel/core.h
@@ -14,6 +14,7 @@
 #include "kernel/message.h"
 #include "kernel/node_id.h"
 #include "kernel/time.h"
+#include "kernel/trace_event.h"
 
 #include <cstdint>
 #include <functional>
@@ -106,8 +107,8 @@
 
   virtual Counters& counters() = 0;
 
-  /// Logs a change of state. One line; not for events that repeat with the load.
-  virtual void logStateChange(std::string_view text) = 0;
+  /// Logs a change of state. Not for events that repeat with the load.
+  virtual void logEvent(const TraceEvent& event) = 0;
 
   /// Runs @p task after the current event ends, on the core thread.
   virtual void defer(std::function<void()> task) = 0;
--- a/src/membership/directory_core.cpp
+++ b/src/membership/directory_core.cpp
@@ -160,7 +160,7 @@
   if (dead.empty() && gossipPeers().empty()) {
     exchange_.spreadOwn(0, seeds_);
   }
-  context_.logStateChange("directory: own incarnation raised");
+  context_.logEvent(TraceEvent("IncarnationRaised").field("incarnation", self_.incarnation));
 }
 
 void DirectoryCore::recordChanged(const NodeId& origin, const GossipVersion& version,
--- a/src/partition/durable_writer.cpp
+++ b/src/partition/durable_writer.cpp
@@ -25,7 +25,8 @@
     context_.counters().add("partition_persist_failures_total");
     if (!refused_) {
       refused_ = true;
-      context_.logStateChange("the disk refuses records: " + status.error().detail);
+      context_.logEvent(
+          TraceEvent("PersistRefused", Severity::Warning).field("error", status.error()));
     }
     context_.startTimer(retryTimer_, kPersistRetry);
     return;
@@ -54,7 +55,7 @@
   }
   if (refused_ && requests_.empty()) {
     refused_ = false;
-    context_.logStateChange("the disk takes records again");
+    context_.logEvent(TraceEvent("PersistRecovered"));
   }
 }
 
--- a/src/partition/partition_report.cpp
+++ b/src/partition/partition_report.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kSlowTakeover = std::chrono::seconds(2);
 
 std::string nameOf(const PartitionId& partition) {
-  return (partition.kind == TableKind::Slots ? "slot partition " : "batch partition ") +
+  return (partition.kind == TableKind::Slots ? "slots/" : "batches/") +
          std::to_string(partition.index);
 }
 
@@ -71,8 +71,10 @@
   const bool trying = place.takeover || (place.owner && !place.announced);
   if (!trying) {
     if (place.reported) {
-      context_.logStateChange(nameOf(place.replica.partition()) +
-                              (place.announced ? ": owned at last" : ": no longer tried"));
+      const char* name = place.announced ? "TakeoverFinished" : "TakeoverAbandoned";
+      context_.logEvent(TraceEvent(name)
+                            .field("partition", nameOf(place.replica.partition()))
+                            .field("epoch", place.highestEpoch));
     }
     place.unservedSince.reset();
     place.reported = false;
@@ -86,8 +88,10 @@
     context_.counters().add("partition_slow_takeovers_total");
     const std::string progress =
         place.takeover ? place.takeover->progress() : place.owner->progress();
-    context_.logStateChange(nameOf(place.replica.partition()) + ": slow takeover at epoch " +
-                            std::to_string(place.highestEpoch) + " " + progress);
+    context_.logEvent(TraceEvent("TakeoverSlow", Severity::Warning)
+                          .field("partition", nameOf(place.replica.partition()))
+                          .field("epoch", place.highestEpoch)
+                          .field("progress", progress));
   }
 }
 
@@ -97,14 +101,16 @@
   context_.counters().set("records_total_bytes", static_cast<double>(space.totalBytes));
   if (space.isScarce() != loggedScarce_) {
     loggedScarce_ = space.isScarce();
-    context_.logStateChange(std::string(loggedScarce_ ? "little room" : "room again") +
-                            " on the disk: " + std::to_string(space.usedBytes) + " of " +
-                            std::to_string(space.totalBytes) + " bytes used");
+    TraceEvent event(loggedScarce_ ? "DiskSpaceLow" : "DiskSpaceRecovered",
+                     loggedScarce_ ? Severity::Warning : Severity::Info);
+    event.field("used_bytes", space.usedBytes).field("total_bytes", space.totalBytes);
+    context_.logEvent(event);
   }
   const std::size_t owned = ownedPartitions();
   if (owned != loggedOwned_) {
-    context_.logStateChange("owns " + std::to_string(owned) + " partitions, " +
-                            std::to_string(loggedOwned_) + " before");
+    context_.logEvent(TraceEvent("OwnedPartitionsChanged")
+                          .field("owned", owned)
+                          .field("previously_owned", loggedOwned_));
     loggedOwned_ = owned;
   }
   context_.counters().set("partitions_owned", static_cast<double>(owned));
--- a/src/register/acceptor.cpp
+++ b/src/register/acceptor.cpp
@@ -312,7 +312,7 @@
     members.accepted = initial;
     members.ledger.append(initial.entry);
     persistAccepted(kMembersRegister, members);
-    context_.logStateChange("register: formed as an acceptor of a new fleet");
+    context_.logEvent(TraceEvent("AcceptorFormed").field("store_id", options_.storeId));
   }
   return isListed && initialContent() == initial.entry.content;
 }
--- a/src/register/configuration_core.cpp
+++ b/src/register/configuration_core.cpp
@@ -90,8 +90,10 @@
   context_.counters().add("configuration_adopted_total");
   context_.counters().set("configuration_value_bytes_" + registerName,
                           static_cast<double>(value.value.size()));
-  context_.logStateChange(registerName + " version " + std::to_string(value.version) +
-                          " is in force, " + std::to_string(value.value.size()) + " bytes");
+  context_.logEvent(TraceEvent("ConfigurationAdopted")
+                        .field("register", registerName)
+                        .field("version", value.version)
+                        .field("bytes", value.value.size()));
   const auto listeners = listeners_[registerName];
   for (const auto& listener : listeners) {
     listener(value);
@@ -107,7 +109,7 @@
     return;
   }
   if (!hasProof()) {
-    context_.logStateChange("configuration is proved current");
+    context_.logEvent(TraceEvent("ConfigurationLeaseAcquired"));
   }
   provedAt_ = moment;
   freshUntil_.store((moment + kFreshnessLease).time_since_epoch().count(),
--- a/src/register/fleet_bootstrap.cpp
+++ b/src/register/fleet_bootstrap.cpp
@@ -100,15 +100,18 @@
 
 void FleetBootstrapCore::form() {
   forming_ = true;
-  context_.logStateChange("forming a fleet of " + std::to_string(acceptors_.size()) +
-                          " acceptors and " + std::to_string(stores_.size()) + " stores");
+  context_.logEvent(TraceEvent("FleetForming")
+                        .field("acceptors", acceptors_.size())
+                        .field("stores", stores_.size()));
   const std::size_t needed = membersNeeded(options_.toleratedLosses);
   const std::size_t present = std::min({acceptors_.size(), stores_.size(), needed});
   context_.counters().set("fleet_members_missing", static_cast<double>(needed - present));
   if (present < needed) {
-    context_.logStateChange("tolerated_losses is " + std::to_string(options_.toleratedLosses) +
-                            ", which needs " + std::to_string(needed) +
-                            " acceptors and as many stores: the loss of fewer disks can lose data");
+    // The loss of fewer disks than the operator tolerates can lose data.
+    context_.logEvent(TraceEvent("FleetUndersized", Severity::Warning)
+                          .field("tolerated_losses", options_.toleratedLosses)
+                          .field("members_needed", needed)
+                          .field("members_present", present));
   }
   const auto replicas = static_cast<std::uint32_t>(needed);
   registers_.formFleet(acceptors_, stores_, replicas, [this](const Result<MemberList>& formed) {
--- a/src/register/register_core.cpp
+++ b/src/register/register_core.cpp
@@ -68,8 +68,8 @@
   if (!loaded) {
     // An acceptor that is not sure of its past must not vote.
     context_.counters().add("register_load_failures_total");
-    context_.logStateChange("register: records are corrupt (" + loaded.error().detail +
-                            "); this acceptor does not vote");
+    context_.logEvent(
+        TraceEvent("RegisterRecordsCorrupt", Severity::Error).field("error", loaded.error()));
     return;
   }
   acceptor_ = std::move(acceptor);
--- a/src/register/self_admission.cpp
+++ b/src/register/self_admission.cpp
@@ -177,7 +177,7 @@
 
 void SelfAdmissionCore::askFor(const NodeId& place) {
   asking_ = true;
-  context_.logStateChange("asking for the place of " + place.address);
+  context_.logEvent(TraceEvent("MemberReplacementRequested").field("member", place));
   registers_.replaceMember(place, context_.self(),
                            [this](const Result<MemberList>& list) { answered(list); });
 }
@@ -189,7 +189,7 @@
 
 void SelfAdmissionCore::askToBeAdded() {
   asking_ = true;
-  context_.logStateChange("asking to be one more acceptor");
+  context_.logEvent(TraceEvent("AcceptorAdditionRequested"));
   registers_.addAcceptor(context_.self(),
                          [this](const Result<MemberList>& list) { answered(list); });
 }
@@ -198,7 +198,12 @@
   asking_ = false;
   sightings_.reset();
   context_.counters().add(list ? "members_admitted_total" : "member_admission_failures_total");
-  context_.logStateChange(list ? "admitted as a member" : "not admitted: " + list.error().detail);
+  if (list) {
+    context_.logEvent(TraceEvent("MemberJoined"));
+  } else {
+    context_.logEvent(
+        TraceEvent("MemberJoinFailed", Severity::Warning).field("error", list.error()));
+  }
 }
 
 }  // namespace shedshed
--- a/src/register/successor_core.cpp
+++ b/src/register/successor_core.cpp
@@ -69,7 +69,7 @@
   const bool replaced = entry.successor == context_.self() && !isMember(entry.node);
   if (replaced && isSettled_()) {
     next.completed = true;
-    context_.logStateChange(entry.name + " may be taken away");
+    context_.logEvent(TraceEvent("RetirementCompleted").field("node", entry.name));
     retirements_.update(next);
   }
 }
--- a/src/register/synced_outbox.cpp
+++ b/src/register/synced_outbox.cpp
@@ -18,7 +18,9 @@
     failed_ = true;
     waiting_.clear();
     context_.counters().add("register_sync_failures_total");
-    context_.logStateChange("register: sync failed; this acceptor is silent until its restart");
+    // What was synced is unknown now, so the acceptor answers nothing until it is restarted.
+    context_.logEvent(
+        TraceEvent("AcceptorSyncFailed", Severity::Error).field("error", status.error()));
     return;
   }
   synced_ = id;
--- a/src/runtime/logging.cpp
+++ b/src/runtime/logging.cpp
@@ -33,6 +33,21 @@
   LOG4CPLUS_WARN(log4cplus::Logger::getInstance(component), text);
 }
 
+void logEvent(const std::string& component, const TraceEvent& event) {
+  const log4cplus::Logger logger = log4cplus::Logger::getInstance(component);
+  switch (event.severity()) {
+  case Severity::Info:
+    LOG4CPLUS_INFO(logger, event.text());
+    return;
+  case Severity::Warning:
+    LOG4CPLUS_WARN(logger, event.text());
+    return;
+  case Severity::Error:
+    LOG4CPLUS_ERROR(logger, event.text());
+    return;
+  }
+}
+
 void logError(const std::string& component, const Error& error) {
   LOG4CPLUS_ERROR(log4cplus::Logger::getInstance(component), errorTypeName(error.code)
                                                                  << ": " << error.detail);
--- a/src/runtime/logging.h
+++ b/src/runtime/logging.h
@@ -3,6 +3,7 @@
 #pragma once
 
 #include "kernel/error.h"
+#include "kernel/trace_event.h"
 
 #include <string>
 
@@ -11,6 +12,9 @@
 /// Sets up logging for the process. @p level is `error`, `warn`, `info` or `debug`.
 void initializeLogging(const std::string& level);
 
+/// Logs @p event at the level of its severity.
+void logEvent(const std::string& component, const TraceEvent& event);
+
 void logInfo(const std::string& component, const std::string& text);
 void logWarning(const std::string& component, const std::string& text);
 void logError(const std::string& component, const Error& error);
--- a/src/runtime/node_runtime.cpp
+++ b/src/runtime/node_runtime.cpp
@@ -61,8 +61,8 @@
     return kNoRecords;
   }
   Counters& counters() override { return runtime_.metrics_; }
-  void logStateChange(std::string_view text) override {
-    logInfo(serviceName(service_), std::string(text));
+  void logEvent(const TraceEvent& event) override {
+    shedshed::logEvent(serviceName(service_), event);
   }
   void defer(std::function<void()> task) override { runtime_.post(std::move(task)); }
 
--- a/src/slots/slot_owner_core.cpp
+++ b/src/slots/slot_owner_core.cpp
@@ -332,7 +332,7 @@
   const std::vector<NodeId> holders = possibleHolders();
   for (const PartitionId& closed : recovery_.closeFinished(holders, context_.now())) {
     store_.write(closed, {{kRecoveringRow, std::nullopt}}, [](Status) {});
-    context_.logStateChange("slot partition " + std::to_string(closed.index) + " recovered");
+    context_.logEvent(TraceEvent("SlotRecoveryFinished").field("partition", closed.index));
   }
 }
 
--- a/tests/core_harness.h
+++ b/tests/core_harness.h
@@ -69,7 +69,7 @@
   void persist(PersistId id, std::vector<Mutation> mutations) override;
   const RecordReader& records() const override;
   Counters& counters() override;
-  void logStateChange(std::string_view) override {}
+  void logEvent(const TraceEvent&) override {}
   void defer(std::function<void()> task) override;
 
   std::map<TimerId, Time> timers;
