--- a/bench/failures/batch_load.py
+++ b/bench/failures/batch_load.py
@@ -34,8 +34,11 @@
         self.disordered = 0
 
     def body(self):
-        return {"client_key": self.name, "repeatable": self.repeatable,
-                "items": [chat_body(prompt, max_tokens=ITEM_TOKENS) for prompt in self.prompts]}
+        return {
+            "client_key": self.name,
+            "repeatable": self.repeatable,
+            "items": [chat_body(prompt, max_tokens=ITEM_TOKENS) for prompt in self.prompts],
+        }
 
     def note_page(self, page, start):
         """Compares a page of results with what was read before."""
@@ -111,8 +114,9 @@
 
     def _try_submit(self, batch, front):
         try:
-            reply = call(front.callers, "POST", "/v1/batches", batch.body(), self.key,
-                         timeout=CALL_TIMEOUT_S)
+            reply = call(
+                front.callers, "POST", "/v1/batches", batch.body(), self.key, timeout=CALL_TIMEOUT_S
+            )
             if reply.status in (200, 201):
                 batch.batch_id = reply.json()["id"]
                 batch.accepted_at = time.monotonic()
@@ -127,8 +131,13 @@
         start = 0
         try:
             while True:
-                reply = call(front.callers, "GET", f"{path}?from={start}&limit=1000",
-                             key=self.key, timeout=CALL_TIMEOUT_S)
+                reply = call(
+                    front.callers,
+                    "GET",
+                    f"{path}?from={start}&limit=1000",
+                    key=self.key,
+                    timeout=CALL_TIMEOUT_S,
+                )
                 if reply.status != 200:
                     return
                 page = reply.json()
--- a/bench/failures/engine_answer.py
+++ b/bench/failures/engine_answer.py
@@ -13,7 +13,7 @@
 
 
 def _word(data, at):
-    return int.from_bytes(data[at:at + 8], "little")
+    return int.from_bytes(data[at : at + 8], "little")
 
 
 def _mix(data, at, secret_at):
--- a/bench/failures/experiments/engine_faults.py
+++ b/bench/failures/experiments/engine_faults.py
@@ -10,8 +10,11 @@
     trial.batches.submit("engine-faults", 100)
     trial.mark("first fault", event=True)
     for engine, action, values in (
-            (engines[0], "cross", {}), (engines[1], "cut", {"after_events": 3}),
-            (engines[2], "reset", {}), (engines[3], "late", {"seconds": 3})):
+        (engines[0], "cross", {}),
+        (engines[1], "cut", {"after_events": 3}),
+        (engines[2], "reset", {}),
+        (engines[3], "late", {"seconds": 3}),
+    ):
         trial.control_engine(engine, action, **values)
         trial.mark(f"{engine.name}: {action}")
         trial.sleep(PAUSE_S)
--- a/bench/failures/experiments/freeze_control.py
+++ b/bench/failures/experiments/freeze_control.py
@@ -11,7 +11,9 @@
     trial.sleep(25)
     trial.extra["slot_partitions_while_frozen"] = {
         store.name: sum(1 for e in trial.fleet.status(store)["epochs"] if e["table"] == "slots")
-        for store in trial.fleet.stores if store is not victim}
+        for store in trial.fleet.stores
+        if store is not victim
+    }
     victim.wake()
     trial.mark(f"woke {victim.name}")
     trial.sleep(10)
--- a/bench/failures/experiments/operators_race.py
+++ b/bench/failures/experiments/operators_race.py
@@ -21,8 +21,10 @@
                 nodes.remove(fleet.stores[0])
                 trial.mark(f"killed {fleet.stores[0].name}")
             base = current_version(fleet, nodes[1])
-            orders = [(secrets.token_hex(8), racer, nodes[(race + racer) % len(nodes)])
-                      for racer in range(RACERS)]
+            orders = [
+                (secrets.token_hex(8), racer, nodes[(race + racer) % len(nodes)])
+                for racer in range(RACERS)
+            ]
             replies = list(pool.map(lambda order: change(trial, base, *order), orders))
             won = [order for order, reply in zip(orders, replies) if reply == base + 1]
             trial.require(len(won) <= 1, f"race {race}: {len(won)} operators won: {replies}")
--- a/bench/failures/experiments/rolling_restart.py
+++ b/bench/failures/experiments/rolling_restart.py
@@ -38,9 +38,14 @@
 
 def slowest_start(trial, moments):
     """Longest wait for the status of a stream begun around a hand-over: bounds its pause."""
-    waits = [record.headed - record.begun for record in trial.load.records
-             if record.stream and record.status == 200 and record.tenant == CLOSED_TENANT
-             and any(-0.1 < record.begun - moment < HAND_OVER_WINDOW_S for moment in moments)]
+    waits = [
+        record.headed - record.begun
+        for record in trial.load.records
+        if record.stream
+        and record.status == 200
+        and record.tenant == CLOSED_TENANT
+        and any(-0.1 < record.begun - moment < HAND_OVER_WINDOW_S for moment in moments)
+    ]
     return [round(1000 * wait) for wait in sorted(waits)[-3:]], len(waits)
 
 
@@ -59,5 +64,8 @@
         honest = record.status == 503 and record.ran == "no" and record.retry_after
         if record.ended and outcome != "answered" and not honest:
             at = round(record.begun - trial.begun, 2)
-            trial.require(False, f"at {at} s: {outcome} {record.status} {record.ran} "
-                                 f"{record.error_type} {record.failure}")
+            trial.require(
+                False,
+                f"at {at} s: {outcome} {record.status} {record.ran} "
+                f"{record.error_type} {record.failure}",
+            )
--- a/bench/failures/live_load.py
+++ b/bench/failures/live_load.py
@@ -67,8 +67,9 @@
         self.fronts = fronts
         self.ready = list(fronts)
         self._stopping = threading.Event()
-        self._threads = [threading.Thread(target=self._poll, args=(front,), daemon=True)
-                         for front in fronts]
+        self._threads = [
+            threading.Thread(target=self._poll, args=(front,), daemon=True) for front in fronts
+        ]
 
     def start(self):
         for thread in self._threads:
@@ -83,8 +84,9 @@
                 ready = call(front.callers, "GET", "/readyz", timeout=READY_TIMEOUT_S).status == 200
             except (OSError, http.client.HTTPException):
                 ready = False
-            self.ready = [other for other in self.fronts
-                          if (ready if other is front else other in self.ready)]
+            self.ready = [
+                other for other in self.fronts if (ready if other is front else other in self.ready)
+            ]
 
 
 class LiveLoad:
--- a/bench/failures/outcome_checker.py
+++ b/bench/failures/outcome_checker.py
@@ -22,7 +22,8 @@
 
     def counts(self):
         return collections.Counter(
-            request_id for runs in self._runs.values() for request_id in runs)
+            request_id for runs in self._runs.values() for request_id in runs
+        )
 
 
 def check_live(records, counts):
--- a/bench/failures/outcome_checker_test.py
+++ b/bench/failures/outcome_checker_test.py
@@ -38,8 +38,12 @@
 
 
 def page(batch):
-    return {"results": [{"position": at, "state": "done", "body": item_answer(prompt)}
-                        for at, prompt in enumerate(batch.prompts)]}
+    return {
+        "results": [
+            {"position": at, "state": "done", "body": item_answer(prompt)}
+            for at, prompt in enumerate(batch.prompts)
+        ]
+    }
 
 
 def found(records=(), batches=(), **received):
@@ -62,6 +66,7 @@
             for name, value in values.items():
                 setattr(record, name, value)
             return [record]
+
         other = expected_answer(make_prompt("live", 2), TOKENS)
         short = expected_answer(make_prompt("live", 1), TOKENS - 1)
         self.assertEqual(found(altered(text=other)), ["foreign_answer"])
@@ -74,8 +79,9 @@
         self.assertEqual(found(altered(repeatable=True), one=2), [])
 
     def test_batches(self):
-        self.assertEqual(found([], [finished_batch()], b7_0_1_1=1, b7_0_2_5=1),
-                         ["batch_item_ran_twice"])
+        self.assertEqual(
+            found([], [finished_batch()], b7_0_1_1=1, b7_0_2_5=1), ["batch_item_ran_twice"]
+        )
         missing = finished_batch()
         del missing.results[1]
         self.assertEqual(found([], [missing]), ["batch_item_missing"])
--- a/bench/failures/replace_store.py
+++ b/bench/failures/replace_store.py
@@ -57,8 +57,11 @@
         """Hands batches in; an honest refusal is sent again with the same client key."""
         for _ in range(count):
             number = len(self.batches)
-            body = {"client_key": f"batch-{number}", "repeatable": False,
-                    "items": [chat_body(f"batch {number} item {i}") for i in range(ITEMS)]}
+            body = {
+                "client_key": f"batch-{number}",
+                "repeatable": False,
+                "items": [chat_body(f"batch {number} item {i}") for i in range(ITEMS)],
+            }
             replies = []
 
             def accepted(body=body, replies=replies):
@@ -83,8 +86,11 @@
     def read_all_complete(self):
         for batch in self.batches:
             for i in range(len(self.fleet.fronts)):
-                self.fleet.wait_until(lambda i=i, batch=batch: self.read(i, batch),
-                                      f"{batch} is complete", COMPLETE_TIMEOUT_S)
+                self.fleet.wait_until(
+                    lambda i=i, batch=batch: self.read(i, batch),
+                    f"{batch} is complete",
+                    COMPLETE_TIMEOUT_S,
+                )
             positions = sorted(place[1] for place in self.seen if place[0] == batch)
             require(positions == list(range(ITEMS)), f"{batch}: positions {positions}")
 
@@ -92,16 +98,29 @@
         """Seconds until a live call is answered at each front."""
         begin = time.monotonic()
         for i in range(len(self.fleet.fronts)):
+
             def granted(i=i):
-                return call(self.front(i), "POST", "/v1/chat/completions", chat_body("live"),
-                            KEY).status == 200
+                return (
+                    call(
+                        self.front(i), "POST", "/v1/chat/completions", chat_body("live"), KEY
+                    ).status
+                    == 200
+                )
+
             self.fleet.wait_until(granted, "a live call is granted", GRANT_TIMEOUT_S)
         return time.monotonic() - begin
 
     def replace(self, old, new):
         begin = time.monotonic()
-        done = self.fleet.ctl("stores", "replace", old.internal, new.internal, "--timeout-s",
-                              str(REPLACE_TIMEOUT_S), "--json")
+        done = self.fleet.ctl(
+            "stores",
+            "replace",
+            old.internal,
+            new.internal,
+            "--timeout-s",
+            str(REPLACE_TIMEOUT_S),
+            "--json",
+        )
         require(done.returncode == 0, f"replace: {done.returncode} {done.stdout} {done.stderr}")
         return time.monotonic() - begin
 
@@ -136,10 +155,16 @@
         trial.read_all_complete()
         complete_s = time.monotonic() - begin
         trial.figures["replacements"].append(
-            {"old": old.name, "new": new.name, "replaced_s": round(seconds, 2),
-             "then_lost": next_lost.name, "granted_after_s": round(grant_s, 2),
-             "next_batch_accepted_s": round(accepted_s, 2),
-             "all_complete_s": round(complete_s, 2)})
+            {
+                "old": old.name,
+                "new": new.name,
+                "replaced_s": round(seconds, 2),
+                "then_lost": next_lost.name,
+                "granted_after_s": round(grant_s, 2),
+                "next_batch_accepted_s": round(accepted_s, 2),
+                "all_complete_s": round(complete_s, 2),
+            }
+        )
         next_lost.start()
     again = trial.replace(third, third)
     trial.replace(newcomer, newcomer)
@@ -161,8 +186,7 @@
     parser.add_argument("--json", action="store_true", help="print the figures as JSON")
     arguments = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="shedshed-replace-") as folder:
-        fleet = Fleet(arguments.build, folder, fronts=2, engines=2,
-                      base_port=arguments.base_port)
+        fleet = Fleet(arguments.build, folder, fronts=2, engines=2, base_port=arguments.base_port)
         try:
             figures = run(fleet)
         except (FleetError, OSError, KeyError) as failure:
@@ -177,10 +201,12 @@
         print(json.dumps(figures))
     else:
         for step in figures.pop("replacements"):
-            print(f"{step['old']} replaced by {step['new']} in {step['replaced_s']} s; then "
-                  f"{step['then_lost']} lost, calls granted after {step['granted_after_s']} s, a new "
-                  f"batch accepted in {step['next_batch_accepted_s']} s, all batches complete "
-                  f"{step['all_complete_s']} s later")
+            print(
+                f"{step['old']} replaced by {step['new']} in {step['replaced_s']} s; then "
+                f"{step['then_lost']} lost, calls granted after {step['granted_after_s']} s, a new "
+                f"batch accepted in {step['next_batch_accepted_s']} s, all batches complete "
+                f"{step['all_complete_s']} s later"
+            )
         print(f"replace_store: ok: {figures}")
     return 0
 
--- a/bench/failures/trial.py
+++ b/bench/failures/trial.py
@@ -20,7 +20,10 @@
 SETTINGS = {
     "fleet": {"per_s": 200, "burst": 100},
     "tenants": {
-        CLOSED_TENANT: {"fail_mode": "closed", "keys": [{"digest": key_digest(KEYS[CLOSED_TENANT])}]},
+        CLOSED_TENANT: {
+            "fail_mode": "closed",
+            "keys": [{"digest": key_digest(KEYS[CLOSED_TENANT])}],
+        },
         OPEN_TENANT: {"fail_mode": "open", "keys": [{"digest": key_digest(KEYS[OPEN_TENANT])}]},
     },
 }
@@ -31,9 +34,15 @@
 
     def __init__(self, options, folder):
         self.options = options
-        self.fleet = Fleet(options.build, folder, stores=options.stores,
-                           registers=options.registers, fronts=options.fronts,
-                           engines=options.engines, base_port=options.base_port)
+        self.fleet = Fleet(
+            options.build,
+            folder,
+            stores=options.stores,
+            registers=options.registers,
+            fronts=options.fronts,
+            engines=options.engines,
+            base_port=options.base_port,
+        )
         self.load = LiveLoad(self.fleet.fronts, KEYS, options.rate, options.repeatable_share)
         self.batches = BatchLoad(self.load.balancer, KEYS[CLOSED_TENANT])
         self.logs = EngineLogs()
@@ -115,8 +124,11 @@
         wrong.update(check_batches(self.batches.batches, counts))
         return {
             "wrong_outcomes": sum(len(examples) for examples in wrong.values()),
-            "wrong_examples": {kind: [str(e) for e in examples[:EXAMPLES]]
-                               for kind, examples in wrong.items() if examples},
+            "wrong_examples": {
+                kind: [str(e) for e in examples[:EXAMPLES]]
+                for kind, examples in wrong.items()
+                if examples
+            },
             "requirements_failed": self.failures,
             "calls": self._call_figures(),
             "grants": self._grant_figures(),
@@ -150,11 +162,15 @@
     def _batch_figures(batch):
         states = collections.Counter(state for state, _ in batch.results.values())
         return {
-            "name": batch.name, "items": len(batch.prompts), "repeatable": batch.repeatable,
-            "states": dict(states), "submit_refusals": batch.submit_refusals,
+            "name": batch.name,
+            "items": len(batch.prompts),
+            "repeatable": batch.repeatable,
+            "states": dict(states),
+            "submit_refusals": batch.submit_refusals,
             "first_read_after_acceptance_s": _rounded(batch.first_read_at - batch.accepted_at),
-            "complete_after_s": _rounded(batch.complete_at and
-                                         batch.complete_at - batch.accepted_at),
+            "complete_after_s": _rounded(
+                batch.complete_at and batch.complete_at - batch.accepted_at
+            ),
         }
 
 
@@ -163,12 +179,17 @@
     waits = sorted(r.headed - r.begun for r in records if r.status == 200)
     errors = collections.Counter(
         f"{r.outcome()} error={r.error_type or r.failure} ran={r.ran or '-'}"
-        for r in records if r.outcome() in ("broken", "lost", "unreachable"))
+        for r in records
+        if r.outcome() in ("broken", "lost", "unreachable")
+    )
     return {
-        "total": len(records), "outcomes": dict(sorted(outcomes.items())),
+        "total": len(records),
+        "outcomes": dict(sorted(outcomes.items())),
         "errors": dict(errors),
-        "first_byte_ms": {name: _rounded(_part(waits, part) * 1000)
-                          for name, part in (("p50", 0.5), ("p99", 0.99), ("max", 1.0))},
+        "first_byte_ms": {
+            name: _rounded(_part(waits, part) * 1000)
+            for name, part in (("p50", 0.5), ("p99", 0.99), ("max", 1.0))
+        },
     }
 
 
--- a/bench/overload/batch_flood.py
+++ b/bench/overload/batch_flood.py
@@ -36,8 +36,9 @@
     """Submits all batches at once and returns their ids."""
     ids = []
     for i in range(BATCHES):
-        items = [chat_body(f"caption {i} of room {j}", max_tokens=ITEM_TOKENS)
-                 for j in range(ITEMS)]
+        items = [
+            chat_body(f"caption {i} of room {j}", max_tokens=ITEM_TOKENS) for j in range(ITEMS)
+        ]
         body = {"client_key": f"flood-{i}", "repeatable": False, "items": items}
         front = fleet.fronts[i % len(fleet.fronts)].callers
         reply = call(front, "POST", "/v1/batches", body, caller_key("batches"))
@@ -68,14 +69,24 @@
         done = 0
         while done < BATCHES * ITEMS and time.monotonic() - self.begin < FINISH_LIMIT_S:
             front = self.fleet.fronts[0].callers
-            states = [call(front, "GET", f"/v1/batches/{i}", key=caller_key("batches")).json()
-                      for i in ids]
+            states = [
+                call(front, "GET", f"/v1/batches/{i}", key=caller_key("batches")).json()
+                for i in ids
+            ]
             done = sum(state["done"] + state["failed"] + state["unknown"] for state in states)
             started = sum(state["started"] for state in states)
-            busy = [call(engine.callers, "GET", "/health").json()["running"]
-                    for engine in self.fleet.engines]
-            self.samples.append({"at_s": round(time.monotonic() - self.begin, 2), "done": done,
-                                 "started": started, "engines_running": sum(busy)})
+            busy = [
+                call(engine.callers, "GET", "/health").json()["running"]
+                for engine in self.fleet.engines
+            ]
+            self.samples.append(
+                {
+                    "at_s": round(time.monotonic() - self.begin, 2),
+                    "done": done,
+                    "started": started,
+                    "engines_running": sum(busy),
+                }
+            )
             time.sleep(SAMPLE_S)
 
 
@@ -116,7 +127,8 @@
             "first_token_p50_usual_ms": median_in(record, BATCHES_AT_S, JUMP_FROM_S),
             "first_token_p50_jump_ms": median_in(record, JUMP_FROM_S, JUMP_TO_S),
             "first_token_p90_ms": record["first_token_ms"]["p90"],
-            "first_token_p99_ms": record["first_token_ms"]["p99"]}
+            "first_token_p99_ms": record["first_token_ms"]["p99"],
+        }
     samples = run["batches"]
     if samples:
         before = [s for s in samples if BATCHES_AT_S + 4 <= s["at_s"] < JUMP_FROM_S]
@@ -124,17 +136,23 @@
         mean = lambda rows, key: round(sum(r[key] for r in rows) / len(rows), 1) if rows else None
         last = [s for s in samples if s["at_s"] <= DURATION_S][-1]
         summary["batches"] = {
-            "items": BATCHES * ITEMS, "done": samples[-1]["done"],
+            "items": BATCHES * ITEMS,
+            "done": samples[-1]["done"],
             "done_at_end_of_live": last["done"],
             "finished_at_s": samples[-1]["at_s"],
             "started_mean_usual": mean(before, "started"),
             "started_mean_jump": mean(jump, "started"),
             "engines_running_mean_usual": mean(before, "engines_running"),
             "room": ENGINES * ENGINE_ROOM,
-            "items_per_s_usual": ratio(before[-1]["done"] - before[0]["done"],
-                                       before[-1]["at_s"] - before[0]["at_s"]) if before else None,
+            "items_per_s_usual": ratio(
+                before[-1]["done"] - before[0]["done"], before[-1]["at_s"] - before[0]["at_s"]
+            )
+            if before
+            else None,
             "taken_back_half_after_s": started_after(
-                samples, JUMP_FROM_S, (before[-1]["started"] if before else 0) / 2)}
+                samples, JUMP_FROM_S, (before[-1]["started"] if before else 0) / 2
+            ),
+        }
     return summary
 
 
@@ -145,23 +163,45 @@
     alone = measure(False, ENGINE_ROOM, 0.1)
     lent = measure(True, ENGINE_ROOM, 0.1)
     unlimited = measure(True, UNLIMITED_ROOM, 0)
-    described = {"no_batches": describe(alone), "lending": describe(lent),
-                 "unlimited_lending": describe(unlimited)}
+    described = {
+        "no_batches": describe(alone),
+        "lending": describe(lent),
+        "unlimited_lending": describe(unlimited),
+    }
     for phase in ("usual", "jump"):
         key = f"first_token_p50_{phase}_ms"
         described[f"{phase}_over_no_batches"] = {
             name: ratio(described[name]["live_a"][key], described["no_batches"]["live_a"][key])
-            for name in ("lending", "unlimited_lending")}
-    save("batch_flood", {"summary": described, "no_batches": alone, "lending": lent,
-                         "unlimited_lending": unlimited})
-    plot("batch_flood", "Live first token; batches land at 4 s, live load jumps 16 s to 26 s",
-         {"no batches": first_token_line(alone["records"]["live_a"]),
-          "lending": first_token_line(lent["records"]["live_a"]),
-          "unlimited lending": first_token_line(unlimited["records"]["live_a"])})
-    plot("batch_flood_items", "Batch items under way; live load jumps 16 s to 26 s",
-         {name: [(s["at_s"], s["started"]) for s in run["batches"]]
-          for name, run in (("lending", lent), ("unlimited lending", unlimited))},
-         y_label="items started, not finished", log=False)
+            for name in ("lending", "unlimited_lending")
+        }
+    save(
+        "batch_flood",
+        {
+            "summary": described,
+            "no_batches": alone,
+            "lending": lent,
+            "unlimited_lending": unlimited,
+        },
+    )
+    plot(
+        "batch_flood",
+        "Live first token; batches land at 4 s, live load jumps 16 s to 26 s",
+        {
+            "no batches": first_token_line(alone["records"]["live_a"]),
+            "lending": first_token_line(lent["records"]["live_a"]),
+            "unlimited lending": first_token_line(unlimited["records"]["live_a"]),
+        },
+    )
+    plot(
+        "batch_flood_items",
+        "Batch items under way; live load jumps 16 s to 26 s",
+        {
+            name: [(s["at_s"], s["started"]) for s in run["batches"]]
+            for name, run in (("lending", lent), ("unlimited lending", unlimited))
+        },
+        y_label="items started, not finished",
+        log=False,
+    )
 
 
 if __name__ == "__main__":
--- a/bench/overload/bench_fleet.py
+++ b/bench/overload/bench_fleet.py
@@ -42,8 +42,16 @@
     engine runs at once; the engines themselves run ENGINE_ROOM and queue the rest."""
     flags = ("--max-running", str(ENGINE_ROOM), "--decode-ms", str(DECODE_MS))
     with tempfile.TemporaryDirectory(prefix="shedshed-bench-") as folder:
-        fleet = Fleet(BUILD, folder, stores=3, registers=3, fronts=FRONTS, engines=ENGINES,
-                      base_port=BASE_PORT, engine_flags=flags)
+        fleet = Fleet(
+            BUILD,
+            folder,
+            stores=3,
+            registers=3,
+            fronts=FRONTS,
+            engines=ENGINES,
+            base_port=BASE_PORT,
+            engine_flags=flags,
+        )
         try:
             fleet.start()
             fleet.init()
@@ -77,8 +85,12 @@
 
 def start_load(classes, duration_s, seed):
     plan = {"seed": seed, "duration_s": duration_s, "classes": classes}
-    process = subprocess.Popen([os.path.join(BUILD, "standins", "shedshed-load")],
-                               stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+    process = subprocess.Popen(
+        [os.path.join(BUILD, "standins", "shedshed-load")],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     process.stdin.write(json.dumps(plan))
     process.stdin.close()
     process.stdin = None
@@ -115,5 +127,6 @@
 
 def slot_counters(fleet):
     """Counters of slots and batches over all nodes."""
-    return {name: value for name, value in counters(fleet).items()
-            if "slot" in name or "batch" in name}
+    return {
+        name: value for name, value in counters(fleet).items() if "slot" in name or "batch" in name
+    }
--- a/bench/overload/bench_report.py
+++ b/bench/overload/bench_report.py
@@ -8,8 +8,10 @@
 from bench_fleet import ROOT
 
 RESULTS = os.path.join(ROOT, "bench", "results")
-NOTE = ("Measured on a shared, busy machine of 8 cores with all processes on loopback; only the "
-        "ratios of the paired runs of one file carry over to other machines.")
+NOTE = (
+    "Measured on a shared, busy machine of 8 cores with all processes on loopback; only the "
+    "ratios of the paired runs of one file carry over to other machines."
+)
 
 
 def ratio(value, baseline):
@@ -18,8 +20,11 @@
 
 def median_in(record, begin_s, end_s, name="first_token_p50_ms"):
     """Median of a timeline's values with answers, by arrival from begin_s to end_s."""
-    values = sorted(entry[name] for entry in record["timeline"]
-                    if begin_s <= entry["at_s"] < end_s and entry[name] > 0)
+    values = sorted(
+        entry[name]
+        for entry in record["timeline"]
+        if begin_s <= entry["at_s"] < end_s and entry[name] > 0
+    )
     return values[len(values) // 2] if values else 0
 
 
@@ -43,8 +48,14 @@
         print("gnuplot is not installed: no plot")
         return
     path = os.path.join(RESULTS, name + ".svg")
-    script = [f'set terminal svg size 720,360; set output "{path}"', f'set title "{title}"',
-              'set xlabel "seconds"', f'set ylabel "{y_label}"', "set key outside right", "set grid"]
+    script = [
+        f'set terminal svg size 720,360; set output "{path}"',
+        f'set title "{title}"',
+        'set xlabel "seconds"',
+        f'set ylabel "{y_label}"',
+        "set key outside right",
+        "set grid",
+    ]
     if log:
         script.append("set logscale y")
     for index, points in enumerate(series.values()):
@@ -56,5 +67,8 @@
 
 
 def first_token_line(record):
-    return [(entry["at_s"], entry["first_token_p50_ms"]) for entry in record["timeline"]
-            if entry["first_token_p50_ms"] > 0]
+    return [
+        (entry["at_s"], entry["first_token_p50_ms"])
+        for entry in record["timeline"]
+        if entry["first_token_p50_ms"] > 0
+    ]
--- a/bench/overload/crowd.py
+++ b/bench/overload/crowd.py
@@ -34,15 +34,19 @@
         after = median_in(record, CROWD_TO_S + 2, DURATION_S)
         summary[name] = {
             "outcomes": record["outcomes"],
-            "answered_per_s_in_crowd": round(total_in(record, CROWD_FROM_S, CROWD_TO_S, "ok")
-                                             / (CROWD_TO_S - CROWD_FROM_S), 1),
-            "first_token_p50_before_ms": before, "first_token_p50_during_ms": during,
-            "first_token_p50_after_ms": after, "during_over_before": ratio(during, before),
+            "answered_per_s_in_crowd": round(
+                total_in(record, CROWD_FROM_S, CROWD_TO_S, "ok") / (CROWD_TO_S - CROWD_FROM_S), 1
+            ),
+            "first_token_p50_before_ms": before,
+            "first_token_p50_during_ms": during,
+            "first_token_p50_after_ms": after,
+            "during_over_before": ratio(during, before),
             "first_token_p99_ms": record["first_token_ms"]["p99"],
             "refusal_p50_ms": record["refusal_ms"]["p50"],
             "refusal_p99_ms": record["refusal_ms"]["p99"],
             "refusals_with_retry_after": record["refusals_with_retry_after"],
-            "refused_that_touched_an_engine": record["refused_that_touched_an_engine"]}
+            "refused_that_touched_an_engine": record["refused_that_touched_an_engine"],
+        }
     return summary
 
 
@@ -50,14 +54,32 @@
     with_slots = measure(LIMITS, ENGINE_ROOM)
     without_slots = measure({"per_s": 0, "burst": UNLIMITED_ROOM}, UNLIMITED_ROOM)
     slots, baseline = describe(with_slots), describe(without_slots)
-    factors = {name: ratio(baseline[name]["first_token_p50_during_ms"],
-                           slots[name]["first_token_p50_during_ms"]) for name in TENANTS}
-    save("crowd", {"summary": {"with_slots": slots, "without_slots": baseline,
-                               "first_token_without_over_with_slots": factors},
-                   "with_slots": with_slots, "without_slots": without_slots})
-    plot("crowd", "First token of accepted calls; ten times the usual load from 8 s to 16 s",
-         {"with slots": first_token_line(with_slots["records"]["a"]),
-          "without slots": first_token_line(without_slots["records"]["a"])})
+    factors = {
+        name: ratio(
+            baseline[name]["first_token_p50_during_ms"], slots[name]["first_token_p50_during_ms"]
+        )
+        for name in TENANTS
+    }
+    save(
+        "crowd",
+        {
+            "summary": {
+                "with_slots": slots,
+                "without_slots": baseline,
+                "first_token_without_over_with_slots": factors,
+            },
+            "with_slots": with_slots,
+            "without_slots": without_slots,
+        },
+    )
+    plot(
+        "crowd",
+        "First token of accepted calls; ten times the usual load from 8 s to 16 s",
+        {
+            "with slots": first_token_line(with_slots["records"]["a"]),
+            "without slots": first_token_line(without_slots["records"]["a"]),
+        },
+    )
 
 
 if __name__ == "__main__":
--- a/bench/overload/routing.py
+++ b/bench/overload/routing.py
@@ -38,10 +38,13 @@
     record = run["record"]
     cold_ms = PREFIX_BYTES / BLOCK_BYTES * PREFILL_MS_PER_BLOCK
     mean = record["first_token_ms"]["mean"]
-    return {"outcomes": record["outcomes"], "first_token_mean_ms": round(mean, 1),
-            "first_token_p50_ms": record["first_token_ms"]["p50"],
-            "first_token_p90_ms": record["first_token_ms"]["p90"],
-            "share_of_cold_prefill": ratio(mean, cold_ms)}
+    return {
+        "outcomes": record["outcomes"],
+        "first_token_mean_ms": round(mean, 1),
+        "first_token_p50_ms": record["first_token_ms"]["p50"],
+        "first_token_p90_ms": record["first_token_ms"]["p90"],
+        "share_of_cold_prefill": ratio(mean, cold_ms),
+    }
 
 
 def main():
@@ -49,13 +52,18 @@
     described = {name: describe(run) for name, run in runs.items()}
     mean = "first_token_mean_ms"
     described["random_over_fronts"] = ratio(described["random"][mean], described["fronts"][mean])
-    described["rendezvous_over_fronts"] = ratio(described["rendezvous"][mean],
-                                                described["fronts"][mean])
-    described["random_over_fronts_loose_bound"] = ratio(described["random"][mean],
-                                                        described["fronts_loose_bound"][mean])
+    described["rendezvous_over_fronts"] = ratio(
+        described["rendezvous"][mean], described["fronts"][mean]
+    )
+    described["random_over_fronts_loose_bound"] = ratio(
+        described["random"][mean], described["fronts_loose_bound"][mean]
+    )
     save("routing", {"summary": described, **runs})
-    plot("routing", "First token with many long shared texts",
-         {name: first_token_line(run["record"]) for name, run in runs.items()})
+    plot(
+        "routing",
+        "First token with many long shared texts",
+        {name: first_token_line(run["record"]) for name, run in runs.items()},
+    )
 
 
 if __name__ == "__main__":
--- a/bench/scale/hollow_fleet.py
+++ b/bench/scale/hollow_fleet.py
@@ -25,9 +25,24 @@
         self.addresses = [f"{HOST}:{first_port + i}" for i in range(count)]
         log = open(log_path, "ab")
         self.process = subprocess.Popen(
-            [program, "--first-port", str(first_port), "--count", str(count), "--first-index",
-             str(first_index), "--seeds", ",".join(seeds), "--fleet-key-file", key_file],
-            stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=log, text=True)
+            [
+                program,
+                "--first-port",
+                str(first_port),
+                "--count",
+                str(count),
+                "--first-index",
+                str(first_index),
+                "--seeds",
+                ",".join(seeds),
+                "--fleet-key-file",
+                key_file,
+            ],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            stderr=log,
+            text=True,
+        )
         log.close()
 
     def command(self, line):
@@ -54,9 +69,17 @@
         key_file = os.path.join(fleet.folder, "fleet.key")
         for first in range(0, nodes, per_process):
             log = os.path.join(fleet.folder, f"hollow-{first}.log")
-            self.processes.append(HollowProcess(program, first_port + first, first,
-                                                min(per_process, nodes - first), seeds, key_file,
-                                                log))
+            self.processes.append(
+                HollowProcess(
+                    program,
+                    first_port + first,
+                    first,
+                    min(per_process, nodes - first),
+                    seeds,
+                    key_file,
+                    log,
+                )
+            )
 
     def command(self, line):
         """Sends the line to all processes at once and returns their answers."""
--- a/bench/scale/process_usage.py
+++ b/bench/scale/process_usage.py
@@ -29,9 +29,11 @@
 def memory(pid):
     """Resident kilobytes and number of threads."""
     status = _status(pid)
-    return {"rss_kb": int(status["VmRSS"].split()[0]),
-            "anonymous_kb": int(status.get("RssAnon", "0 kB").split()[0]),
-            "threads": int(status["Threads"])}
+    return {
+        "rss_kb": int(status["VmRSS"].split()[0]),
+        "anonymous_kb": int(status.get("RssAnon", "0 kB").split()[0]),
+        "threads": int(status["Threads"]),
+    }
 
 
 def files(pid):
--- a/tests/compatibility/public_names_test.py
+++ b/tests/compatibility/public_names_test.py
@@ -14,7 +14,17 @@
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
 NAMES = pathlib.Path(__file__).with_name("public_names.txt")
-FOLDERS = ("settings", "ctl", "operators", "serving", "gateway", "process", "engines", "data", "control")
+FOLDERS = (
+    "settings",
+    "ctl",
+    "operators",
+    "serving",
+    "gateway",
+    "process",
+    "engines",
+    "data",
+    "control",
+)
 COUNTER = re.compile(r'counters?(?:\(\))?(?:\.|->)(?:add|set)\(\s*"[^"]*"')
 LOG = re.compile(r"logStateChange\([^;]*;")
 COMMENT = re.compile(r"//[^\n]*")
@@ -40,14 +50,20 @@
     folders = [ROOT / "src" / name for name in FOLDERS]
     texts = {text for path in sources(folders) for text in literals(path)}
     # Counters may be renamed; CHANGELOG.md lists them.
-    return {text for text in texts if PUBLIC.fullmatch(text) and not text.endswith(("_total", "_seconds"))}
+    return {
+        text
+        for text in texts
+        if PUBLIC.fullmatch(text) and not text.endswith(("_total", "_seconds"))
+    }
 
 
 def main():
     if "--write" in sys.argv:
         NAMES.write_text("\n".join(sorted(public_names())) + "\n", encoding="utf-8")
         return 0
-    present = {text for path in sources([ROOT / "src", ROOT / "platform"]) for text in literals(path)}
+    present = {
+        text for path in sources([ROOT / "src", ROOT / "platform"]) for text in literals(path)
+    }
     missing = sorted(set(NAMES.read_text(encoding="utf-8").split()) - present)
     for name in missing:
         print(f"no longer in the code: {name}")
--- a/tests/fleet/shedctl_test.py
+++ b/tests/fleet/shedctl_test.py
@@ -66,8 +66,10 @@
     def ctl(self, *words, expect=0):
         """Runs shedctl with --json and returns what it printed, parsed."""
         done = self.fleet.ctl(*words, "--json")
-        require(done.returncode == expect,
-                f"{' '.join(words)}: exit code {done.returncode}, {done.stdout} {done.stderr}")
+        require(
+            done.returncode == expect,
+            f"{' '.join(words)}: exit code {done.returncode}, {done.stdout} {done.stderr}",
+        )
         return json.loads(done.stdout)
 
     def file(self, name, value):
@@ -80,8 +82,13 @@
         return self.fleet.wait_until(condition, what, timeout)
 
     def init(self):
-        words = ("init", "--acceptors", ",".join(node.internal for node in self.fleet.controls),
-                 "--stores", ",".join(node.internal for node in self.fleet.stores))
+        words = (
+            "init",
+            "--acceptors",
+            ",".join(node.internal for node in self.fleet.controls),
+            "--stores",
+            ",".join(node.internal for node in self.fleet.stores),
+        )
 
         def formed():
             return self.fleet.ctl(*words).returncode == 0
@@ -91,10 +98,16 @@
         require(len(members["acceptors"]) == 6 and len(members["stores"]) == 3, f"{members}")
 
     def settings(self):
-        tree = {"fleet": {"per_s": 5, "burst": 4},
-                "tenants": {"acme": {"per_s": 50, "burst": 40,
-                                     "keys": [{"digest": key_digest(KEY)},
-                                              {"digest": key_digest(SECOND_KEY)}]}}}
+        tree = {
+            "fleet": {"per_s": 5, "burst": 4},
+            "tenants": {
+                "acme": {
+                    "per_s": 50,
+                    "burst": 40,
+                    "keys": [{"digest": key_digest(KEY)}, {"digest": key_digest(SECOND_KEY)}],
+                }
+            },
+        }
         path = self.file("tree.json", tree)
         version = self.ctl("settings", "set", path, "--base-version", "0")["version"]
         conflict = self.ctl("settings", "set", path, "--base-version", "0", expect=3)
@@ -125,8 +138,10 @@
     def status(self):
         nodes = self.ctl("status")["nodes"]
         require(len(nodes) == 8, f"{len(nodes)} nodes")
-        self.poll(lambda: not any(node["behind_in"] for node in self.ctl("status")["nodes"]),
-                  "no node is behind")
+        self.poll(
+            lambda: not any(node["behind_in"] for node in self.ctl("status")["nodes"]),
+            "no node is behind",
+        )
         stores = self.ctl("stores", "repair")["stores"]
         require(all(store["member"] for store in stores), f"{stores}")
 
@@ -136,8 +151,10 @@
         self.ctl("engines", "drain", "engine-0")
         require(self.ctl("engines", "drain", "engine-0")["repeated"], "a drain may be repeated")
         for node in self.fleet.fronts:
-            self.poll(lambda node=node: self.fleet.status(node)["engines"]["draining"] == 1,
-                      "the drained engine is known at the front")
+            self.poll(
+                lambda node=node: self.fleet.status(node)["engines"]["draining"] == 1,
+                "the drained engine is known at the front",
+            )
         engines = {self.engine_of(front)[0] for _ in range(10)}
         require(engines == {"engine-1"}, f"calls went to {engines}")
         self.ctl("engines", "undrain", "engine-0")
@@ -156,19 +173,31 @@
     def slots(self):
         with concurrent.futures.ThreadPoolExecutor(1) as pool:
             started = []
-            stream = pool.submit(stream_chat, self.fleet.fronts[1].callers, KEY, "a long answer",
-                                 max_tokens=150, on_event=lambda: started.append(True))
+            stream = pool.submit(
+                stream_chat,
+                self.fleet.fronts[1].callers,
+                KEY,
+                "a long answer",
+                max_tokens=150,
+                on_event=lambda: started.append(True),
+            )
             self.poll(lambda: started, "the stream has begun")
-            pools = {entry["key"]: entry for entry in self.ctl("slots")["pools"]
-                     if entry["limiter"] == "tenant"}
+            pools = {
+                entry["key"]: entry
+                for entry in self.ctl("slots")["pools"]
+                if entry["limiter"] == "tenant"
+            }
             require(pools["acme"]["live"] >= 1 and pools["acme"]["size"] >= 1, f"{pools}")
             holders = {slot["holder"] for slot in pools["acme"]["slots"]}
             require(self.fleet.fronts[1].internal in holders, f"holders {holders}")
             require(stream.result().whole, "the stream broke")
 
     def batches(self):
-        body = {"client_key": "smoke", "repeatable": False,
-                "items": [chat_body(f"item {i}") for i in range(BATCH_ITEMS)]}
+        body = {
+            "client_key": "smoke",
+            "repeatable": False,
+            "items": [chat_body(f"item {i}") for i in range(BATCH_ITEMS)],
+        }
         reply = call(self.fleet.fronts[0].callers, "POST", "/v1/batches", body, KEY)
         # 200 if the front itself had to send the submission to the stores again.
         require(reply.status in (200, 201), f"{reply.status} {reply.body}")
@@ -191,21 +220,31 @@
         digest = key_digest(SECOND_KEY)
 
         def status(node):
-            return call(node.callers, "POST", "/v1/chat/completions", chat_body("hello"),
-                        SECOND_KEY).status
+            return call(
+                node.callers, "POST", "/v1/chat/completions", chat_body("hello"), SECOND_KEY
+            ).status
 
         require(status(self.fleet.fronts[0]) == 200, "the key is good at first")
         self.ctl("keys", "withdraw", "acme", digest)
         begin = time.monotonic()
         for node in self.fleet.fronts:
-            self.poll(lambda node=node: status(node) == 401, "the key is refused",
-                      WITHDRAWAL_LIMIT_S)
+            self.poll(
+                lambda node=node: status(node) == 401, "the key is refused", WITHDRAWAL_LIMIT_S
+            )
         elapsed = time.monotonic() - begin
         require(elapsed < WITHDRAWAL_LIMIT_S, f"refused after {elapsed:.1f} s only")
 
     def run(self):
-        for step in (self.init, self.settings, self.engines, self.status, self.explain_and_drain,
-                     self.slots, self.batches, self.withdraw):
+        for step in (
+            self.init,
+            self.settings,
+            self.engines,
+            self.status,
+            self.explain_and_drain,
+            self.slots,
+            self.batches,
+            self.withdraw,
+        ):
             begin = time.monotonic()
             step()
             print(f"{step.__name__}: ok, {time.monotonic() - begin:.1f} s", flush=True)
--- a/tools/lib/fleet.py
+++ b/tools/lib/fleet.py
@@ -42,8 +42,11 @@
     def start(self):
         log = open(self.log_path, "ab")
         self.process = subprocess.Popen(
-            self.command, stdout=log, stderr=log, stdin=subprocess.DEVNULL,
-            start_new_session=self.outlives_starter
+            self.command,
+            stdout=log,
+            stderr=log,
+            stdin=subprocess.DEVNULL,
+            start_new_session=self.outlives_starter,
         )
         log.close()
 
@@ -84,14 +87,29 @@
             with open(self.log_path, "ab") as log:
                 subprocess.run(
                     ["gdb", "-batch", "-p", str(self.process.pid), "-ex", "thread apply all bt 16"],
-                    stdout=log, stderr=subprocess.DEVNULL, stdin=subprocess.DEVNULL, check=False)
+                    stdout=log,
+                    stderr=subprocess.DEVNULL,
+                    stdin=subprocess.DEVNULL,
+                    check=False,
+                )
 
 
 class Fleet:
     """A fleet's folder, settings files and processes."""
 
-    def __init__(self, build, folder, stores=3, registers=3, fronts=11, engines=18,
-                 base_port=17000, zones=3, model="m", engine_flags=()):
+    def __init__(
+        self,
+        build,
+        folder,
+        stores=3,
+        registers=3,
+        fronts=11,
+        engines=18,
+        base_port=17000,
+        zones=3,
+        model="m",
+        engine_flags=(),
+    ):
         self.build = os.path.abspath(build)
         self.folder = os.path.abspath(folder)
         self.base_port = base_port
@@ -154,29 +172,43 @@
 
     def _control(self, i, role, seeds):
         name = f"{role}-{i}"
-        return self._node(name, "src/control/shedshed-control", {
-            "role": role,
-            "zone": f"zone-{i % self.zones}",
-            "internal_address": f"{HOST}:{self.base_port + i}",
-            "operators_address": f"{HOST}:{self.base_port + 100 + i}",
-            "seeds": seeds,
-            "data_folder": os.path.join(self.folder, name),
-        })
+        return self._node(
+            name,
+            "src/control/shedshed-control",
+            {
+                "role": role,
+                "zone": f"zone-{i % self.zones}",
+                "internal_address": f"{HOST}:{self.base_port + i}",
+                "operators_address": f"{HOST}:{self.base_port + 100 + i}",
+                "seeds": seeds,
+                "data_folder": os.path.join(self.folder, name),
+            },
+        )
 
     def _front(self, i, seeds):
-        return self._node(f"front-{i}", "src/data/shedshed-data", {
-            "zone": f"zone-{i % self.zones}",
-            "internal_address": f"{HOST}:{self.base_port + 200 + i}",
-            "operators_address": f"{HOST}:{self.base_port + 300 + i}",
-            "callers_address": f"{HOST}:{self.base_port + 400 + i}",
-            "seeds": seeds,
-        })
+        return self._node(
+            f"front-{i}",
+            "src/data/shedshed-data",
+            {
+                "zone": f"zone-{i % self.zones}",
+                "internal_address": f"{HOST}:{self.base_port + 200 + i}",
+                "operators_address": f"{HOST}:{self.base_port + 300 + i}",
+                "callers_address": f"{HOST}:{self.base_port + 400 + i}",
+                "seeds": seeds,
+            },
+        )
 
     def _engine(self, i, flags):
         port = self.base_port + 600 + i
         name = f"engine-{i}"
-        command = [os.path.join(self.build, "standins/shedshed-engine"), "--port", str(port),
-                   "--model", self.model, *flags]
+        command = [
+            os.path.join(self.build, "standins/shedshed-engine"),
+            "--port",
+            str(port),
+            "--model",
+            self.model,
+            *flags,
+        ]
         node = Node(name, command, os.path.join(self.folder, name + ".log"))
         node.callers = f"{HOST}:{port}"
         node.role = "engine"
@@ -197,11 +229,22 @@
         cannot do.
         """
         nodes = [node] if node else [self.fronts[0], self.controls[-1]]
-        command = [os.path.join(self.build, "src/ctl/shedctl"),
-                   "--node", ",".join(known.operators for known in nodes),
-                   "--key-file", os.path.join(self.folder, "operator.key"), *words]
-        return subprocess.run(command, capture_output=True, text=True, timeout=timeout,
-                              stdin=subprocess.DEVNULL, check=False)
+        command = [
+            os.path.join(self.build, "src/ctl/shedctl"),
+            "--node",
+            ",".join(known.operators for known in nodes),
+            "--key-file",
+            os.path.join(self.folder, "operator.key"),
+            *words,
+        ]
+        return subprocess.run(
+            command,
+            capture_output=True,
+            text=True,
+            timeout=timeout,
+            stdin=subprocess.DEVNULL,
+            check=False,
+        )
 
     def start(self):
         for node in self.engines + self.controls + self.fronts:
@@ -242,18 +285,24 @@
 
     def put(self, register, value, base_version, order_id=None, node=None):
         """Puts a register's whole value and returns the new version."""
-        headers = {"If-Match": f'"{base_version}"',
-                   "Order-Id": order_id or secrets.token_hex(8)}
+        headers = {"If-Match": f'"{base_version}"', "Order-Id": order_id or secrets.token_hex(8)}
         reply = self.operator(node or self.controls[0], "PUT", "/v1/" + register, value, headers)
         if reply.status != 200:
             raise FleetError(f"put {register}: {reply.status} {reply.body}")
         return reply.json()["version"]
 
     def engine_listing(self):
-        return {"engines": [
-            {"id": engine.name, "address": engine.callers, "model": self.model, "max_running": 8}
-            for engine in self.engines
-        ]}
+        return {
+            "engines": [
+                {
+                    "id": engine.name,
+                    "address": engine.callers,
+                    "model": self.model,
+                    "max_running": 8,
+                }
+                for engine in self.engines
+            ]
+        }
 
     def status(self, node):
         return self.operator(node, "GET", "/v1/status").json()
@@ -263,12 +312,14 @@
         waiting = list(self.fronts)
 
         def all_have_it():
-            waiting[:] = [node for node in waiting
-                          if self.status(node)["versions"].get(register, 0) < version]
+            waiting[:] = [
+                node for node in waiting if self.status(node)["versions"].get(register, 0) < version
+            ]
             return not waiting
 
-        return self.wait_until(all_have_it, f"{register} version {version} in force", timeout,
-                               interval=0.01)
+        return self.wait_until(
+            all_have_it, f"{register} version {version} in force", timeout, interval=0.01
+        )
 
     def wait_ready(self, engines=None, timeout=START_TIMEOUT_S):
         """Waits until every front is ready and sees the engines as ready."""
--- a/tools/lib/http_calls.py
+++ b/tools/lib/http_calls.py
@@ -63,9 +63,7 @@
         self.error = None
 
     def text(self):
-        return "".join(
-            event["choices"][0]["delta"].get("content", "") for event in self.events
-        )
+        return "".join(event["choices"][0]["delta"].get("content", "") for event in self.events)
 
 
 def stream_chat(address, key, prompt, model="m", max_tokens=16, timeout=60, on_event=None):
--- a/tools/lib/kept_connection.py
+++ b/tools/lib/kept_connection.py
@@ -44,9 +44,12 @@
     def chat(self, prompt, tokens, stream, repeatable=False):
         """Makes one call. Raises nothing: a broken connection is an answer that is not whole."""
         body = json.dumps(chat_body(prompt, "m", stream, tokens)).encode()
-        head = (f"POST /v1/chat/completions HTTP/1.1\r\nHost: soak\r\nContent-Length: {len(body)}"
-                f"\r\nContent-Type: application/json\r\nAuthorization: Bearer {self._key}\r\n"
-                + ("X-Repeatable: true\r\n" if repeatable else "") + "\r\n")
+        head = (
+            f"POST /v1/chat/completions HTTP/1.1\r\nHost: soak\r\nContent-Length: {len(body)}"
+            f"\r\nContent-Type: application/json\r\nAuthorization: Bearer {self._key}\r\n"
+            + ("X-Repeatable: true\r\n" if repeatable else "")
+            + "\r\n"
+        )
         answer = Answer()
         try:
             self._socket.sendall(head.encode() + body)
--- a/tools/lib/kept_fleet.py
+++ b/tools/lib/kept_fleet.py
@@ -69,8 +69,11 @@
 
 def save(fleet, options):
     """Notes the options and the running processes."""
-    processes = {node.name: {"pid": node.process.pid, "started": start_time(node.process.pid)}
-                 for node in fleet.nodes() + fleet.engines if node.alive()}
+    processes = {
+        node.name: {"pid": node.process.pid, "started": start_time(node.process.pid)}
+        for node in fleet.nodes() + fleet.engines
+        if node.alive()
+    }
     state = {"build": fleet.build, "options": options, "processes": processes}
     path = os.path.join(fleet.folder, STATE_FILE)
     with open(path + ".new", "w", encoding="utf-8") as file:
