--- a/bench/overload/batch_flood.py
+++ b/bench/overload/batch_flood.py
@@ -133,7 +133,10 @@
     if samples:
         before = [s for s in samples if BATCHES_AT_S + 4 <= s["at_s"] < JUMP_FROM_S]
         jump = [s for s in samples if JUMP_FROM_S + 3 <= s["at_s"] < JUMP_TO_S]
-        mean = lambda rows, key: round(sum(r[key] for r in rows) / len(rows), 1) if rows else None
+
+        def mean(rows, key):
+            return round(sum(row[key] for row in rows) / len(rows), 1) if rows else None
+
         last = [s for s in samples if s["at_s"] <= DURATION_S][-1]
         summary["batches"] = {
             "items": BATCHES * ITEMS,
--- a/bench/overload/bench_fleet.py
+++ b/bench/overload/bench_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet for experiments: starts it, runs stand-in callers against it, reads its counters."""
+"""A small fleet for experiments: starts it, runs stand-in clients on it, reads its counters."""
 
 import contextlib
 import json
--- a/bench/overload/routing.py
+++ b/bench/overload/routing.py
@@ -4,7 +4,8 @@
 Callers ask about many long shared texts, more than one engine's prefix cache holds. Baselines:
 the callers call the engines directly, at random or by rendezvous of the shared text, without any
 front in between; so the fronts' own cost counts against the routing that is judged. The fronts run
-with the usual bound of the load and with a loose one, which spills over only when an engine is full.
+with the usual bound of the load and with a loose one, which spills over only when an engine is
+full.
 """
 
 from bench_fleet import ENGINE_ROOM, caller_class, run_load, running_fleet, settings_tree
