--- a/sim/scenarios/replace_stores.cpp
+++ b/sim/scenarios/replace_stores.cpp
@@ -38,8 +38,8 @@
     };
     const bool result = stage.world.runUntil(repaired, kReplacementLimit);
     const RepairProgress progress = stage.fleet.control(newId)->store->partitions.repairProgress();
-    stage.world.trace("newcomer holds " + std::to_string(progress.held) + " and counts in " +
-                      std::to_string(progress.settled) + " of " + std::to_string(progress.total) +
+    stage.world.trace("newcomer holds " + std::to_string(progress.caughtUp) + " and counts in " +
+                      std::to_string(progress.countedAsReplica) + " of " + std::to_string(progress.total) +
                       " partitions");
     return result;
   }
--- a/src/assembly/node_options.h
+++ b/src/assembly/node_options.h
@@ -5,7 +5,7 @@
 #include "batch/batch_safeguards.h"
 #include "membership/directory.h"
 #include "membership/directory_core.h"
-#include "partition/partition_types.h"
+#include "partition/partition_options.h"
 #include "register/register_options.h"
 #include "slots/lending_core.h"
 #include "slots/pool_rates.h"
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -29,7 +29,7 @@
 
 StoreProgress RegisterStoreAdmission::progress() const {
   const RepairProgress repair = partitions_.repairProgress();
-  return StoreProgress{repair.isMember, repair.held, repair.settled, repair.total};
+  return StoreProgress{repair.isMember, repair.caughtUp, repair.countedAsReplica, repair.total};
 }
 
 ControlProcess::ControlProcess(const ProcessSettings& settings, const ProcessKeys& keys,
@@ -110,7 +110,7 @@
 bool ControlProcess::handedOver() {
   bool done = true;
   process_.runtime().runAndWait(
-      [this, &done] { done = !cores_.store || cores_.store->partitions.handedOver(); });
+      [this, &done] { done = !cores_.store || cores_.store->partitions.ownershipTransferred(); });
   return done;
 }
 
--- a/src/partition/durable_writer.cpp
+++ b/src/partition/durable_writer.cpp
@@ -1,7 +1,5 @@
 #include "partition/durable_writer.h"
 
-#include "partition/partition_types.h"
-
 #include <algorithm>
 #include <utility>
 
@@ -23,12 +21,12 @@
   }
   if (!status) {
     context_.counters().add("partition_persist_failures_total");
-    if (!refused_) {
-      refused_ = true;
+    if (!rejected_) {
+      rejected_ = true;
       context_.logEvent(
           TraceEvent("PersistRefused", Severity::Warning).field("error", status.error()));
     }
-    context_.startTimer(retryTimer_, kPersistRetry);
+    context_.startTimer(retryTimer_, kRetryInterval);
     return;
   }
   found->synced = true;
@@ -53,8 +51,8 @@
     requests_.pop_front();
     done();
   }
-  if (refused_ && requests_.empty()) {
-    refused_ = false;
+  if (rejected_ && requests_.empty()) {
+    rejected_ = false;
     context_.logEvent(TraceEvent("PersistRecovered"));
   }
 }
--- a/src/partition/durable_writer.h
+++ b/src/partition/durable_writer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Ordered persist requests that are repeated until the disk takes them.
+/// Ordered persist requests that are retried until the disk accepts them.
 #pragma once
 
 #include "kernel/core.h"
@@ -10,11 +10,16 @@
 
 namespace shedshed {
 
-/// Passes persist requests on and reports them strictly in order. When the disk refuses one, that
-/// one and all later ones are written again in their order after `kPersistRetry`, so an older value
-/// never overwrites a newer one and nothing is acknowledged past a hole. Core thread only.
+/// Forwards persist requests to the disk and completes them strictly in order. When the disk
+/// rejects one, that one and all later ones are written again in their order after
+/// `kRetryInterval`: an older value never overwrites a newer one, and no request completes while an
+/// earlier one is not on disk. A crash in between leaves a prefix of the requests, and none of the
+/// others was completed. Core thread only.
 class DurableWriter {
  public:
+  /// Time until requests that the disk rejected are written again.
+  static constexpr Duration kRetryInterval = std::chrono::seconds(1);
+
   /// Uses timer @p retryTimer of @p context.
   DurableWriter(CoreContext& context, TimerId retryTimer);
 
@@ -41,7 +46,7 @@
   TimerId retryTimer_;
   PersistId nextId_ = 1;
   std::deque<Request> requests_;
-  bool refused_ = false;  ///< The disk refused a request and has not taken it since.
+  bool rejected_ = false;  ///< The disk rejected a request that is not synced yet.
 };
 
 }  // namespace shedshed
--- /dev/null
+++ b/src/partition/known_owner.h
@@ -0,0 +1,53 @@
+/// @file
+/// What a replica knows of its partition's owner on another node.
+#pragma once
+
+#include "kernel/node_id.h"
+#include "kernel/time.h"
+
+#include <cstdint>
+
+namespace shedshed {
+
+/// The last other node whose messages as the owner of one partition were accepted here. A hint for
+/// redirects and for the decision to take over; safety rests on epochs alone. Core thread only.
+class KnownOwner {
+ public:
+  /// An owner whose last message is younger than this counts as active.
+  static constexpr Duration kActiveTimeout = std::chrono::seconds(1);
+
+  /// Starts the time-outs at @p now, with no owner known.
+  void start(Time now) { lastMessageAt_ = now; }
+
+  /// A message of @p owner at @p epoch was accepted.
+  void messageAccepted(const NodeId& owner, std::uint64_t epoch, Time now);
+
+  /// The message was a heartbeat; @p sequence is the owner's last write.
+  void heartbeatAccepted(std::uint64_t sequence);
+
+  /// Empty if none was heard since the start.
+  const NodeId& node() const { return node_; }
+
+  /// 0 if none was heard since the start.
+  std::uint64_t epoch() const { return epoch_; }
+
+  Time lastMessageAt() const { return lastMessageAt_; }
+
+  /// True if an owner was heard within `kActiveTimeout`.
+  bool isActive(Time now) const { return epoch_ != 0 && now - lastMessageAt_ < kActiveTimeout; }
+
+  /// True if the last message, or the start, is within `PartitionOptions::kHeartbeatTimeout`.
+  bool isWithinHeartbeatTimeout(Time now) const;
+
+  /// The owner's last write one heartbeat ago: a replica that has it keeps up with the owner.
+  std::uint64_t previousSequence() const { return previousSequence_; }
+
+ private:
+  NodeId node_;
+  std::uint64_t epoch_ = 0;
+  std::uint64_t previousSequence_ = 0;
+  std::uint64_t lastSequence_ = 0;  ///< The owner's last write in the last heartbeat.
+  Time lastMessageAt_;
+};
+
+}  // namespace shedshed
--- /dev/null
+++ b/src/partition/local_partition.cpp
@@ -0,0 +1,352 @@
+#include "partition/local_partition.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace shedshed {
+
+LocalPartition::LocalPartition(CoreContext& context, const StoreSet& stores, DurableWriter& writer,
+                               const PartitionOptions& options, const PartitionId& partition)
+    : context_(context), stores_(stores), options_(options),
+      replica_(context, writer, options, partition), policy_(stores, context.self(), partition),
+      monitor_(context, partition) {}
+
+void LocalPartition::load() {
+  replica_.load();
+  knownOwner_.start(context_.now());
+}
+
+bool LocalPartition::serves() const {
+  return owner_ && announced_ && !owner_->lost() && !replica_.table().damaged();
+}
+
+NodeId LocalPartition::ownerHint() const {
+  const bool usable = knownOwner_.isWithinHeartbeatTimeout(context_.now()) &&
+                      stores_.isReachable(knownOwner_.node());
+  return usable ? knownOwner_.node() : NodeId();
+}
+
+bool LocalPartition::takesNewData() const {
+  return !context_.records().space().isScarce() && !owner_->replicaIsScarce();
+}
+
+bool LocalPartition::isCaughtUp() const {
+  if (serves()) {
+    return true;
+  }
+  const ReplicaPosition position = replica_.position();
+  return knownOwner_.epoch() != 0 && knownOwner_.isWithinHeartbeatTimeout(context_.now()) &&
+         position.installedEpoch == knownOwner_.epoch() &&
+         position.sequence >= knownOwner_.previousSequence();
+}
+
+bool LocalPartition::isCountedAsReplica() const {
+  const ReplicaState& state = replica_.state();
+  const bool counted = std::any_of(
+      state.replicas.begin(), state.replicas.end(), [this](const MemberList::Member& member) {
+        return member.id == context_.self() && member.storeId == options_.storeId;
+      });
+  return counted && state.setEpoch == state.installedEpoch;
+}
+
+void LocalPartition::write(std::vector<TableEntry> entries, std::function<void(Status)> done) {
+  owner_->write(std::move(entries), std::move(done));
+  scheduleReview();
+}
+
+void LocalPartition::confirmOwnership(std::uint64_t round, std::function<void(Status)> done) {
+  owner_->confirm(round, std::move(done));
+}
+
+std::optional<HeartbeatItem> LocalPartition::heartbeat() {
+  if (!owner_) {
+    return std::nullopt;
+  }
+  const HeartbeatItem item = owner_->heartbeat();
+  replica_.collectTombstones(item.epoch, item.stable);
+  return item;
+}
+
+std::vector<NodeId> LocalPartition::promiseTargets() {
+  return takeover_ ? takeover_->promiseTargets() : std::vector<NodeId>();
+}
+
+void LocalPartition::promise(const NodeId& from, std::uint64_t epoch,
+                             std::function<void(PromiseAnswer)> done) {
+  const bool selfIsActive = owner_ && announced_ && !owner_->lost();
+  if (policy_.displacesActiveOwner(from, knownOwner_, selfIsActive, context_.now())) {
+    done(replica_.decline(epoch));
+  } else {
+    replica_.promise(epoch, from, std::move(done));
+  }
+  scheduleReview();
+}
+
+void LocalPartition::receive(const NodeId& from, const FetchRequest& request) {
+  // Rows are read for a merge, which must see what this replica had when it promised. Without the
+  // promise a lower epoch could still add writes that the merge would miss.
+  const ReplicaState& state = replica_.state();
+  const bool promised = state.promisedEpoch == request.epoch && state.promisedTo == from;
+  if (!promised && options_.safeguards.fencing) {
+    return;
+  }
+  FetchReply reply;
+  reply.storeId = options_.storeId;
+  reply.partition = request.partition;
+  reply.epoch = request.epoch;
+  reply.page = replica_.table().page(request.fromStart, request.afterKey);
+  context_.send(from, reply);
+}
+
+void LocalPartition::receive(const NodeId& from, const InstallRequest& request) {
+  InstallReply reply;
+  reply.storeId = options_.storeId;
+  reply.partition = request.partition;
+  reply.epoch = request.epoch;
+  reply.transfer = request.transfer;
+  if (!replica_.accepts(request.epoch, from)) {
+    reply.promisedEpoch = replica_.state().promisedEpoch;
+    context_.send(from, reply);
+    return;
+  }
+  ownerMessageAccepted(from, request.epoch);
+  scheduleReview();
+  replica_.install(request, std::move(reply), [this, from](InstallReply complete) {
+    // Read after the sync: if a higher epoch was promised meanwhile, the owner must not count this
+    // replica.
+    complete.promisedEpoch = replica_.state().promisedEpoch;
+    context_.send(from, complete);
+  });
+}
+
+void LocalPartition::receive(const NodeId& from, const ReplicateRequest& request) {
+  const auto reply = [this, from, epoch = request.epoch](bool gap) {
+    context_.send(from, ReplicateReply{options_.storeId, epoch, gap, replica_.position()});
+  };
+  if (!replica_.accepts(request.epoch, from)) {
+    reply(false);
+    return;
+  }
+  ownerMessageAccepted(from, request.epoch);
+  scheduleReview();
+  const bool gap = request.firstSequence > replica_.state().sequence + 1;
+  replica_.replicate(request, [reply, gap] { reply(gap); });
+}
+
+ReplicaPosition LocalPartition::receive(const NodeId& from, const HeartbeatItem& heartbeat) {
+  if (replica_.accepts(heartbeat.epoch, from)) {
+    ownerMessageAccepted(from, heartbeat.epoch);
+    knownOwner_.heartbeatAccepted(heartbeat.sequence);
+    replica_.collectTombstones(heartbeat.epoch, heartbeat.stable);
+    scheduleReview();
+  }
+  return replica_.position();
+}
+
+void LocalPartition::receive(const NodeId& from, const std::string& storeId,
+                             const PromiseAnswer& answer) {
+  highestEpoch_ = std::max(highestEpoch_, answer.promisedEpoch);
+  if (takeover_) {
+    takeover_->receive(from, storeId, answer);
+  } else if (owner_) {
+    owner_->receive(from, storeId, answer);
+  }
+  scheduleReview();
+}
+
+void LocalPartition::receive(const NodeId& from, const FetchReply& reply) {
+  if (takeover_) {
+    takeover_->receive(from, reply);
+    scheduleReview();
+  }
+}
+
+void LocalPartition::receive(const NodeId& from, const InstallReply& reply) {
+  if (owner_) {
+    owner_->receive(from, reply);
+    scheduleReview();
+  }
+}
+
+void LocalPartition::receive(const NodeId& from, const ReplicateReply& reply) {
+  if (owner_) {
+    owner_->receive(from, reply);
+    scheduleReview();
+  }
+}
+
+void LocalPartition::receive(const NodeId& from, const HeartbeatReply& reply,
+                             const ReplicaPosition& position) {
+  if (owner_) {
+    owner_->receive(from, reply, position);
+    scheduleReview();
+  }
+}
+
+void LocalPartition::ownerMessageAccepted(const NodeId& from, std::uint64_t epoch) {
+  highestEpoch_ = std::max(highestEpoch_, epoch);
+  knownOwner_.messageAccepted(from, epoch, context_.now());
+}
+
+void LocalPartition::tick(bool mayOwn) {
+  if (owner_) {
+    owner_->tick();
+  }
+  if (takeover_) {
+    takeover_->tick();
+  }
+  review();
+  if (!owner_ && replica_.table().damaged()) {
+    replica_.dropDamaged();
+  }
+  considerTakeover(mayOwn);
+  monitorTakeover();
+}
+
+void LocalPartition::scheduleReview() {
+  if (reviewScheduled_) {
+    return;
+  }
+  reviewScheduled_ = true;
+  context_.defer([this] {
+    reviewScheduled_ = false;
+    review();
+  });
+}
+
+void LocalPartition::review() {
+  reviewTakeover();
+  reviewOwner();
+}
+
+void LocalPartition::reviewTakeover() {
+  if (!takeover_) {
+    return;
+  }
+  if (takeover_->state() == PartitionTakeover::State::Done) {
+    beginOwnership();
+    return;
+  }
+  if (takeover_->state() == PartitionTakeover::State::Refused) {
+    highestEpoch_ = std::max(highestEpoch_, takeover_->refusedBy());
+    abandonTakeover();
+    std::uniform_int_distribution<std::int64_t> backoff(0, toMilliseconds(kMaxTakeoverBackoff));
+    // A heartbeat of the owner that refused arrives within the fixed part.
+    retryTakeoverAt_ = context_.now() + PartitionOptions::kHeartbeatInterval +
+                       PartitionOptions::kTickInterval +
+                       std::chrono::milliseconds(backoff(context_.random()));
+  }
+}
+
+void LocalPartition::reviewOwner() {
+  if (!owner_) {
+    return;
+  }
+  if (owner_->lost() || replica_.table().damaged()) {
+    loseOwnership();
+    return;
+  }
+  owner_->complete();
+  if (owner_ && owner_->serving() && !announced_) {
+    announced_ = true;
+    context_.counters().add("partition_takeovers_total");
+    if (listener_ != nullptr) {
+      listener_->ownershipGained(id(), owner_->epoch(), owner_->recovery());
+    }
+  }
+}
+
+void LocalPartition::considerTakeover(bool mayOwn) {
+  if (!mayOwn) {
+    abandonTakeover();
+    if (owner_) {
+      loseOwnership();
+    }
+    return;
+  }
+  if (owner_) {
+    if (replicasChanged()) {
+      loseOwnership();
+    }
+    return;
+  }
+  const Time now = context_.now();
+  const bool wanted = policy_.shouldTakeOver(knownOwner_, replica_.position().installedEpoch, now);
+  const bool promising = takeover_ && takeover_->state() == PartitionTakeover::State::Promising;
+  if (promising && !wanted) {
+    abandonTakeover();
+  }
+  if (!takeover_ && wanted && now >= retryTakeoverAt_) {
+    beginTakeover();
+  }
+}
+
+void LocalPartition::beginTakeover() {
+  // Above every epoch that this node has promised or heard of, so replicas can grant it. The
+  // promise to itself is synced before the epoch leaves this node: a crash before that leaves the
+  // epoch unused, a crash after it makes the next attempt choose a higher one.
+  highestEpoch_ = std::max(highestEpoch_, replica_.state().promisedEpoch) + 1;
+  takeover_ = std::make_unique<PartitionTakeover>(context_, stores_, replica_, options_,
+                                                  highestEpoch_, [this] { scheduleReview(); });
+  takeover_->begin();
+}
+
+void LocalPartition::abandonTakeover() {
+  if (takeover_) {
+    takeover_.reset();
+    replica_.abandonOwnPromise();
+  }
+}
+
+void LocalPartition::beginOwnership() {
+  const TakeoverOutcome outcome = takeover_->outcome();
+  takeover_.reset();
+  announced_ = false;
+  if (outcome.recovery == RecoveryKind::MemoryLost) {
+    context_.counters().add("partition_memory_lost_total");
+  }
+  owner_ = std::make_unique<PartitionOwner>(context_, stores_, replica_, options_, outcome,
+                                            [this] { scheduleReview(); });
+  owner_->begin();
+}
+
+void LocalPartition::loseOwnership() {
+  highestEpoch_ = std::max(highestEpoch_, owner_->refusedBy());
+  // Detached before any callback runs: a callback that writes again finds no owner.
+  const std::unique_ptr<PartitionOwner> owner = std::move(owner_);
+  const bool announced = std::exchange(announced_, false);
+  retryTakeoverAt_ = context_.now() + PartitionOptions::kRetransmitTimeout;
+  if (replica_.table().damaged()) {
+    replica_.dropDamaged();
+  }
+  context_.counters().add("partition_ownership_lost_total");
+  // The writes may still be on a majority, or reach one through the next owner's merge: their fate
+  // is unknown to the callers.
+  for (const std::function<void(Status)>& done : owner->takeOutstanding()) {
+    done(makeError(ErrorCode::NotOwner, "the partition has a newer owner"));
+  }
+  if (announced && listener_ != nullptr) {
+    listener_->ownershipLost(id());
+  }
+}
+
+bool LocalPartition::replicasChanged() const {
+  const auto same = [](const MemberList::Member& left, const MemberList::Member& right) {
+    return left.id == right.id && left.storeId == right.storeId;
+  };
+  const StoreMembers& owned = owner_->members();
+  const StoreMembers present = stores_.replicas(id());
+  return !std::equal(owned.begin(), owned.end(), present.begin(), present.end(), same);
+}
+
+void LocalPartition::monitorTakeover() {
+  const bool trying = takeover_ || (owner_ && !announced_);
+  if (!trying) {
+    monitor_.notTrying(highestEpoch_, announced_);
+    return;
+  }
+  monitor_.trying(highestEpoch_,
+                  [this] { return takeover_ ? takeover_->progress() : owner_->progress(); });
+}
+
+}  // namespace shedshed
--- a/src/partition/partition_core.cpp
+++ b/src/partition/partition_core.cpp
@@ -10,41 +10,40 @@
 constexpr TimerId kTickTimer = 1;
 constexpr TimerId kPersistRetryTimer = 2;
 
-/// Time without any owner after which a store tries to take over although another one, which is
-/// believed to be live, comes before it in the order; once for each such store.
-constexpr Duration kCandidatePatience = std::chrono::seconds(5);
-
-/// Longest time that a hand-back waits for this replica to be brought up to date by the owner.
-constexpr Duration kHandBackLimit = std::chrono::seconds(30);
-
-/// Returns a first heartbeat number that an earlier life of the process has hardly used.
+/// Returns a first heartbeat number that an earlier incarnation of the process has hardly used: a
+/// late reply to that one must not confirm ownership now.
 std::uint64_t randomRound(RandomEngine& random) {
   return random() >> 1;
 }
 
+/// The replies to the promise requests of one message. They are sent together, once the last one
+/// is synced.
+struct PendingPromiseReply {
+  PromiseReply reply;
+  std::size_t missing;
+};
+
 }  // namespace
 
 PartitionCore::PartitionCore(CoreContext& context, const Directory& directory,
                              ConfigurationSource& configuration, PartitionOptions options)
     : context_(context), configuration_(configuration), options_(std::move(options)),
       stores_(directory, configuration, context.self(), options_.storeId),
-      writer_(context, kPersistRetryTimer) {
+      writer_(context, kPersistRetryTimer), metrics_(context) {
   for (const TableKind kind : {TableKind::Slots, TableKind::Batches}) {
     for (std::uint32_t index = 0; index < kPartitionCount; ++index) {
       const PartitionId id{kind, index};
-      places_.try_emplace(id, context_, writer_, options_, id);
+      partitions_.try_emplace(id, context_, stores_, writer_, options_, id);
     }
   }
 }
 
 void PartitionCore::start() {
-  startedAt_ = context_.now();
-  round_ = randomRound(context_.random());
-  for (auto& entry : places_) {
-    entry.second.replica.load();
-    entry.second.heardAt = startedAt_;
+  heartbeatRound_ = randomRound(context_.random());
+  for (auto& entry : partitions_) {
+    entry.second.load();
   }
-  context_.startTimer(kTickTimer, kPartitionTick);
+  context_.startTimer(kTickTimer, PartitionOptions::kTickInterval);
 }
 
 void PartitionCore::receive(const NodeId& from, const Message& message) {
@@ -67,292 +66,280 @@
     return;
   }
   tick();
-  context_.startTimer(kTickTimer, kPartitionTick);
+  context_.startTimer(kTickTimer, PartitionOptions::kTickInterval);
 }
 
 void PartitionCore::persisted(PersistId id, const Status& status) {
   writer_.persisted(id, status);
 }
 
+void PartitionCore::handle(const NodeId& from, const PromiseRequest& request) {
+  const auto pending = std::make_shared<PendingPromiseReply>();
+  pending->reply.storeId = options_.storeId;
+  pending->missing = request.items.size();
+  for (const PromiseItem& item : request.items) {
+    LocalPartition* local = find(item.partition);
+    if (local == nullptr) {
+      --pending->missing;
+      continue;
+    }
+    local->promise(from, item.epoch, [this, from, pending](PromiseAnswer answer) {
+      pending->reply.answers.push_back(std::move(answer));
+      if (--pending->missing == 0) {
+        context_.send(from, pending->reply);
+      }
+    });
+  }
+}
+
+void PartitionCore::handle(const NodeId& from, const PromiseReply& reply) {
+  for (const PromiseAnswer& answer : reply.answers) {
+    if (LocalPartition* local = find(answer.partition)) {
+      local->receive(from, reply.storeId, answer);
+    }
+  }
+}
+
+void PartitionCore::handle(const NodeId& from, const FetchRequest& request) {
+  if (LocalPartition* local = find(request.partition)) {
+    local->receive(from, request);
+  }
+}
+
+void PartitionCore::handle(const NodeId& from, const FetchReply& reply) {
+  if (LocalPartition* local = find(reply.partition)) {
+    local->receive(from, reply);
+  }
+}
+
+void PartitionCore::handle(const NodeId& from, const InstallRequest& request) {
+  if (LocalPartition* local = find(request.partition)) {
+    local->receive(from, request);
+  }
+}
+
+void PartitionCore::handle(const NodeId& from, const InstallReply& reply) {
+  if (LocalPartition* local = find(reply.partition)) {
+    local->receive(from, reply);
+  }
+}
+
+void PartitionCore::handle(const NodeId& from, const ReplicateRequest& request) {
+  if (LocalPartition* local = find(request.partition)) {
+    local->receive(from, request);
+  }
+}
+
+void PartitionCore::handle(const NodeId& from, const ReplicateReply& reply) {
+  if (LocalPartition* local = find(reply.position.partition)) {
+    local->receive(from, reply);
+  }
+}
+
+void PartitionCore::handle(const NodeId& from, const HeartbeatRequest& request) {
+  HeartbeatReply reply;
+  reply.storeId = options_.storeId;
+  reply.round = request.round;
+  reply.isScarce = context_.records().space().isScarce();
+  for (const HeartbeatItem& item : request.items) {
+    if (LocalPartition* local = find(item.partition)) {
+      reply.positions.push_back(local->receive(from, item));
+    }
+  }
+  context_.send(from, reply);
+}
+
+void PartitionCore::handle(const NodeId& from, const HeartbeatReply& reply) {
+  for (const ReplicaPosition& position : reply.positions) {
+    if (LocalPartition* local = find(position.partition)) {
+      local->receive(from, reply, position);
+    }
+  }
+}
+
 void PartitionCore::setListener(TableKind kind, PartitionListener& listener) {
-  listeners_[kind] = &listener;
+  for (auto& entry : partitions_) {
+    if (entry.first.kind == kind) {
+      entry.second.setListener(listener);
+    }
+  }
 }
 
 bool PartitionCore::owns(const PartitionId& partition) const {
-  return served(partition) != nullptr;
+  return findServed(partition) != nullptr;
 }
 
 std::uint64_t PartitionCore::epoch(const PartitionId& partition) const {
-  const Place* place = served(partition);
-  return place == nullptr ? 0 : place->owner->epoch();
+  const LocalPartition* served = findServed(partition);
+  return served == nullptr ? 0 : served->epoch();
 }
 
 NodeId PartitionCore::ownerHint(const PartitionId& partition) const {
   if (owns(partition)) {
     return context_.self();
   }
-  const Place* place = find(partition);
-  const bool recent = place != nullptr && context_.now() - place->heardAt < kOwnershipSilence;
-  return recent && stores_.isReachable(place->heardOwner) ? place->heardOwner : NodeId();
+  const LocalPartition* local = find(partition);
+  return local == nullptr ? NodeId() : local->ownerHint();
 }
 
 bool PartitionCore::takesNewData(const PartitionId& partition) const {
-  const Place* place = served(partition);
-  return place != nullptr && !context_.records().space().isScarce() &&
-         !place->owner->replicaIsScarce();
+  const LocalPartition* served = findServed(partition);
+  return served != nullptr && served->takesNewData();
 }
 
 void PartitionCore::write(const PartitionId& partition, std::vector<TableEntry> entries,
                           std::function<void(Status)> done) {
-  if (!owns(partition)) {
+  LocalPartition* served = findServed(partition);
+  if (served == nullptr) {
     context_.defer([done = std::move(done)] { done(makeError(ErrorCode::NotOwner)); });
     return;
   }
-  find(partition)->owner->write(std::move(entries), std::move(done));
-  scheduleReview(partition);
+  served->write(std::move(entries), std::move(done));
 }
 
 void PartitionCore::confirmOwnership(const PartitionId& partition,
                                      std::function<void(Status)> done) {
-  if (!owns(partition)) {
+  LocalPartition* served = findServed(partition);
+  if (served == nullptr) {
     context_.defer([done = std::move(done)] { done(makeError(ErrorCode::NotOwner)); });
     return;
   }
-  find(partition)->owner->confirm(round_ + 1, std::move(done));
-  if (!confirmationScheduled_) {
-    confirmationScheduled_ = true;
-    context_.defer([this] {
-      confirmationScheduled_ = false;
-      sendHeartbeats(true);
-    });
-  }
+  // A reply to an earlier heartbeat may be older than this call, and a successor may have taken
+  // over in between. Only replies to the next heartbeat prove the ownership after the call.
+  served->confirmOwnership(heartbeatRound_ + 1, std::move(done));
+  scheduleConfirmations();
 }
 
 std::optional<std::string> PartitionCore::get(const PartitionId& partition,
                                               std::string_view key) const {
-  const Place* place = served(partition);
-  return place == nullptr ? std::nullopt : place->replica.table().value(std::string(key));
+  const LocalPartition* served = findServed(partition);
+  return served == nullptr ? std::nullopt : served->table().value(std::string(key));
 }
 
 void PartitionCore::forEach(
     const PartitionId& partition, std::string_view prefix,
     const std::function<bool(std::string_view key, const std::string& value)>& visit) const {
-  const Place* place = served(partition);
-  if (place != nullptr) {
-    place->replica.table().forEach(prefix, visit);
+  const LocalPartition* served = findServed(partition);
+  if (served != nullptr) {
+    served->table().forEach(prefix, visit);
   }
 }
 
-PartitionCore::Place* PartitionCore::find(const PartitionId& partition) {
-  const auto found = places_.find(partition);
-  return found == places_.end() ? nullptr : &found->second;
+std::size_t PartitionCore::ownedPartitions() const {
+  return static_cast<std::size_t>(
+      std::count_if(partitions_.begin(), partitions_.end(),
+                    [](const auto& entry) { return entry.second.serves(); }));
 }
 
-const PartitionCore::Place* PartitionCore::find(const PartitionId& partition) const {
-  const auto found = places_.find(partition);
-  return found == places_.end() ? nullptr : &found->second;
-}
-
-const PartitionCore::Place* PartitionCore::served(const PartitionId& partition) const {
-  const Place* place = find(partition);
-  const bool serves = place != nullptr && place->owner && place->announced &&
-                      !place->owner->lost() && !place->replica.table().damaged();
-  return serves ? place : nullptr;
+bool PartitionCore::ownershipTransferred() const {
+  return std::none_of(partitions_.begin(), partitions_.end(), [this](const auto& entry) {
+    return entry.second.serves() && hasSuccessor(entry.first);
+  });
 }
 
-PartitionListener* PartitionCore::listener(const PartitionId& partition) const {
-  const auto found = listeners_.find(partition.kind);
-  return found == listeners_.end() ? nullptr : found->second;
+bool PartitionCore::hasSuccessor(const PartitionId& partition) const {
+  const StoreMembers replicas = stores_.replicas(partition);
+  return std::any_of(replicas.begin(), replicas.end(), [this](const auto& member) {
+    return member.id != context_.self() && stores_.isLive(member) && !stores_.isDraining(member.id);
+  });
 }
 
-void PartitionCore::scheduleReview(const PartitionId& partition) {
-  Place* place = find(partition);
-  if (place == nullptr || place->reviewScheduled) {
-    return;
+RepairProgress PartitionCore::repairProgress() const {
+  RepairProgress progress;
+  progress.isMember = stores_.selfIsMember();
+  for (const auto& entry : partitions_) {
+    if (!stores_.selfHolds(entry.first)) {
+      continue;
+    }
+    ++progress.total;
+    if (!entry.second.isCaughtUp()) {
+      continue;
+    }
+    ++progress.caughtUp;
+    progress.countedAsReplica += entry.second.isCountedAsReplica() ? 1 : 0;
   }
-  place->reviewScheduled = true;
-  context_.defer([this, place] {
-    place->reviewScheduled = false;
-    review(*place);
-  });
+  return progress;
 }
 
-void PartitionCore::review(Place& place) {
-  reviewTakeover(place);
-  reviewOwner(place);
+LocalPartition* PartitionCore::find(const PartitionId& partition) {
+  const auto found = partitions_.find(partition);
+  return found == partitions_.end() ? nullptr : &found->second;
 }
 
-void PartitionCore::reviewTakeover(Place& place) {
-  if (!place.takeover) {
-    return;
-  }
-  if (place.takeover->state() == PartitionTakeover::State::Done) {
-    beginOwning(place);
-    return;
-  }
-  if (place.takeover->state() == PartitionTakeover::State::Refused) {
-    place.highestEpoch = std::max(place.highestEpoch, place.takeover->refusedBy());
-    dropTakeover(place);
-    std::uniform_int_distribution<std::int64_t> pause(0, toMilliseconds(kTakeoverBackoff));
-    // A heartbeat of the owner that refused arrives within the fixed part.
-    place.tryAfter = context_.now() + kPartitionHeartbeat + kPartitionTick +
-                     std::chrono::milliseconds(pause(context_.random()));
-  }
-}
-
-void PartitionCore::reviewOwner(Place& place) {
-  if (!place.owner) {
-    return;
-  }
-  if (place.owner->lost() || place.replica.table().damaged()) {
-    loseOwnership(place);
-    return;
-  }
-  place.owner->complete();
-  if (place.owner && place.owner->serving() && !place.announced) {
-    place.announced = true;
-    const PartitionId& id = place.replica.partition();
-    context_.counters().add("partition_takeovers_total");
-    if (PartitionListener* told = listener(id)) {
-      told->ownershipGained(id, place.owner->epoch(), place.owner->recovery());
-    }
-  }
+const LocalPartition* PartitionCore::find(const PartitionId& partition) const {
+  const auto found = partitions_.find(partition);
+  return found == partitions_.end() ? nullptr : &found->second;
 }
 
-void PartitionCore::beginTakeover(Place& place) {
-  const std::uint64_t promised = place.replica.state().promisedEpoch;
-  place.highestEpoch = std::max(place.highestEpoch, promised) + 1;
-  const PartitionId id = place.replica.partition();
-  place.takeover =
-      std::make_unique<PartitionTakeover>(context_, stores_, place.replica, options_,
-                                          place.highestEpoch, [this, id] { scheduleReview(id); });
-  place.takeover->begin();
+LocalPartition* PartitionCore::findServed(const PartitionId& partition) {
+  LocalPartition* local = find(partition);
+  return local != nullptr && local->serves() ? local : nullptr;
 }
 
-void PartitionCore::dropTakeover(Place& place) {
-  if (place.takeover) {
-    place.takeover.reset();
-    place.replica.abandonOwnPromise();
-  }
+const LocalPartition* PartitionCore::findServed(const PartitionId& partition) const {
+  const LocalPartition* local = find(partition);
+  return local != nullptr && local->serves() ? local : nullptr;
 }
 
-void PartitionCore::beginOwning(Place& place) {
-  const TakeoverOutcome outcome = place.takeover->outcome();
-  const PartitionId id = place.replica.partition();
-  place.takeover.reset();
-  place.announced = false;
-  if (outcome.recovery == RecoveryKind::MemoryLost) {
-    context_.counters().add("partition_memory_lost_total");
-  }
-  place.owner = std::make_unique<PartitionOwner>(context_, stores_, place.replica, options_,
-                                                 outcome, [this, id] { scheduleReview(id); });
-  place.owner->begin();
-}
-
-void PartitionCore::loseOwnership(Place& place) {
-  place.highestEpoch = std::max(place.highestEpoch, place.owner->refusedBy());
-  const std::unique_ptr<PartitionOwner> owner = std::move(place.owner);
-  const bool announced = std::exchange(place.announced, false);
-  place.tryAfter = context_.now() + kPartitionRetransmit;
-  if (place.replica.table().damaged()) {
-    place.replica.dropDamaged();
-  }
-  context_.counters().add("partition_ownership_lost_total");
-  for (const std::function<void(Status)>& done : owner->takeOutstanding()) {
-    done(makeError(ErrorCode::NotOwner, "the partition has a newer owner"));
-  }
-  PartitionListener* told = listener(place.replica.partition());
-  if (announced && told != nullptr) {
-    told->ownershipLost(place.replica.partition());
-  }
+bool PartitionCore::mayOwn() const {
+  return stores_.selfIsMember() &&
+         context_.now() - kMaxConfigurationStaleness < configuration_.freshUntil();
 }
 
 void PartitionCore::tick() {
-  for (auto& entry : places_) {
-    tickPlace(entry.second);
+  for (auto& entry : partitions_) {
+    entry.second.tick(mayOwn());
   }
   sendPromiseRequests();
-  if (context_.now() - heartbeatAt_ >= kPartitionHeartbeat) {
-    heartbeatAt_ = context_.now();
+  if (context_.now() - lastHeartbeatAt_ >= PartitionOptions::kHeartbeatInterval) {
+    lastHeartbeatAt_ = context_.now();
     sendHeartbeats(false);
-    publishCounters();
+    metrics_.publish(ownedPartitions(), repairProgress());
   }
 }
 
-void PartitionCore::tickPlace(Place& place) {
-  if (place.owner) {
-    place.owner->tick();
-  }
-  if (place.takeover) {
-    place.takeover->tick();
+void PartitionCore::sendPromiseRequests() {
+  std::map<NodeId, PromiseRequest> requests;
+  for (auto& entry : partitions_) {
+    for (const NodeId& node : entry.second.promiseTargets()) {
+      requests[node].items.push_back({entry.first, entry.second.takeoverEpoch()});
+    }
   }
-  review(place);
-  if (!place.owner && place.replica.table().damaged()) {
-    place.replica.dropDamaged();
+  for (const auto& entry : requests) {
+    context_.send(entry.first, entry.second);
   }
-  considerTakeover(place);
-  reportSlowTakeover(place);
-}
-
-bool PartitionCore::mayOwn() const {
-  return stores_.selfIsMember() && context_.now() - kStaleOwnership < configuration_.freshUntil();
 }
 
-void PartitionCore::considerTakeover(Place& place) {
-  if (!mayOwn()) {
-    dropTakeover(place);
-    if (place.owner) {
-      loseOwnership(place);
+void PartitionCore::sendHeartbeats(bool onlyConfirmations) {
+  ++heartbeatRound_;
+  std::map<NodeId, HeartbeatRequest> requests;
+  for (auto& entry : partitions_) {
+    if (onlyConfirmations && !entry.second.confirming()) {
+      continue;
     }
-    return;
-  }
-  if (place.owner) {
-    const StoreMembers& held = place.owner->members();
-    const auto same = [](const MemberList::Member& left, const MemberList::Member& right) {
-      return left.id == right.id && left.storeId == right.storeId;
-    };
-    const StoreMembers now = stores_.replicas(place.replica.partition());
-    if (!std::equal(held.begin(), held.end(), now.begin(), now.end(), same)) {
-      loseOwnership(place);
+    const std::optional<HeartbeatItem> item = entry.second.heartbeat();
+    if (!item) {
+      continue;
+    }
+    for (const NodeId& peer : stores_.peers(entry.first)) {
+      requests[peer].items.push_back(*item);
     }
-    return;
-  }
-  const std::vector<NodeId> order = stores_.liveOrder(place.replica.partition());
-  const auto self = std::find(order.begin(), order.end(), context_.self());
-  const auto rank = static_cast<std::size_t>(self - order.begin());
-  if (rank != 0) {
-    place.firstSince.reset();
-  } else if (!place.firstSince) {
-    place.firstSince = context_.now();
-  }
-  const bool wanted = self != order.end() && maySeize(place, rank);
-  const bool promising =
-      place.takeover && place.takeover->state() == PartitionTakeover::State::Promising;
-  if (promising && !wanted) {
-    dropTakeover(place);
   }
-  if (!place.takeover && wanted && context_.now() >= place.tryAfter) {
-    beginTakeover(place);
+  for (auto& entry : requests) {
+    entry.second.round = heartbeatRound_;
+    context_.send(entry.first, entry.second);
   }
 }
 
-bool PartitionCore::maySeize(Place& place, std::size_t rank) const {
-  const Time now = context_.now();
-  if (rank != 0) {
-    return now - std::max(place.heardAt, startedAt_) >= kCandidatePatience * rank;
-  }
-  const bool working = place.heardEpoch != 0 && now - place.heardAt < kOwnerHeard &&
-                       stores_.isReachable(place.heardOwner);
-  if (!working) {
-    return true;
-  }
-  const Duration first = now - *place.firstSince;
-  const bool current = place.replica.position().installedEpoch == place.heardEpoch;
-  // An owner that drains waits for this: the pause of its partition is the takeover alone.
-  if (current && stores_.isDraining(place.heardOwner)) {
-    return true;
+void PartitionCore::scheduleConfirmations() {
+  if (confirmationScheduled_) {
+    return;
   }
-  return first >= kHandBackLimit || (first >= kHandBackSettle && current);
+  confirmationScheduled_ = true;
+  context_.defer([this] {
+    confirmationScheduled_ = false;
+    sendHeartbeats(true);
+  });
 }
 
 }  // namespace shedshed
--- a/src/partition/partition_core.h
+++ b/src/partition/partition_core.h
@@ -2,7 +2,11 @@
 /// The partition service of a store node.
 #pragma once
 
-#include "partition/partition_owner.h"
+#include "partition/local_partition.h"
+#include "partition/partition_metrics.h"
+#include "partition/repair_progress.h"
+
+#include <map>
 
 namespace shedshed {
 
@@ -11,9 +15,14 @@
 /// A store owns a partition when it is the first live one in the agreed order, has taken over at a
 /// new epoch (`PartitionTakeover`, then `PartitionOwner`), and has not been fenced since. Two nodes
 /// may believe that they own a partition; only the one with the higher epoch can complete a write
-/// or a confirmation. Core thread only.
+/// or a confirmation. What belongs to one partition is in `LocalPartition`; this class dispatches
+/// messages to it and batches what the partitions send at the same time. Core thread only.
 class PartitionCore : public Core, public PartitionStore {
  public:
+  /// A store whose configuration has not been proved current for this long after its freshness
+  /// lease owns nothing: the members and settings that it acts on may have been replaced.
+  static constexpr Duration kMaxConfigurationStaleness = std::chrono::seconds(6);
+
   /// Keeps references; they must outlive it. @p context belongs to `ServiceId::Partition`.
   PartitionCore(CoreContext& context, const Directory& directory,
                 ConfigurationSource& configuration, PartitionOptions options);
@@ -39,37 +48,14 @@
   /// How many partitions this store owns.
   std::size_t ownedPartitions() const;
 
-  /// True once a store that drains may end: it owns nothing, or no other store could own it.
-  bool handedOver() const;
+  /// True once a draining store may stop: it owns nothing, or no other store could own it.
+  bool ownershipTransferred() const;
 
-  /// How many of the partitions that it is to hold this store holds in full, also before it is a
+  /// How many of the partitions that this store is to replicate it has copied, also before it is a
   /// member.
   RepairProgress repairProgress() const;
 
  private:
-  /// One partition on this node.
-  struct Place {
-    Place(CoreContext& context, DurableWriter& writer, const PartitionOptions& options,
-          const PartitionId& partition)
-        : replica(context, writer, options, partition) {}
-    PartitionReplica replica;
-    std::unique_ptr<PartitionTakeover> takeover;
-    std::unique_ptr<PartitionOwner> owner;
-    bool announced = false;
-    NodeId heardOwner;  ///< The last other node that acted as the owner.
-    std::uint64_t heardEpoch = 0;
-    std::uint64_t heardSequence = 0;  ///< The owner's sequence one heartbeat ago.
-    std::uint64_t nextSequence = 0;   ///< The owner's sequence in the last heartbeat.
-    Time heardAt;
-    std::optional<Time> firstSince;  ///< Since when this node is first in the order.
-    Time tryAfter;
-    std::optional<Time>
-        unservedSince;               ///< Since when this node tries to own it and does not serve.
-    bool reported = false;           ///< That it lasts was logged.
-    std::uint64_t highestEpoch = 0;  ///< Highest epoch that anyone named.
-    bool reviewScheduled = false;
-  };
-
   void handle(const NodeId& from, const PromiseRequest& request);
   void handle(const NodeId& from, const PromiseReply& reply);
   void handle(const NodeId& from, const FetchRequest& request);
@@ -81,49 +67,34 @@
   void handle(const NodeId& from, const HeartbeatRequest& request);
   void handle(const NodeId& from, const HeartbeatReply& reply);
 
-  /// True if @p candidate comes after an owner that works: it is cut off from the owner, and
-  /// taking over would only make the two alternate. Matters for progress, not for safety.
-  bool displacesWorkingOwner(const Place& place, const NodeId& candidate) const;
   /// True if this store may own partitions: its disk is a member's, by a member list that is
   /// proved to be current or was so a short time ago.
   bool mayOwn() const;
-  Place* find(const PartitionId& partition);
-  const Place* find(const PartitionId& partition) const;
-  const Place* served(const PartitionId& partition) const;
-  void heard(Place& place, const NodeId& from, std::uint64_t epoch);
-  void scheduleReview(const PartitionId& partition);
-  void review(Place& place);
-  void reviewTakeover(Place& place);
-  void reviewOwner(Place& place);
+  /// nullptr if there is no such partition: the id came over the wire.
+  LocalPartition* find(const PartitionId& partition);
+  const LocalPartition* find(const PartitionId& partition) const;
+  /// As `find`; nullptr also if this node does not serve the partition.
+  LocalPartition* findServed(const PartitionId& partition);
+  const LocalPartition* findServed(const PartitionId& partition) const;
+  /// True if another live store that does not drain could own @p partition.
+  bool hasSuccessor(const PartitionId& partition) const;
   void tick();
-  void tickPlace(Place& place);
-  void considerTakeover(Place& place);
-  bool maySeize(Place& place, std::size_t rank) const;
-  void beginTakeover(Place& place);
-  void dropTakeover(Place& place);
-  void beginOwning(Place& place);
-  void loseOwnership(Place& place);
   void sendPromiseRequests();
+  /// Sends one message per peer with the owned partitions, or with those alone that wait for a
+  /// confirmation.
   void sendHeartbeats(bool onlyConfirmations);
-  /// Logs a partition that this node has tried to own for `kSlowTakeover`, and its end.
-  void reportSlowTakeover(Place& place);
-  bool hasSuccessor(const PartitionId& partition) const;
-  void publishCounters();
-  PartitionListener* listener(const PartitionId& partition) const;
+  void scheduleConfirmations();
 
   CoreContext& context_;
   ConfigurationSource& configuration_;
   PartitionOptions options_;
   StoreSet stores_;
   DurableWriter writer_;
-  std::map<PartitionId, Place> places_;
-  std::map<TableKind, PartitionListener*> listeners_;
-  std::uint64_t round_ = 0;
-  Time heartbeatAt_;
-  Time startedAt_;
+  std::map<PartitionId, LocalPartition> partitions_;
+  PartitionMetrics metrics_;
+  std::uint64_t heartbeatRound_ = 0;  ///< Number of the last heartbeat.
+  Time lastHeartbeatAt_;
   bool confirmationScheduled_ = false;
-  std::size_t loggedOwned_ = 0;
-  bool loggedScarce_ = false;
 };
 
 }  // namespace shedshed
--- a/src/partition/partition_owner.cpp
+++ b/src/partition/partition_owner.cpp
@@ -4,45 +4,28 @@
 #include <utility>
 
 namespace shedshed {
-namespace {
-
-std::size_t bytesOf(const std::vector<VersionedRow>& rows) {
-  std::size_t bytes = 0;
-  for (const VersionedRow& row : rows) {
-    bytes += row.key.size() + row.value.size();
-  }
-  return bytes;
-}
-
-/// Time until rows of this size, without an answer, are sent again.
-Duration patienceFor(std::size_t bytes) {
-  const std::size_t large = std::max(bytes, kSmallPageBytes) - kSmallPageBytes;
-  const std::chrono::duration<double> travel(static_cast<double>(large) /
-                                             kSlowestPageBytesPerSecond);
-  return kPartitionRetransmit + std::chrono::duration_cast<Duration>(travel);
-}
-
-}  // namespace
 
 PartitionOwner::PartitionOwner(CoreContext& context, const StoreSet& stores,
                                PartitionReplica& replica, const PartitionOptions& options,
                                const TakeoverOutcome& outcome, std::function<void()> changed)
     : context_(context), stores_(stores), replica_(replica), options_(options), outcome_(outcome),
-      changed_(std::move(changed)), log_(replica.table().checksum()) {}
+      changed_(std::move(changed)), source_{context_, replica_, outcome_,
+                                            WriteLog(replica.table().checksum()),
+                                            options.safeguards.fencing},
+      quorum_(source_, peers_) {}
 
 void PartitionOwner::begin() {
-  const std::weak_ptr<bool> alive = alive_;
-  replica_.installOwn(outcome_.epoch, outcome_.replicas, [this, alive] {
-    if (!alive.expired()) {
-      selfInstalled_ = true;
-      changed_();
-    }
-  });
+  // Until this is synced the own replica counts for no majority. A crash before that leaves the
+  // epoch that was installed earlier, and a later takeover merges the tables again.
+  replica_.installOwn(outcome_.epoch, outcome_.replicas, whileAlive([this] {
+                        quorum_.setSelfInstalled();
+                        changed_();
+                      }));
   addPeers();
   for (const auto& entry : outcome_.checksums) {
     const auto peer = peers_.find(entry.first);
     if (peer != peers_.end()) {
-      beginTransfer(peer->first, peer->second, entry.second);
+      peer->second.beginTransfer(entry.second);
     }
   }
 }
@@ -50,40 +33,38 @@
 bool PartitionOwner::lost() const {
   const bool fenced = options_.safeguards.fencing &&
                       (refusedBy_ != 0 || replica_.state().promisedEpoch > outcome_.epoch);
-  return fenced || !heardByMajority();
+  return fenced || !quorum_.majorityRepliedWithin(PartitionOptions::kHeartbeatTimeout);
 }
 
 HeartbeatItem PartitionOwner::heartbeat() const {
-  return {replica_.partition(), outcome_.epoch, log_.sequence(), stableSequence()};
+  return {replica_.partition(), outcome_.epoch, source_.log.sequence(), stableSequence()};
 }
 
-void PartitionOwner::write(std::vector<TableEntry> entries, std::function<void(Status)> done) {
-  const std::uint64_t sequence = log_.sequence() + 1;
+ReplicateRequest PartitionOwner::nextWrite(std::vector<TableEntry> entries) const {
+  const std::uint64_t sequence = source_.log.sequence() + 1;
   ReplicateRequest request{replica_.partition(), outcome_.epoch, sequence, {{}}};
-  std::vector<std::string> keys;
   for (TableEntry& entry : entries) {
     const bool erased = !entry.value;
-    keys.push_back(entry.key);
     request.writes[0].push_back({std::move(entry.key), Version{outcome_.epoch, sequence}, erased,
                                  erased ? std::string() : *std::move(entry.value)});
   }
+  return request;
+}
+
+void PartitionOwner::write(std::vector<TableEntry> entries, std::function<void(Status)> done) {
+  const ReplicateRequest request = nextWrite(std::move(entries));
+  const std::uint64_t sequence = request.firstSequence;
   writes_.push_back({sequence, context_.now(), std::move(done)});
-  const std::weak_ptr<bool> alive = alive_;
-  replica_.replicate(request, [this, alive] {
-    if (!alive.expired()) {
-      changed_();
-    }
-  });
-  log_.append(std::move(keys), replica_.table().checksum());
+  replica_.replicate(request, whileAlive(changed_));
+  std::vector<std::string> keys;
+  for (const VersionedRow& row : request.writes[0]) {
+    keys.push_back(row.key);
+  }
+  source_.log.append(std::move(keys), replica_.table().checksum());
   trimLog();
   const Message message = encodeMessage(request);
   for (auto& entry : peers_) {
-    Peer& peer = entry.second;
-    if (peer.installed && peer.sent + 1 == sequence) {
-      peer.sent = sequence;
-      peer.sentAt = context_.now();
-      context_.send(entry.first, message);
-    }
+    entry.second.sendWrite(sequence, message);
   }
 }
 
@@ -93,116 +74,40 @@
 
 void PartitionOwner::receive(const NodeId& from, const std::string& storeId,
                              const PromiseAnswer& answer) {
-  if (answer.epoch != outcome_.epoch) {
-    return;
-  }
-  Peer& peer = heardFrom(from, storeId, answer.promisedEpoch);
-  if (answer.granted && !peer.installed && !peer.transfer) {
-    beginTransfer(from, peer, answer.checksum);
+  if (answer.epoch == outcome_.epoch) {
+    replyFrom(from, storeId, answer.promisedEpoch).receive(answer);
   }
 }
 
 void PartitionOwner::receive(const NodeId& from, const InstallReply& reply) {
-  if (reply.epoch != outcome_.epoch) {
-    return;
-  }
-  Peer& peer = heardFrom(from, reply.storeId, reply.promisedEpoch);
-  const bool accepted = reply.promisedEpoch == outcome_.epoch || !options_.safeguards.fencing;
-  if (!accepted || !peer.transfer || peer.transfer->number != reply.transfer) {
-    return;
-  }
-  Transfer& transfer = *peer.transfer;
-  if (reply.differs) {
-    beginTransfer(from, peer, std::nullopt);
-    return;
+  if (reply.epoch == outcome_.epoch) {
+    replyFrom(from, reply.storeId, reply.promisedEpoch).receive(reply);
   }
-  if (!reply.last) {
-    transfer.fromStart = false;
-    transfer.afterKey = reply.throughKey;
-    sendPage(from, transfer);
-    return;
-  }
-  peer.installed = true;
-  peer.acknowledged = std::max(peer.acknowledged, transfer.sequence);
-  peer.sent = peer.acknowledged;
-  peer.transfer.reset();
-  peer.mismatches = 0;
-  sendWrites(from, peer, peer.acknowledged);
-  changed_();
 }
 
 void PartitionOwner::receive(const NodeId& from, const ReplicateReply& reply) {
-  if (reply.epoch != outcome_.epoch) {
-    return;
-  }
-  Peer& peer = heardFrom(from, reply.storeId, reply.position.promisedEpoch);
-  update(peer, reply.position);
-  const Time now = context_.now();
-  if (peer.installed && reply.gap && now - peer.sentAt >= kGapResendPause) {
-    sendWrites(from, peer, peer.acknowledged);
-  } else if (peer.installed && peer.acknowledged == peer.sent) {
-    sendWrites(from, peer, peer.sent);
-  }
-  changed_();
-}
-
-void PartitionOwner::heartbeatAnswered(const NodeId& from, const HeartbeatReply& reply,
-                                       const ReplicaPosition& position) {
-  Peer& peer = heardFrom(from, reply.storeId, position.promisedEpoch);
-  peer.isScarce = reply.isScarce;
-  if (position.promisedEpoch == outcome_.epoch || !options_.safeguards.fencing) {
-    peer.round = std::max(peer.round, reply.round);
+  if (reply.epoch == outcome_.epoch) {
+    replyFrom(from, reply.storeId, reply.position.promisedEpoch).receive(reply);
   }
-  update(peer, position);
-  scrub(from, peer, position);
-  changed_();
 }
 
-bool PartitionOwner::replicaIsScarce() const {
-  return std::any_of(outcome_.replicas.begin(), outcome_.replicas.end(),
-                     [this](const MemberList::Member& member) {
-                       const auto found = peers_.find(member.id);
-                       return found != peers_.end() && found->second.storeId == member.storeId &&
-                              found->second.isScarce;
-                     });
+void PartitionOwner::receive(const NodeId& from, const HeartbeatReply& reply,
+                             const ReplicaPosition& position) {
+  replyFrom(from, reply.storeId, position.promisedEpoch).receive(reply, position);
 }
 
-PartitionOwner::Peer& PartitionOwner::heardFrom(const NodeId& from, const std::string& storeId,
-                                                std::uint64_t promisedEpoch) {
-  Peer& peer = peers_[from];
-  if (peer.storeId != storeId) {
-    std::optional<Transfer> transfer;
-    if (peer.storeId.empty()) {
-      transfer = std::move(peer.transfer);
-    }
-    peer = Peer();
-    peer.storeId = storeId;
-    peer.transfer = std::move(transfer);
-  }
-  peer.heardAt = context_.now();
+ReplicaPeer& PartitionOwner::replyFrom(const NodeId& from, const std::string& storeId,
+                                       std::uint64_t promisedEpoch) {
+  ReplicaPeer& peer = peers_.try_emplace(from, source_, from).first->second;
+  peer.replyReceived(storeId);
   if (promisedEpoch > outcome_.epoch) {
+    // Another node may own the higher epoch already. One replica is enough to step down: nothing
+    // is lost by it, and the next takeover of this node names an epoch above.
     refusedBy_ = std::max(refusedBy_, promisedEpoch);
-    changed_();
   }
   return peer;
 }
 
-void PartitionOwner::update(Peer& peer, const ReplicaPosition& position) {
-  if (position.installedEpoch != outcome_.epoch) {
-    peer.installed = false;
-    peer.acknowledged = 0;
-    peer.sent = 0;
-    return;
-  }
-  if (!peer.installed) {
-    peer.installed = true;
-    peer.acknowledged = position.sequence;
-    peer.sent = position.sequence;
-  }
-  peer.acknowledged = std::max(peer.acknowledged, position.sequence);
-  peer.sent = std::max(peer.sent, peer.acknowledged);
-}
-
 void PartitionOwner::addPeers() {
   std::vector<NodeId> nodes = stores_.peers(replica_.partition());
   // A majority of the earlier replicas must install the epoch too, whatever became of them.
@@ -212,129 +117,101 @@
     }
   }
   for (const NodeId& node : nodes) {
-    const auto added = peers_.emplace(node, Peer());
-    if (added.second) {
-      added.first->second.heardAt = context_.now();
-    }
+    peers_.try_emplace(node, source_, node);
   }
 }
 
 void PartitionOwner::tick() {
   addPeers();
-  const Time now = context_.now();
   for (auto& entry : peers_) {
-    Peer& peer = entry.second;
-    if (!stores_.isReachable(entry.first)) {
-      continue;
-    }
-    if (peer.transfer) {
-      if (now - peer.transfer->sentAt >= peer.transfer->patience) {
-        sendPage(entry.first, *peer.transfer);
-      }
-    } else if (!peer.installed) {
-      driveUninstalled(entry.first, peer);
-    } else if (!log_.reaches(peer.acknowledged)) {
-      beginTransfer(entry.first, peer, std::nullopt);
-    }
-    const bool behind = peer.installed && peer.acknowledged < log_.sequence();
-    if (behind && now - peer.sentAt >= peer.patience) {
-      sendWrites(entry.first, peer, peer.acknowledged);
+    if (stores_.isReachable(entry.first)) {
+      entry.second.tick();
     }
   }
-  if (!serving_ && selfInstalled_) {
+  if (!serving_ && quorum_.isSelfInstalled()) {
     changed_();
   }
 }
 
-void PartitionOwner::driveUninstalled(const NodeId& node, Peer& peer) {
-  const Time now = context_.now();
-  if (now - peer.askedAt < kPartitionRetransmit) {
-    return;
+bool PartitionOwner::isComplete(const PendingWrite& write) const {
+  if (!quorum_.majorityHolds(write.sequence)) {
+    return false;
   }
-  peer.askedAt = now;
-  context_.send(node, PromiseRequest{{PromiseItem{replica_.partition(), outcome_.epoch}}});
+  // A majority is safe. The wait lets a durable row reach all disks while none is in trouble.
+  const bool waitForAll = replica_.partition().kind == TableKind::Batches &&
+                          stores_.allStaying(outcome_.replicas) &&
+                          context_.now() - write.begunAt < kAllReplicasTimeout;
+  return !waitForAll || quorum_.allHold(write.sequence);
 }
 
-void PartitionOwner::beginTransfer(const NodeId& node, Peer& peer,
-                                   std::optional<std::uint64_t> checksum) {
-  Transfer transfer;
-  transfer.number = nextTransfer_++;
-  transfer.sequence = log_.sequence();
-  transfer.checksum = checksum.value_or(0);
-  if (checksum && checksum == replica_.table().checksum()) {
-    transfer.keepRows = true;
-  } else if (checksum && checksum == log_.checksumAt(0) && log_.reaches(0)) {
-    transfer.keepRows = true;
-    transfer.sequence = 0;
+void PartitionOwner::complete() {
+  if (!serving_ && quorum_.isSelfInstalled()) {
+    // Nothing may be read before: a merged row that was on a minority only would be shown, and be
+    // absent again after the next takeover.
+    serving_ = quorum_.installedOnMajorities() || !options_.safeguards.mergeWriteBack;
+  }
+  const std::weak_ptr<bool> alive = alive_;
+  completeWrites();
+  if (!alive.expired()) {
+    completeConfirmations();
   }
-  peer.transfer = transfer;
-  sendPage(node, *peer.transfer);
 }
 
-void PartitionOwner::sendPage(const NodeId& node, Transfer& transfer) {
-  transfer.sentAt = context_.now();
-  InstallRequest request;
-  request.partition = replica_.partition();
-  request.epoch = outcome_.epoch;
-  request.transfer = transfer.number;
-  request.sequence = transfer.sequence;
-  request.keepRows = transfer.keepRows;
-  request.replicas = outcome_.replicas;
-  if (transfer.keepRows) {
-    request.checksum = transfer.checksum;
-    request.page.last = true;
-  } else {
-    request.page = replica_.table().page(transfer.fromStart, transfer.afterKey);
-    transfer.patience = patienceFor(bytesOf(request.page.rows));
-    context_.counters().add("partition_transfer_rows_total",
-                            static_cast<double>(request.page.rows.size()));
+void PartitionOwner::completeWrites() {
+  const std::weak_ptr<bool> alive = alive_;
+  while (!alive.expired() && !writes_.empty() && isComplete(writes_.front())) {
+    const std::function<void(Status)> done = std::move(writes_.front().done);
+    writes_.pop_front();
+    done(okStatus());
   }
-  context_.send(node, request);
 }
 
-void PartitionOwner::sendWrites(const NodeId& node, Peer& peer, std::uint64_t after) {
-  if (after >= log_.sequence() || !log_.reaches(after)) {
-    return;
-  }
-  ReplicateRequest request{replica_.partition(), outcome_.epoch, after + 1, {}};
-  request.writes = log_.writesAfter(after, replica_.table());
-  peer.sent = after + request.writes.size();
-  peer.sentAt = context_.now();
-  std::size_t bytes = 0;
-  for (const std::vector<VersionedRow>& write : request.writes) {
-    bytes += bytesOf(write);
+void PartitionOwner::completeConfirmations() {
+  const std::weak_ptr<bool> alive = alive_;
+  while (!alive.expired() && !confirmations_.empty()) {
+    const PendingConfirmation& first = confirmations_.front();
+    const bool confirmed = quorum_.majorityConfirms(first.round);
+    if (!confirmed && context_.now() - first.begunAt < kConfirmationTimeout) {
+      return;
+    }
+    const std::function<void(Status)> done = std::move(confirmations_.front().done);
+    confirmations_.pop_front();
+    done(confirmed ? okStatus() : Status(makeError(ErrorCode::NoQuorum, "no majority")));
   }
-  peer.patience = patienceFor(bytes);
-  context_.send(node, request);
 }
 
-void PartitionOwner::scrub(const NodeId& node, Peer& peer, const ReplicaPosition& position) {
-  const Time now = context_.now();
-  if (!peer.installed || peer.transfer || now - peer.scrubbedAt < kScrubInterval) {
-    return;
-  }
-  const std::optional<std::uint64_t> expected = log_.checksumAt(position.checksumSequence);
-  if (!expected) {
-    return;
+std::vector<std::function<void(Status)>> PartitionOwner::takeOutstanding() {
+  std::vector<std::function<void(Status)>> outstanding;
+  for (PendingWrite& write : writes_) {
+    outstanding.push_back(std::move(write.done));
   }
-  peer.scrubbedAt = now;
-  peer.mismatches = *expected == position.checksum ? 0 : peer.mismatches + 1;
-  // One mismatch may be a replica that was sent a later row with an earlier write.
-  if (peer.mismatches < 2) {
-    return;
+  for (PendingConfirmation& confirmation : confirmations_) {
+    outstanding.push_back(std::move(confirmation.done));
   }
-  context_.counters().add("partition_scrub_repairs_total");
-  beginTransfer(node, peer, std::nullopt);
+  writes_.clear();
+  confirmations_.clear();
+  return outstanding;
+}
+
+std::uint64_t PartitionOwner::stableSequence() const {
+  // A replica that lacks the erasing write could bring the row back, so all must hold it.
+  return serving_ && quorum_.allHold(0) ? quorum_.lowestSequence() : 0;
 }
 
 void PartitionOwner::trimLog() {
-  std::uint64_t needed = log_.sequence();
+  std::uint64_t needed = source_.log.sequence();
   for (const auto& entry : peers_) {
-    if (entry.second.transfer) {
-      needed = std::min(needed, entry.second.transfer->sequence);
-    }
+    needed = std::min(needed, entry.second.transferSequence().value_or(needed));
   }
-  log_.trim(needed);
+  source_.log.trim(needed);
+}
+
+std::function<void()> PartitionOwner::whileAlive(std::function<void()> step) const {
+  return [alive = std::weak_ptr<bool>(alive_), step = std::move(step)] {
+    if (!alive.expired()) {
+      step();
+    }
+  };
 }
 
 }  // namespace shedshed
--- a/src/partition/partition_owner.h
+++ b/src/partition/partition_owner.h
@@ -2,8 +2,12 @@
 /// Second half of a takeover, and the owner's work afterwards.
 #pragma once
 
-#include "partition/partition_takeover.h"
-#include "partition/write_log.h"
+#include "partition/replication_quorum.h"
+
+#include <deque>
+#include <functional>
+#include <memory>
+#include <vector>
 
 namespace shedshed {
 
@@ -15,10 +19,20 @@
 /// members, meets this epoch.
 class PartitionOwner {
  public:
-  /// Keeps references; they must outlive it. @p changed is called after an asynchronous step.
+  /// While all replicas are live, a durable write waits this long for all of them before a majority
+  /// is enough.
+  static constexpr Duration kAllReplicasTimeout = std::chrono::milliseconds(200);
+
+  /// Time after which `confirm` fails with `NoQuorum`.
+  static constexpr Duration kConfirmationTimeout = std::chrono::seconds(2);
+
+  /// Keeps references; they must outlive it. @p changed is called when a step that this node
+  /// persists has ended; after `receive` and `write` the caller reviews the state itself.
   PartitionOwner(CoreContext& context, const StoreSet& stores, PartitionReplica& replica,
                  const PartitionOptions& options, const TakeoverOutcome& outcome,
                  std::function<void()> changed);
+  PartitionOwner(const PartitionOwner&) = delete;
+  PartitionOwner& operator=(const PartitionOwner&) = delete;
 
   /// Installs the epoch on this node's replica and begins the write-back.
   void begin();
@@ -30,20 +44,24 @@
   /// True once the write-back has reached the majorities.
   bool serving() const { return serving_; }
 
-  /// True if a replica refused this epoch, or no majority has answered for `kOwnershipSilence`.
+  /// True if a replica rejected this epoch, or no majority has replied for
+  /// `PartitionOptions::kHeartbeatTimeout`.
   bool lost() const;
 
-  /// The higher epoch that a replica named, or 0.
+  /// The higher epoch that a replica named; 0 if none did.
   std::uint64_t refusedBy() const { return refusedBy_; }
 
+  /// Replicates @p entries as one atomic write. @p done is called by `complete` once a majority
+  /// has it.
   void write(std::vector<TableEntry> entries, std::function<void(Status)> done);
 
-  /// Completes with an answer to heartbeat number @p round or a later one.
+  /// Completes with a majority of replies to heartbeat number @p round or later ones; fails with
+  /// NoQuorum after `kConfirmationTimeout`.
   void confirm(std::uint64_t round, std::function<void(Status)> done);
   bool confirming() const { return !confirmations_.empty(); }
 
   /// For the log: how far the write-back is.
-  std::string progress() const;
+  std::string progress() const { return quorum_.progress(); }
 
   /// The item for this partition in a heartbeat.
   HeartbeatItem heartbeat() const;
@@ -51,11 +69,12 @@
   void receive(const NodeId& from, const std::string& storeId, const PromiseAnswer& answer);
   void receive(const NodeId& from, const InstallReply& reply);
   void receive(const NodeId& from, const ReplicateReply& reply);
-  void heartbeatAnswered(const NodeId& from, const HeartbeatReply& reply,
-                         const ReplicaPosition& position);
+  void receive(const NodeId& from, const HeartbeatReply& reply, const ReplicaPosition& position);
 
-  /// True if a replica has told that its disk has little room left.
-  bool replicaIsScarce() const;
+  /// True if a replica reported little disk space.
+  bool replicaIsScarce() const { return quorum_.anyIsScarce(); }
+
+  /// Adds peers that have appeared and sends again what is overdue.
   void tick();
 
   /// Completes what is due. Callbacks may call `write` and `confirm`.
@@ -65,73 +84,43 @@
   std::vector<std::function<void(Status)>> takeOutstanding();
 
  private:
-  struct Transfer {
-    std::uint64_t number = 0;
-    std::uint64_t sequence = 0;
-    bool keepRows = false;
-    std::uint64_t checksum = 0;
-    bool fromStart = true;
-    std::string afterKey;
-    Time sentAt;
-    Duration patience = kPartitionRetransmit;  ///< Until the page is sent again.
-  };
-  struct Peer {
-    std::string storeId;
-    bool installed = false;
-    std::uint64_t acknowledged = 0;
-    std::uint64_t sent = 0;
-    std::uint64_t round = 0;
-    Time sentAt;
-    Duration patience = kPartitionRetransmit;  ///< Until the writes are sent again.
-    Time heardAt;
-    Time askedAt;
-    Time scrubbedAt;
-    bool isScarce = false;
-    int mismatches = 0;
-    std::optional<Transfer> transfer;
-  };
   struct PendingWrite {
     std::uint64_t sequence;
     Time begunAt;
     std::function<void(Status)> done;
   };
-  struct Confirmation {
-    std::uint64_t round;
+  struct PendingConfirmation {
+    std::uint64_t round;  ///< Number of the first heartbeat whose replies count.
     Time begunAt;
     std::function<void(Status)> done;
   };
 
-  Peer& heardFrom(const NodeId& from, const std::string& storeId, std::uint64_t promisedEpoch);
-  void update(Peer& peer, const ReplicaPosition& position);
+  /// Records a reply of @p from and returns that peer.
+  ReplicaPeer& replyFrom(const NodeId& from, const std::string& storeId,
+                         std::uint64_t promisedEpoch);
+  ReplicateRequest nextWrite(std::vector<TableEntry> entries) const;
   void addPeers();
-  void driveUninstalled(const NodeId& node, Peer& peer);
-  void beginTransfer(const NodeId& node, Peer& peer, std::optional<std::uint64_t> checksum);
-  void sendPage(const NodeId& node, Transfer& transfer);
-  void sendWrites(const NodeId& node, Peer& peer, std::uint64_t after);
-  void scrub(const NodeId& node, Peer& peer, const ReplicaPosition& position);
-  bool holds(const MemberList::Member& member, std::uint64_t sequence) const;
-  bool majorityHolds(std::uint64_t sequence) const;
-  bool allHold(std::uint64_t sequence) const;
-  bool writeComplete(const PendingWrite& write) const;
-  bool confirmed(const Confirmation& confirmation) const;
-  bool installedOnMajorities() const;
-  bool heardByMajority() const;
+  bool isComplete(const PendingWrite& write) const;
+  void completeWrites();
+  void completeConfirmations();
+  /// Sequence up to which tombstones may be forgotten; 0 if unknown.
   std::uint64_t stableSequence() const;
   void trimLog();
+  /// Returns a callback that calls @p step unless this owner is gone.
+  std::function<void()> whileAlive(std::function<void()> step) const;
 
   CoreContext& context_;
   const StoreSet& stores_;
   PartitionReplica& replica_;
   const PartitionOptions& options_;
-  TakeoverOutcome outcome_;
-  std::function<void()> changed_;
-  WriteLog log_;
-  std::map<NodeId, Peer> peers_;
+  const TakeoverOutcome outcome_;
+  const std::function<void()> changed_;
+  ReplicationSource source_;
+  ReplicaPeers peers_;
+  ReplicationQuorum quorum_;
   std::deque<PendingWrite> writes_;
-  std::deque<Confirmation> confirmations_;
-  std::uint64_t nextTransfer_ = 1;
+  std::deque<PendingConfirmation> confirmations_;
   std::uint64_t refusedBy_ = 0;
-  bool selfInstalled_ = false;
   bool serving_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/partition/partition_replica.cpp
+++ b/src/partition/partition_replica.cpp
@@ -47,7 +47,7 @@
   if (durable() || neverServed_ || state_.installedEpoch != 0) {
     return true;
   }
-  return context_.now() - startedAt_ >= kLongestSlotTtl;
+  return context_.now() - startedAt_ >= kMaxSlotTtl;
 }
 
 ReplicaPosition PartitionReplica::position() const {
@@ -65,23 +65,24 @@
 }
 
 PromiseAnswer PartitionReplica::decline(std::uint64_t epoch) const {
-  return answer(epoch, false);
+  return makeAnswer(epoch, false);
 }
 
 void PartitionReplica::promise(std::uint64_t epoch, const NodeId& to,
                                std::function<void(PromiseAnswer)> done) {
-  const bool free = state_.promisedTo == to || state_.promisedTo.empty();
-  const bool repeated = epoch == state_.promisedEpoch && epoch != 0 && free;
+  const bool unclaimed = state_.promisedTo == to || state_.promisedTo.empty();
+  const bool repeated = epoch == state_.promisedEpoch && epoch != 0 && unclaimed;
   const bool allowed = epoch > state_.promisedEpoch || !options_.safeguards.fencing;
   if (!repeated && !allowed) {
-    done(answer(epoch, false));
+    done(makeAnswer(epoch, false));
     return;
   }
   state_.promisedEpoch = std::max(epoch, state_.promisedEpoch);
   state_.promisedTo = to;
   persistWithState({}, [this, epoch, to, done = std::move(done)] {
+    // A higher epoch may have been promised while this one was being synced.
     const bool granted = state_.promisedEpoch == epoch && state_.promisedTo == to;
-    done(answer(epoch, granted || !options_.safeguards.fencing));
+    done(makeAnswer(epoch, granted || !options_.safeguards.fencing));
   });
 }
 
@@ -109,41 +110,31 @@
 
 void PartitionReplica::install(const InstallRequest& request, InstallReply reply,
                                std::function<void(InstallReply)> answer) {
-  const bool newer = request.epoch > transferEpoch_ ||
-                     (request.epoch == transferEpoch_ && request.transfer > transfer_);
-  if (newer) {
-    transferEpoch_ = request.epoch;
-    transfer_ = request.transfer;
-    transferAtStart_ = true;
-    transferDone_ = false;
-    transferKey_.clear();
-  }
-  if (request.epoch != transferEpoch_ || request.transfer != transfer_) {
+  if (!transfer_.follow(request)) {
     return;
   }
-  // A late answer may have told the owner of rows that a restart has lost since.
+  // A late answer may have named a checksum of rows that a restart has lost since.
   const bool differs = damaged_ || request.checksum != table_.checksum();
-  if (request.keepRows && !transferDone_ && differs) {
+  if (request.keepRows && !transfer_.isComplete() && differs) {
     reply.differs = true;
     answer(std::move(reply));
     return;
   }
-  const bool next = request.page.fromStart == transferAtStart_ &&
-                    (transferAtStart_ || request.page.afterKey == transferKey_);
   std::vector<Mutation> mutations;
-  if (next && !transferDone_) {
+  if (transfer_.isNext(request.page)) {
     if (!request.keepRows) {
       table_.replaceRange(request.page, {request.epoch, request.sequence}, mutations);
     }
-    transferAtStart_ = false;
-    transferKey_ = request.page.throughKey;
-    transferDone_ = request.page.last;
-    if (transferDone_) {
+    transfer_.advance(request.page);
+    // Only the last page raises the installed epoch, in the same atomic step as its rows: after a
+    // crash before that, the replica counts as one of its earlier epoch, never as one of this
+    // epoch with a part of the table.
+    if (transfer_.isComplete()) {
       finishInstall(request.epoch, request.sequence, request.replicas);
     }
   }
-  reply.last = transferDone_;
-  reply.throughKey = transferKey_;
+  reply.last = transfer_.isComplete();
+  reply.throughKey = transfer_.throughKey();
   persistWithState(std::move(mutations), [answer = std::move(answer), reply] { answer(reply); });
 }
 
@@ -205,7 +196,7 @@
   damaged_ = true;
 }
 
-PromiseAnswer PartitionReplica::answer(std::uint64_t epoch, bool granted) const {
+PromiseAnswer PartitionReplica::makeAnswer(std::uint64_t epoch, bool granted) const {
   PromiseAnswer answer;
   answer.partition = partition_;
   answer.epoch = epoch;
--- a/src/partition/partition_replica.h
+++ b/src/partition/partition_replica.h
@@ -3,16 +3,20 @@
 #pragma once
 
 #include "partition/durable_writer.h"
+#include "partition/incoming_transfer.h"
+#include "partition/partition_options.h"
 #include "partition/partition_table.h"
 
-#include <memory>
+#include <functional>
+#include <vector>
 
 namespace shedshed {
 
-/// What a replica remembers on disk besides its rows.
+/// What a replica keeps on disk besides its rows. The field order is the record format.
 struct ReplicaState {
-  std::uint64_t promisedEpoch = 0;   ///< Lower epochs are refused.
-  NodeId promisedTo;                 ///< The one node that may own `promisedEpoch`.
+  std::uint64_t promisedEpoch = 0;   ///< Lower epochs are rejected.
+  NodeId promisedTo;                 ///< The one node that may own `promisedEpoch`; empty if that
+                                     ///< node abandoned it.
   std::uint64_t installedEpoch = 0;  ///< Epoch whose merged table is held in full.
   std::uint64_t sequence = 0;        ///< Last write of `installedEpoch` that is held.
   std::uint64_t setEpoch = 0;        ///< Epoch at which `replicas` was agreed.
@@ -30,6 +34,10 @@
 /// acknowledged below it, hence everything that this replica ever acknowledged.
 class PartitionReplica {
  public:
+  /// Longest time to live of a slot. A replica that restarted with empty memory can no longer break
+  /// an earlier acknowledgement after this time.
+  static constexpr Duration kMaxSlotTtl = std::chrono::seconds(70);
+
   /// Keeps references; they must outlive it.
   PartitionReplica(CoreContext& context, DurableWriter& writer, const PartitionOptions& options,
                    const PartitionId& partition);
@@ -47,11 +55,12 @@
   /// What it holds; `sequence` counts only what is synced.
   ReplicaPosition position() const;
 
-  /// Promises to refuse epochs below @p epoch, if it has promised none higher and not this one to
-  /// another node. Calls @p done with the answer once the promise is synced.
+  /// Promises to reject epochs below @p epoch, if it has promised none higher and not this one to
+  /// another node. Calls @p done with the answer once the promise is synced: a promise that a crash
+  /// could undo would let a lower epoch complete writes that the takeover does not see.
   void promise(std::uint64_t epoch, const NodeId& to, std::function<void(PromiseAnswer)> done);
 
-  /// The answer that makes no promise for @p epoch.
+  /// Returns the answer that makes no promise for @p epoch.
   PromiseAnswer decline(std::uint64_t epoch) const;
 
   /// Gives up a promise that this node made to itself, so that another node that has the epoch may
@@ -61,8 +70,9 @@
   /// rows under equal versions.
   void abandonOwnPromise();
 
-  /// True if a message of @p epoch from @p from is to be obeyed. A higher epoch than the promised
-  /// one counts as a promise, to be synced with whatever the message changes.
+  /// True if a message of @p epoch from @p from may be applied. A higher epoch than the promised
+  /// one counts as a promise. It is synced with or before whatever the message changes, since
+  /// persist requests complete in order.
   bool accepts(std::uint64_t epoch, const NodeId& from);
 
   /// Applies a page of an accepted transfer if it comes next; @p answer is called, once that is
@@ -81,16 +91,18 @@
   /// Declares the table to be the merged one of @p epoch. Used by the new owner.
   void installOwn(std::uint64_t epoch, const StoreMembers& replicas, std::function<void()> done);
 
-  /// Forgets tombstones that every replica has applied.
+  /// Forgets the tombstones up to the write @p stable of @p epoch, which every replica has applied.
+  /// 0 means that none is known to be.
   void collectTombstones(std::uint64_t epoch, std::uint64_t stable);
 
   /// Drops rows that could not be read back.
   void dropDamaged();
 
  private:
-  PromiseAnswer answer(std::uint64_t epoch, bool granted) const;
+  PromiseAnswer makeAnswer(std::uint64_t epoch, bool granted) const;
+  /// Persists @p mutations and the state in one atomic step: after a crash the rows and the
+  /// position agree.
   void persistWithState(std::vector<Mutation> mutations, std::function<void()> done);
-  std::vector<Mutation> stateMutation() const;
   void finishInstall(std::uint64_t epoch, std::uint64_t sequence, const StoreMembers& replicas);
   bool durable() const { return partition_.kind == TableKind::Batches; }
 
@@ -102,13 +114,9 @@
   ReplicaState state_;
   Version synced_;            ///< Installed epoch and sequence that are on disk; `Batches` only.
   bool neverServed_ = false;  ///< Nothing was ever promised, hence nothing acknowledged.
-  bool damaged_ = false;      ///< Rows were lost to damage since the last full copy.
+  bool damaged_ = false;      ///< Rows were lost to damage since the last complete transfer.
   Time startedAt_;
-  std::uint64_t transferEpoch_ = 0;
-  std::uint64_t transfer_ = 0;
-  bool transferAtStart_ = true;
-  bool transferDone_ = false;
-  std::string transferKey_;
+  IncomingTransfer transfer_;
 };
 
 }  // namespace shedshed
--- a/src/partition/partition_table.cpp
+++ b/src/partition/partition_table.cpp
@@ -144,7 +144,7 @@
   page.afterKey = afterKey;
   std::size_t bytes = 0;
   auto entry = fromStart ? entries_.begin() : entries_.upper_bound(afterKey);
-  for (; entry != entries_.end() && bytes < kPageBytes; ++entry) {
+  for (; entry != entries_.end() && bytes < kMaxPageBytes; ++entry) {
     page.throughKey = entry->first;
     const std::optional<std::string> value = readValue(entry->first, entry->second);
     if (!value) {
--- a/src/partition/partition_table.h
+++ b/src/partition/partition_table.h
@@ -14,6 +14,9 @@
 /// durable records; only versions and hashes are in memory. Core thread only.
 class PartitionTable {
  public:
+  /// Limit of the rows in one message of a transfer, in bytes. A larger row travels alone.
+  static constexpr std::size_t kMaxPageBytes = 256 * 1024;
+
   PartitionTable(CoreContext& context, const PartitionId& partition);
 
   /// Reads the rows of a `Batches` partition from the durable records. Rows that fail their own
@@ -44,7 +47,7 @@
   /// Forgets the tombstones up to @p stable, which every replica has applied.
   void collectTombstones(const Version& stable, std::vector<Mutation>& mutations);
 
-  /// Returns the rows after @p afterKey (all if @p fromStart), up to `kPageBytes`.
+  /// Returns the rows after @p afterKey (all if @p fromStart), up to `kMaxPageBytes`.
   TablePage page(bool fromStart, const std::string& afterKey) const;
 
   std::optional<VersionedRow> row(const std::string& key) const;
--- a/src/partition/partition_takeover.h
+++ b/src/partition/partition_takeover.h
@@ -2,8 +2,12 @@
 /// First half of a takeover: promises, and the merge of the replicas' tables.
 #pragma once
 
-#include "partition/partition_replica.h"
-#include "partition/store_set.h"
+#include "partition/promise_quorum.h"
+#include "partition/table_merge.h"
+
+#include <map>
+#include <memory>
+#include <optional>
 
 namespace shedshed {
 
@@ -19,80 +23,74 @@
 /// Asks for promises of one epoch and builds the merged table in this node's replica.
 ///
 /// Why the merge holds every acknowledged row: an acknowledged write is on a majority that has
-/// installed its epoch. The takeover hears a majority of the present members and a majority of the
-/// replicas of the newest epoch found, so one of those that answer has it, and answers with the
-/// highest installed epoch. Replicas of an older epoch are left out: whatever they have beyond the
-/// newest epoch's table was never acknowledged, and later readers were told that it is absent.
-/// Among replicas of the same epoch the higher version of a row is the later write.
+/// installed its epoch. The takeover has promises of a majority of the present members and of a
+/// majority of the replicas of the newest epoch found (`PromiseQuorum`), so one of those that
+/// promised has it, and answers with the highest installed epoch, whose tables are merged
+/// (`TableMerge`). A write of a lower epoch that is still in flight can no longer reach a majority:
+/// it is rejected by those that promised. Core thread only.
 class PartitionTakeover {
  public:
+  /// Time that a takeover of `Slots` waits for further replicas when too few are intact.
+  static constexpr Duration kIntactReplicasTimeout = std::chrono::seconds(1);
+
+  /// The same for `Batches`, which waits for dead members too: they may still hold on disk what the
+  /// others lost.
+  static constexpr Duration kDurableIntactReplicasTimeout = std::chrono::seconds(60);
+
   enum class State { Promising, Merging, Done, Refused };
 
   /// Keeps references; they must outlive it. @p changed is called after an asynchronous step.
   PartitionTakeover(CoreContext& context, const StoreSet& stores, PartitionReplica& replica,
                     const PartitionOptions& options, std::uint64_t epoch,
                     std::function<void()> changed);
+  PartitionTakeover(const PartitionTakeover&) = delete;
+  PartitionTakeover& operator=(const PartitionTakeover&) = delete;
 
   /// Promises the epoch to itself. Other replicas are asked only after that is synced, so that an
-  /// epoch is never used by two lives of one process.
+  /// epoch is never used by two incarnations of one process.
   void begin();
 
   State state() const { return state_; }
-  std::uint64_t epoch() const { return outcome_.epoch; }
+  std::uint64_t epoch() const { return epoch_; }
 
   /// For the log: how far it is.
   std::string progress() const;
 
-  /// The highest epoch that a refusal named.
+  /// The highest epoch that a refusal named; 0 if there was none.
   std::uint64_t refusedBy() const { return refusedBy_; }
 
   /// Valid when `Done`.
-  const TakeoverOutcome& outcome() const { return outcome_; }
+  TakeoverOutcome outcome() const;
 
-  /// The nodes that have not answered yet and are to be asked now.
-  std::vector<NodeId> unasked();
+  /// The nodes that have not promised yet and are due to be asked now.
+  std::vector<NodeId> promiseTargets();
 
   void receive(const NodeId& from, const std::string& storeId, const PromiseAnswer& answer);
   void receive(const NodeId& from, const FetchReply& reply);
   void tick();
 
  private:
-  struct Answer {
-    std::string storeId;
-    PromiseAnswer answer;
-  };
-  bool answered(const MemberList::Member& member) const;
-  bool answeredIntact(const MemberList::Member& member) const;
-  bool allAnswered(bool deadToo) const;
-  bool joinedMajority(const std::function<bool(const MemberList::Member&)>& holds) const;
-  void findPrevious();
-  void evaluate();
-  bool memoryWaitOver() const;
-  void beginMerge();
-  void fetchNext();
-  void sendFetch();
+  bool selfPromised() const;
+  void evaluatePromises();
+  bool intactReplicasTimedOut() const;
+  void beginMerge(RecoveryKind recovery);
+  void finishIfMerged();
   /// Adds the row that tells a successor that this table was never complete.
   void markLostMemory();
-  void finish();
 
   CoreContext& context_;
   const StoreSet& stores_;
   PartitionReplica& replica_;
   const PartitionOptions& options_;
-  std::function<void()> changed_;
+  const std::function<void()> changed_;
+  const std::uint64_t epoch_;
   State state_ = State::Promising;
-  TakeoverOutcome outcome_;
-  std::map<NodeId, Answer> answers_;
+  PromiseQuorum promises_;
+  RecoveryKind recovery_ = RecoveryKind::Complete;
+  std::optional<TableMerge> merge_;  ///< Present from `Merging` on.
   std::uint64_t refusedBy_ = 0;
-  std::optional<Time> majorityAt_;  ///< When the majorities had promised.
-  Time progressAt_;
-  Time askedAt_;
-  bool asked_ = false;
-  std::vector<NodeId> sources_;
-  bool replace_ = false;
-  bool fetchFromStart_ = true;
-  std::string fetchAfter_;
-  Time fetchSentAt_;
+  std::optional<Time> promisedAt_;   ///< When the majorities had promised.
+  std::optional<Time> requestedAt_;  ///< When promises were last asked for.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- /dev/null
+++ b/src/partition/slow_takeover_monitor.cpp
@@ -0,0 +1,43 @@
+#include "partition/slow_takeover_monitor.h"
+
+namespace shedshed {
+
+namespace {
+
+std::string nameOf(const PartitionId& partition) {
+  return (partition.kind == TableKind::Slots ? "slots/" : "batches/") +
+         std::to_string(partition.index);
+}
+
+}  // namespace
+
+SlowTakeoverMonitor::SlowTakeoverMonitor(CoreContext& context, const PartitionId& partition)
+    : context_(context), partition_(nameOf(partition)) {}
+
+void SlowTakeoverMonitor::trying(std::uint64_t epoch,
+                                 const std::function<std::string()>& progress) {
+  if (!tryingSince_) {
+    tryingSince_ = context_.now();
+  }
+  if (logged_ || context_.now() - *tryingSince_ < kSlowTakeover) {
+    return;
+  }
+  logged_ = true;
+  context_.counters().add("partition_slow_takeovers_total");
+  context_.logEvent(TraceEvent("TakeoverSlow", Severity::Warning)
+                        .field("partition", partition_)
+                        .field("epoch", epoch)
+                        .field("progress", progress()));
+}
+
+void SlowTakeoverMonitor::notTrying(std::uint64_t epoch, bool serves) {
+  if (logged_) {
+    context_.logEvent(TraceEvent(serves ? "TakeoverFinished" : "TakeoverAbandoned")
+                          .field("partition", partition_)
+                          .field("epoch", epoch));
+  }
+  tryingSince_.reset();
+  logged_ = false;
+}
+
+}  // namespace shedshed
--- a/src/partition/write_log.cpp
+++ b/src/partition/write_log.cpp
@@ -22,7 +22,8 @@
                                                              const PartitionTable& table) const {
   std::vector<std::vector<VersionedRow>> found;
   std::size_t bytes = 0;
-  for (std::uint64_t next = sequence + 1; next <= this->sequence() && bytes < kPageBytes; ++next) {
+  for (std::uint64_t next = sequence + 1;
+       next <= this->sequence() && bytes < PartitionTable::kMaxPageBytes; ++next) {
     std::vector<VersionedRow> rows;
     for (const std::string& key : writes_[next - first_].keys) {
       std::optional<VersionedRow> row = table.row(key);
@@ -38,7 +39,7 @@
 }
 
 void WriteLog::trim(std::uint64_t needed) {
-  while (writes_.size() > kLogEntries && first_ <= needed) {
+  while (writes_.size() > kMaxEntries && first_ <= needed) {
     writes_.pop_front();
     ++first_;
   }
--- a/src/partition/write_log.h
+++ b/src/partition/write_log.h
@@ -12,6 +12,10 @@
 /// keys are sent, which hold that write or a later one. Core thread only.
 class WriteLog {
  public:
+  /// Number of past writes whose keys are remembered for replicas that fall behind. A replica that
+  /// is further behind gets the whole table.
+  static constexpr std::size_t kMaxEntries = 4096;
+
   /// Begins at sequence 0 with the merged table, whose checksum is @p baseChecksum.
   explicit WriteLog(std::uint64_t baseChecksum) : baseChecksum_(baseChecksum) {}
 
@@ -27,11 +31,12 @@
   /// The table's checksum right after write @p sequence, if still known.
   std::optional<std::uint64_t> checksumAt(std::uint64_t sequence) const;
 
-  /// Returns the writes after @p sequence with rows of @p table, up to `kPageBytes`.
+  /// Returns the writes after @p sequence with rows of @p table, up to
+  /// `PartitionTable::kMaxPageBytes`.
   std::vector<std::vector<VersionedRow>> writesAfter(std::uint64_t sequence,
                                                      const PartitionTable& table) const;
 
-  /// Forgets the oldest writes beyond `kLogEntries`, but none after @p needed.
+  /// Forgets the oldest writes beyond `kMaxEntries`, but none after @p needed.
   void trim(std::uint64_t needed);
 
  private:
--- a/src/process/state_process.cpp
+++ b/src/process/state_process.cpp
@@ -133,7 +133,7 @@
 bool StateProcess::handedOver() {
   bool done = true;
   node_.runtime.runAndWait(
-      [this, &done] { done = !cores_->store || cores_->store->partitions.handedOver(); });
+      [this, &done] { done = !cores_->store || cores_->store->partitions.ownershipTransferred(); });
   return done;
 }
 
--- a/tests/partition/replication_test.cpp
+++ b/tests/partition/replication_test.cpp
@@ -27,7 +27,7 @@
   fleet.isolate(order[0], order[2]);
   const Outcome durable = fleet.write(order[0], kBatches, "key", "value");
   const Outcome slot = fleet.write(fleet.order(kSlots)[0], kSlots, "key", "value");
-  fleet.advance(kAllReplicasWait - milliseconds(50));
+  fleet.advance(PartitionOwner::kAllReplicasTimeout - milliseconds(50));
   BOOST_TEST(durable.pending());
   BOOST_TEST(slot.succeeded());
   fleet.advance(milliseconds(100));
@@ -154,7 +154,7 @@
   BOOST_TEST(!fleet.core(order[2]).repairProgress().complete());
   fleet.advance(seconds(2));
   BOOST_TEST(fleet.core(order[2]).repairProgress().complete());
-  BOOST_TEST(fleet.core(order[2]).repairProgress().settled == 0U);
+  BOOST_TEST(fleet.core(order[2]).repairProgress().countedAsReplica == 0U);
   fleet.isolate(order[0], order[1]);
   const Outcome alone = fleet.write(order[0], kBatches, "alone", "value");
   fleet.advance(seconds(1));
@@ -301,7 +301,7 @@
   fleet.kill(order[2]);
   fleet.harness.records[order[2]].rows[record] = old;
   fleet.start(order[2]);
-  fleet.advance(3 * kScrubInterval);
+  fleet.advance(3 * ReplicaPeer::kScrubInterval);
   BOOST_TEST((fleet.harness.records[order[2]].rows[record] == good));
   BOOST_TEST(fleet.harness.counters.values["partition_scrub_repairs_total"] == 1);
 }
--- a/tests/partition/takeover_test.cpp
+++ b/tests/partition/takeover_test.cpp
@@ -80,7 +80,7 @@
   const auto order = fleet.order(kSlots);
   fleet.isolate(order[0], order[1]);
   fleet.isolate(order[0], order[2]);
-  fleet.advance(kOwnershipSilence + seconds(1));
+  fleet.advance(PartitionOptions::kHeartbeatTimeout + seconds(1));
   BOOST_TEST(!fleet.core(order[0]).owns(kSlots));
   BOOST_TEST(fleet.stores[order[0]].recorder.owned.empty());
 }
@@ -291,7 +291,7 @@
   fleet.advance(seconds(1));
   fleet.store(order[1], kSlots, "key", "value");
   fleet.start(order[0]);
-  fleet.advance(kHandBackSettle - milliseconds(200));
+  fleet.advance(TakeoverPolicy::kHandBackDelay - milliseconds(200));
   BOOST_TEST(fleet.core(order[1]).owns(kSlots));
   fleet.advance(seconds(1));
   BOOST_TEST(fleet.core(order[0]).owns(kSlots));
@@ -328,7 +328,7 @@
   fleet.advance(seconds(2));
   BOOST_TEST(fleet.core(order[0]).repairProgress().complete());
   BOOST_TEST(fleet.harness.counters.values["partition_transfer_rows_total"] == 3000);
-  BOOST_TEST(largest < 2 * kPageBytes);
+  BOOST_TEST(largest < 2 * PartitionTable::kMaxPageBytes);
 }
 
 BOOST_AUTO_TEST_CASE(store_cut_off_from_a_working_owner_does_not_displace_it) {
