--- a/sim/sim_disk.h
+++ b/sim/sim_disk.h
@@ -5,7 +5,7 @@
 
 #include "kernel/core.h"
 #include "storage/fake_file_system.h"
-#include "storage/record_ring.h"
+#include "storage/log_structured_store.h"
 
 #include <memory>
 
--- a/src/control/control_process.h
+++ b/src/control/control_process.h
@@ -5,7 +5,7 @@
 #include "assembly/control_cores.h"
 #include "process/node_process.h"
 #include "storage/posix_file_system.h"
-#include "storage/record_ring.h"
+#include "storage/log_structured_store.h"
 
 #include <memory>
 
--- a/src/process/state_process.h
+++ b/src/process/state_process.h
@@ -9,7 +9,7 @@
 #include "register/fleet_bootstrap.h"
 #include "register/self_admission.h"
 #include "register/successor_core.h"
-#include "storage/record_ring.h"
+#include "storage/log_structured_store.h"
 
 namespace shedshed {
 
--- a/src/storage/ring_recovery.cpp
+++ b/src/storage/log_recovery.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// Opening of a record ring: creation and recovery.
-#include "storage/record_ring.h"
+#include "storage/log_structured_store.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/storage/record_ring.cpp
+++ b/src/storage/log_structured_store.cpp
@@ -1,4 +1,4 @@
-#include "storage/record_ring.h"
+#include "storage/log_structured_store.h"
 
 #include <algorithm>
 
--- a/src/storage/record_ring.h
+++ b/src/storage/log_structured_store.h
@@ -17,7 +17,7 @@
 #include "kernel/core.h"
 #include "storage/durable_records.h"
 #include "storage/file_system.h"
-#include "storage/record_format.h"
+#include "storage/segment_format.h"
 
 #include <cstdint>
 #include <map>
--- a/src/storage/record_format.cpp
+++ b/src/storage/segment_format.cpp
@@ -1,4 +1,4 @@
-#include "storage/record_format.h"
+#include "storage/segment_format.h"
 
 #include <cstring>
 #include <xxhash.h>
--- a/tests/storage/record_ring_test.cpp
+++ b/tests/storage/log_structured_store_test.cpp
@@ -1,6 +1,6 @@
 #include "storage/fake_file_system.h"
 #include "storage/posix_file_system.h"
-#include "storage/record_ring.h"
+#include "storage/log_structured_store.h"
 
 #include <algorithm>
 #include <atomic>
