--- a/src/partition/owner_locator.h
+++ b/src/partition/owner_locator.h
@@ -11,20 +11,20 @@
 namespace shedshed {
 
 /// Guesses a partition's owner: the last redirect if there was one, else the first live store in
-/// the agreed order, stores that drain coming last. A wrong guess costs one redirect, never safety:
-/// owners are fenced by epochs. Core thread only.
+/// the agreed order, draining stores last. A wrong guess costs one redirect, never safety: owners
+/// are fenced by epochs. Core thread only.
 class OwnerLocator {
  public:
   /// Keeps references to both; they must outlive it.
   OwnerLocator(const Directory& directory, ConfigurationSource& configuration);
 
-  /// Returns the node to ask on try number @p attempt (from 0); empty if no store is known.
+  /// Returns the node for attempt number @p attempt, from 0; empty if no store is known.
   NodeId candidate(const PartitionId& partition, std::uint32_t attempt) const;
 
   /// A node answered `NotOwner` and named @p owner.
   void redirected(const PartitionId& partition, const NodeId& owner);
 
-  /// A node did not answer, or named nobody.
+  /// A node did not answer, or named no owner.
   void failed(const PartitionId& partition, const NodeId& node);
 
  private:
--- a/src/partition/partition_core.cpp
+++ b/src/partition/partition_core.cpp
@@ -248,7 +248,7 @@
   RepairProgress progress;
   progress.isMember = stores_.selfIsMember();
   for (const auto& entry : partitions_) {
-    if (!stores_.selfHolds(entry.first)) {
+    if (!stores_.selfReplicates(entry.first)) {
       continue;
     }
     ++progress.total;
--- a/src/partition/partition_messages.h
+++ b/src/partition/partition_messages.h
@@ -15,7 +15,7 @@
   MSGPACK_DEFINE(partition, epoch);
 };
 
-/// Asks for a promise to refuse every epoch below the named ones.
+/// Requests promises to reject every epoch below the named ones.
 struct PromiseRequest {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 1;
@@ -27,7 +27,7 @@
 struct PromiseAnswer {
   PartitionId partition;
   std::uint64_t epoch = 0;          ///< The epoch asked for.
-  std::uint64_t promisedEpoch = 0;  ///< Equal to `epoch` if granted, higher if refused.
+  std::uint64_t promisedEpoch = 0;  ///< Equal to `epoch` if granted, higher if rejected.
   bool granted = false;
   bool intact = false;               ///< Holds everything that it ever acknowledged.
   std::uint64_t installedEpoch = 0;  ///< Epoch whose merged table it holds in full; 0 if none.
@@ -39,6 +39,7 @@
                  setEpoch, replicas);
 };
 
+/// Answers a `PromiseRequest`; sent once all its promises are synced.
 struct PromiseReply {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 2;
@@ -47,7 +48,7 @@
   MSGPACK_DEFINE(storeId, answers);
 };
 
-/// Asks a replica that has promised @p epoch for the rows after a key.
+/// Requests the rows after a key from a replica that has promised `epoch`.
 struct FetchRequest {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 3;
@@ -69,6 +70,8 @@
   MSGPACK_DEFINE(fromStart, afterKey, last, throughKey, rows);
 };
 
+/// Answers a `FetchRequest`. None is sent by a replica that has not promised the epoch to the
+/// sender.
 struct FetchReply {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 4;
@@ -95,6 +98,7 @@
   MSGPACK_DEFINE(partition, epoch, transfer, sequence, keepRows, checksum, replicas, page);
 };
 
+/// Answers an `InstallRequest`, once the page is synced.
 struct InstallReply {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 6;
@@ -131,6 +135,7 @@
   MSGPACK_DEFINE(partition, promisedEpoch, installedEpoch, sequence, checksum, checksumSequence);
 };
 
+/// Answers a `ReplicateRequest`, for `Batches` once its writes are synced.
 struct ReplicateReply {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 8;
@@ -146,8 +151,8 @@
   PartitionId partition;
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;  ///< Last write begun.
-  std::uint64_t stable = 0;    ///< Every member holds this write: tombstones up to it may go.
-                               ///< 0 if unknown.
+  std::uint64_t stable = 0;    ///< Every replica holds this write: tombstones up to it may be
+                               ///< forgotten. 0 if unknown.
   MSGPACK_DEFINE(partition, epoch, sequence, stable);
 };
 
@@ -160,13 +165,14 @@
   MSGPACK_DEFINE(round, items);
 };
 
+/// Answers a `HeartbeatRequest` with the position in each of its partitions.
 struct HeartbeatReply {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 10;
   std::string storeId;
   std::uint64_t round = 0;
   std::vector<ReplicaPosition> positions;
-  bool isScarce = false;  ///< The sender has little room left on its disk.
+  bool isScarce = false;  ///< The sender has little disk space.
   MSGPACK_DEFINE(storeId, round, positions, isScarce);
 };
 
--- a/src/partition/partition_owner.cpp
+++ b/src/partition/partition_owner.cpp
@@ -139,7 +139,7 @@
   }
   // A majority is safe. The wait lets a durable row reach all disks while none is in trouble.
   const bool waitForAll = replica_.partition().kind == TableKind::Batches &&
-                          stores_.allStaying(outcome_.replicas) &&
+                          stores_.allLiveAndNotDraining(outcome_.replicas) &&
                           context_.now() - write.begunAt < kAllReplicasTimeout;
   return !waitForAll || quorum_.allHold(write.sequence);
 }
--- a/src/partition/partition_store.h
+++ b/src/partition/partition_store.h
@@ -24,6 +24,7 @@
 /// Number of partitions of each kind. Fixed for the life of a fleet.
 inline constexpr std::uint32_t kPartitionCount = 64;
 
+/// One partition of one kind of table.
 struct PartitionId {
   TableKind kind = TableKind::Slots;
   std::uint32_t index = 0;
@@ -61,7 +62,7 @@
 /// `Complete`. The slot owner erases it when its holders have re-asserted.
 inline constexpr const char* kRecoveringRow = "recovering";
 
-/// Told about ownership. Core thread.
+/// Is notified of ownership. Core thread.
 class PartitionListener {
  public:
   virtual ~PartitionListener() = default;
@@ -88,8 +89,8 @@
   /// The node that this node believes to be the owner; empty if unknown. A hint for redirects.
   virtual NodeId ownerHint(const PartitionId& partition) const = 0;
 
-  /// False if this store or a replica of @p partition has little room left: no new data should be
-  /// taken, so that whatever follows from the present data can still be written.
+  /// False if this store or a replica of @p partition has little disk space: no new data should be
+  /// accepted, so that whatever follows from the present data can still be written.
   virtual bool takesNewData(const PartitionId& /*partition*/) const { return true; }
 
   /// Replicates @p entries as one atomic write. They are visible to `get` at once; @p done is
--- a/src/partition/placement.h
+++ b/src/partition/placement.h
@@ -8,16 +8,17 @@
 
 namespace shedshed {
 
-/// Returns the members that hold @p partition: `MemberList::replicas` neighbours in the ring of the
-/// list's places, or all members if the list names no number or has no more places.
+/// Returns the members that hold @p partition: those in `MemberList::replicas` adjacent slots of
+/// the list, taken as a ring, or all members if the list names no number or has no more slots.
 ///
-/// A place in the list is kept for the life of a fleet and its holder is replaced in it, so a
-/// replacement changes one member in the sets of the partitions of that place and nothing in any
-/// other. A newcomer must hold those partitions before it is listed, so every set of replicas has
-/// only members that know an earlier set; `PartitionTakeover` finds the newest one from them.
+/// A slot of the list lasts for the life of a fleet and its store is replaced in it, so a
+/// replacement changes one member in the replica sets of the partitions of that slot and nothing in
+/// any other. A joining store must be caught up with those partitions before it is listed, so every
+/// replica set has only members that know an earlier set; `PromiseQuorum` finds the newest one from
+/// them.
 StoreMembers replicasOf(const PartitionId& partition, const MemberList& members);
 
-/// True if @p node is at a place that holds @p partition, with whatever disk.
-bool isPlacedAt(const PartitionId& partition, const MemberList& members, const NodeId& node);
+/// True if @p node, whatever its disk is, is a replica of @p partition.
+bool isReplicaOf(const PartitionId& partition, const MemberList& members, const NodeId& node);
 
 }  // namespace shedshed
--- a/src/partition/store_set.cpp
+++ b/src/partition/store_set.cpp
@@ -33,8 +33,8 @@
                      [&](const MemberList::Member& member) { return member.id == node; });
 }
 
-bool StoreSet::selfHolds(const PartitionId& partition) const {
-  return !isListed(self_) || isPlacedAt(partition, list_, self_);
+bool StoreSet::selfReplicates(const PartitionId& partition) const {
+  return !isListed(self_) || isReplicaOf(partition, list_, self_);
 }
 
 bool StoreSet::isLive(const MemberList::Member& member) const {
@@ -50,7 +50,7 @@
   return info->state != NodeState::Dead && sameDisk;
 }
 
-bool StoreSet::allStaying(const StoreMembers& members) const {
+bool StoreSet::allLiveAndNotDraining(const StoreMembers& members) const {
   return std::all_of(members.begin(), members.end(), [this](const MemberList::Member& member) {
     return isLive(member) && !isDraining(member.id);
   });
--- a/src/partition/store_set.h
+++ b/src/partition/store_set.h
@@ -19,17 +19,15 @@
   StoreSet(const Directory& directory, ConfigurationSource& configuration, const NodeId& self,
            const std::string& storeId);
 
-  /// The stores of the members register in force, by place.
+  /// The stores of the members register in force, by slot.
   const StoreMembers& members() const { return list_.stores; }
 
   /// The members that hold @p partition.
   StoreMembers replicas(const PartitionId& partition) const { return replicasOf(partition, list_); }
 
-  /// True if this node is to hold @p partition: at its place, or as a stand-by, which holds all.
-  bool selfHolds(const PartitionId& partition) const;
-
-  /// Version of the members register in force; 0 if none.
-  std::uint64_t version() const { return version_; }
+  /// True if this node is to replicate @p partition: as one of its replicas, or as a standby, which
+  /// replicates all.
+  bool selfReplicates(const PartitionId& partition) const;
 
   /// True if @p node with the disk @p storeId is a member.
   bool isMember(const NodeId& node, const std::string& storeId) const;
@@ -41,28 +39,28 @@
   bool isLive(const MemberList::Member& member) const;
 
   /// True if all of @p members are live and none drains.
-  bool allStaying(const StoreMembers& members) const;
+  bool allLiveAndNotDraining(const StoreMembers& members) const;
 
-  /// True if the directory says that @p node drains: it hands its partitions over.
+  /// True if the directory says that @p node drains: it transfers its partitions to other stores.
   bool isDraining(const NodeId& node) const;
 
   /// The live replicas in the order in which they own @p partition. Those that drain come last:
   /// they own only what no other live store can.
   std::vector<NodeId> liveOrder(const PartitionId& partition) const;
 
-  /// All other nodes that are to hold copies of @p partition: its replicas, and live store nodes
-  /// that have no place. The latter count for no majority.
+  /// All other nodes that the owner of @p partition replicates to: its replicas, and live standby
+  /// stores, which are not in the member list. The latter count for no majority.
   std::vector<NodeId> peers(const PartitionId& partition) const;
 
   /// False if the directory says that @p node is dead.
   bool isReachable(const NodeId& node) const;
 
  private:
+  bool isListed(const NodeId& node) const;
+
   const Directory& directory_;
   NodeId self_;
   std::string storeId_;
-  bool isListed(const NodeId& node) const;
-
   MemberList list_;
   std::uint64_t version_ = 0;
 };
--- a/tests/partition/partition_fleet.h
+++ b/tests/partition/partition_fleet.h
@@ -147,6 +147,9 @@
     stores.erase(name);
   }
   void markDead(const std::string& name) { directory.set(name, NodeState::Dead, storeIds[name]); }
+  void markDraining(const std::string& name) {
+    directory.set(name, NodeState::Draining, storeIds[name]);
+  }
   void lose(const std::string& name) {
     kill(name);
     markDead(name);
--- a/tests/partition/partition_owner_test.cpp
+++ b/tests/partition/partition_owner_test.cpp
@@ -1,4 +1,6 @@
 // Writes, lossy networks, tombstones, repair and replacement.
+#include "partition/partition_owner.h"
+
 #include "partition_fleet.h"
 
 using namespace shedshed;
@@ -21,7 +23,7 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(durable_write_waits_for_all_live_replicas_a_little_longer) {
+BOOST_AUTO_TEST_CASE(durable_write_waits_for_all_live_replicas_a_short_time) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   fleet.isolate(order[0], order[2]);
@@ -184,10 +186,9 @@
   BOOST_TEST(rows == 30);
 }
 
-/// Over a busy link a large page takes longer than a small message. Sent again meanwhile it only
-/// kept the link busy: a store with a new disk was not whole again in time, and a second loss lost
-/// batches.
-BOOST_AUTO_TEST_CASE(a_large_page_on_its_way_is_not_sent_again_at_once) {
+/// Over a busy link a large page takes longer than a small message. Sent again meanwhile it would
+/// only keep the link busy, and the repair of a new disk would take longer.
+BOOST_AUTO_TEST_CASE(a_large_page_in_flight_is_not_sent_again_at_once) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   fleet.store(order[0], kBatches, "body", std::string(250 * 1024, 'b'));
@@ -200,7 +201,7 @@
                          envelope.to.address == order[2] &&
                          envelope.message.payload.size() > 200U * 1024;
     large += isLarge ? 1 : 0;
-    return !isLarge;  // Still on its way.
+    return !isLarge;  // Still in flight.
   };
   fleet.start(order[2]);
   for (int step = 0; step < 100 && large == 0; ++step) {
@@ -239,7 +240,7 @@
   BOOST_TEST((fleet.core(owners[0]).get(kBatches, "key") == Value("value")));
 }
 
-BOOST_AUTO_TEST_CASE(erased_row_is_not_resurrected_by_an_older_copy) {
+BOOST_AUTO_TEST_CASE(erased_row_is_not_resurrected_by_an_older_replica) {
   for (const PartitionId& id : {kSlots, kBatches}) {
     Fleet fleet;
     const auto order = fleet.order(id);
@@ -253,7 +254,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(tombstones_go_only_when_all_members_have_them) {
+BOOST_AUTO_TEST_CASE(tombstones_are_collected_only_when_all_members_have_them) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   const std::string record = partitionRecordPrefix(kBatches) + "row/key";
@@ -269,7 +270,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(damaged_rows_are_healed_from_the_other_replicas) {
+BOOST_AUTO_TEST_CASE(damaged_rows_are_repaired_from_the_other_replicas) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   const std::string record = partitionRecordPrefix(kBatches) + "row/key";
@@ -306,7 +307,7 @@
   BOOST_TEST(fleet.harness.counters.values["partition_scrub_repairs_total"] == 1);
 }
 
-BOOST_AUTO_TEST_CASE(owner_knows_of_a_replica_with_little_room) {
+BOOST_AUTO_TEST_CASE(owner_takes_no_new_data_while_a_replica_has_little_disk_space) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   BOOST_TEST(fleet.core(order[0]).takesNewData(kBatches));
@@ -317,21 +318,3 @@
   fleet.advance(milliseconds(600));
   BOOST_TEST(fleet.core(order[0]).takesNewData(kBatches));
 }
-
-BOOST_AUTO_TEST_CASE(write_survives_a_disk_that_refuses_for_a_while) {
-  MemoryRecords unused;
-  Harness harness;
-  HarnessContext& context = harness.context("a:1", ServiceId::Partition);
-  DurableWriter writer(context, 1);
-  std::vector<int> done;
-  writer.persist({{"k", "1"}}, [&done] { done.push_back(1); });
-  writer.persist({{"k", "2"}}, [&done] { done.push_back(2); });
-  writer.persisted(1, makeError(ErrorCode::StorageFull));
-  writer.persisted(2, okStatus());
-  BOOST_TEST(done.empty());
-  writer.retry();
-  writer.persisted(3, okStatus());
-  writer.persisted(4, okStatus());
-  BOOST_TEST(done == (std::vector<int>{1, 2}), boost::test_tools::per_element());
-  BOOST_TEST(harness.records["a:1"].rows["k"] == "2");
-}
--- a/tests/partition/partition_takeover_test.cpp
+++ b/tests/partition/partition_takeover_test.cpp
@@ -1,4 +1,6 @@
 // Who owns a partition, and what a new owner finds.
+#include "partition/partition_takeover.h"
+
 #include "partition_fleet.h"
 
 using namespace shedshed;
@@ -51,7 +53,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(old_owner_that_is_cut_off_completes_nothing) {
+BOOST_AUTO_TEST_CASE(partitioned_old_owner_completes_nothing) {
   for (const PartitionId& id : {kSlots, kBatches}) {
     Fleet fleet;
     const auto order = fleet.order(id);
@@ -75,7 +77,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(owner_without_a_majority_steps_aside) {
+BOOST_AUTO_TEST_CASE(owner_without_a_majority_gives_up_ownership) {
   Fleet fleet;
   const auto order = fleet.order(kSlots);
   fleet.isolate(order[0], order[1]);
@@ -139,50 +141,6 @@
   BOOST_TEST((takeOverBesideAnEmptyReplica(fleet) == RecoveryKind::Complete));
 }
 
-namespace {
-
-/// A replica on a node of its own, with its writer.
-struct LoneReplica : Core {
-  explicit LoneReplica(HarnessContext& context)
-      : writer(context, 1), replica(context, writer, PartitionOptions{"disk"}, kBatches) {
-    replica.load();
-  }
-  void start() override {}
-  void receive(const NodeId&, const Message&) override {}
-  void timerExpired(TimerId) override {}
-  void persisted(PersistId id, const Status& status) override { writer.persisted(id, status); }
-  DurableWriter writer;
-  PartitionReplica replica;
-};
-
-bool grants(Harness& harness, PartitionReplica& replica, std::uint64_t epoch,
-            const std::string& to) {
-  bool granted = false;
-  replica.promise(epoch, NodeId{to},
-                  [&granted](const PromiseAnswer& answer) { granted = answer.granted; });
-  harness.settle();
-  return granted;
-}
-
-}  // namespace
-
-/// A node that restarts cannot know whether it owned the epoch that it had promised to itself. Two
-/// owners of one epoch would write different rows under equal versions.
-BOOST_AUTO_TEST_CASE(an_epoch_promised_to_oneself_stays_so_through_a_restart) {
-  Harness harness;
-  HarnessContext& context = harness.context("a:1", ServiceId::Partition);
-  {
-    LoneReplica before(context);
-    harness.attach(context, before);
-    BOOST_TEST(grants(harness, before.replica, 5, "a:1"));
-  }
-  LoneReplica after(context);
-  harness.attach(context, after);
-  BOOST_TEST(!grants(harness, after.replica, 5, "b:1"));
-  BOOST_TEST(!after.replica.accepts(5, NodeId{"b:1"}));
-  BOOST_TEST(grants(harness, after.replica, 6, "b:1"));
-}
-
 /// The mark must be in the installed table itself: an owner that is lost right after its takeover
 /// has had no time to write anything.
 BOOST_AUTO_TEST_CASE(memory_loss_is_marked_in_the_installed_table) {
@@ -284,22 +242,6 @@
   BOOST_TEST((readAfterUnackedRowWasShown(fleet) == Value("value")));
 }
 
-BOOST_AUTO_TEST_CASE(returning_store_takes_back_after_the_settle_time) {
-  Fleet fleet;
-  const auto order = fleet.order(kSlots);
-  fleet.lose(order[0]);
-  fleet.advance(seconds(1));
-  fleet.store(order[1], kSlots, "key", "value");
-  fleet.start(order[0]);
-  fleet.advance(TakeoverPolicy::kHandBackDelay - milliseconds(200));
-  BOOST_TEST(fleet.core(order[1]).owns(kSlots));
-  fleet.advance(seconds(1));
-  BOOST_TEST(fleet.core(order[0]).owns(kSlots));
-  BOOST_TEST(!fleet.core(order[1]).owns(kSlots));
-  BOOST_TEST((fleet.recovery(order[0], kSlots) == RecoveryKind::Complete));
-  BOOST_TEST((fleet.core(order[0]).get(kSlots, "key") == Value("value")));
-}
-
 BOOST_AUTO_TEST_CASE(equal_replicas_transfer_nothing_and_large_ones_move_in_pages) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
@@ -331,19 +273,9 @@
   BOOST_TEST(largest < 2 * PartitionTable::kMaxPageBytes);
 }
 
-BOOST_AUTO_TEST_CASE(store_cut_off_from_a_working_owner_does_not_displace_it) {
-  Fleet fleet;
-  const auto order = fleet.order(kSlots);
-  const std::uint64_t epoch = fleet.core(order[0]).epoch(kSlots);
-  fleet.isolate(order[0], order[1]);
-  fleet.advance(seconds(30));
-  BOOST_TEST(fleet.core(order[0]).epoch(kSlots) == epoch);
-  BOOST_TEST(!fleet.core(order[1]).owns(kSlots));
-}
-
 // Two stores that are cut off together from the registers' majority still have a majority of the
 // stores; what they act on may have been replaced meanwhile.
-BOOST_AUTO_TEST_CASE(store_without_a_proof_of_its_configuration_steps_aside) {
+BOOST_AUTO_TEST_CASE(store_without_a_proof_of_its_configuration_gives_up_ownership) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   for (const std::string& name : fleet.names()) {
--- a/tests/partition/placement_test.cpp
+++ b/tests/partition/placement_test.cpp
@@ -94,7 +94,7 @@
 
 BOOST_AUTO_TEST_SUITE(placement)
 
-BOOST_AUTO_TEST_CASE(every_partition_has_its_replicas_and_every_place_its_share) {
+BOOST_AUTO_TEST_CASE(every_partition_has_its_replicas_and_every_slot_its_share) {
   MemberList list;
   list.replicas = kReplicas;
   for (int number = 0; number < kStores; ++number) {
@@ -122,7 +122,7 @@
   BOOST_TEST(replicasOf(kSlots, list).size() == 2U);
 }
 
-// A write went to every store of the fleet: at 13 stores a call cost more than 150 messages.
+// The cost of a write must not grow with the number of stores.
 BOOST_AUTO_TEST_CASE(a_write_costs_messages_to_the_replicas_only) {
   WideFleet fleet;
   std::size_t writes = 0;
@@ -160,7 +160,7 @@
   }
 }
 
-// Places are refilled one after the other until no first store is left.
+// The slots of the member list get new stores one after the other until no first store is left.
 BOOST_AUTO_TEST_CASE(rows_survive_the_replacement_of_every_store) {
   WideFleet fleet;
   for (const PartitionId& partition : allPartitions()) {
@@ -169,19 +169,19 @@
   fleet.harness.advance(milliseconds(300));
   for (int number = 0; number < kStores; ++number) {
     const std::string old = WideFleet::nameOf(number);
-    const std::string newcomer = "n" + old;
-    fleet.start(newcomer, "disk-" + newcomer);
+    const std::string replacement = "n" + old;
+    fleet.start(replacement, "disk-" + replacement);
     for (int step = 0; step < 100; ++step) {
       fleet.harness.advance(milliseconds(100));
-      if (fleet.stores.at(newcomer).core->repairProgress().complete()) {
+      if (fleet.stores.at(replacement).core->repairProgress().complete()) {
         break;
       }
     }
-    BOOST_REQUIRE(fleet.stores.at(newcomer).core->repairProgress().complete());
-    fleet.list.stores[number] = {NodeId{newcomer}, "disk-" + newcomer};
+    BOOST_REQUIRE(fleet.stores.at(replacement).core->repairProgress().complete());
+    fleet.list.stores[number] = {NodeId{replacement}, "disk-" + replacement};
     fleet.publish();
     fleet.harness.advance(seconds(2));
-    BOOST_TEST(fleet.stores.at(newcomer).core->repairProgress().replacementComplete());
+    BOOST_TEST(fleet.stores.at(replacement).core->repairProgress().replacementComplete());
     fleet.lose(old);
   }
   fleet.harness.advance(seconds(8));
@@ -190,8 +190,8 @@
   }
 }
 
-// A store that came back with an empty disk is whole with the partitions of its own place.
-BOOST_AUTO_TEST_CASE(an_emptied_store_needs_only_the_partitions_of_its_place) {
+// A store that returned with an empty disk is caught up with the partitions of its own slot.
+BOOST_AUTO_TEST_CASE(an_emptied_store_needs_only_the_partitions_of_its_slot) {
   WideFleet fleet;
   const std::string name = WideFleet::nameOf(4);
   fleet.lose(name);
--- a/tests/partition/takeover_policy_test.cpp
+++ b/tests/partition/takeover_policy_test.cpp
@@ -1,24 +1,17 @@
-// A store that stops on request hands its partitions over before it ends.
-#include "partition/owner_locator.h"
+// When a store takes over: after the loss of the owner, from a draining owner, on its return.
+#include "partition/takeover_policy.h"
+
 #include "partition_fleet.h"
 
 using namespace shedshed;
 using namespace shedshed::test;
 
-namespace {
-
-void markDraining(Fleet& fleet, const std::string& name) {
-  fleet.directory.set(name, NodeState::Draining, fleet.storeIds[name]);
-}
-
-}  // namespace
-
 BOOST_AUTO_TEST_CASE(draining_owner_is_replaced_at_once_by_the_next_store) {
   for (const PartitionId& id : {kSlots, kBatches}) {
     Fleet fleet;
     const auto order = fleet.order(id);
     fleet.store(order[0], id, "key", "value");
-    markDraining(fleet, order[0]);
+    fleet.markDraining(order[0]);
     fleet.advance(milliseconds(200));
     BOOST_TEST(fleet.owners(id) == std::vector<std::string>{order[1]},
                boost::test_tools::per_element());
@@ -30,7 +23,7 @@
 
 BOOST_AUTO_TEST_CASE(draining_store_ends_up_owning_nothing_and_stays_so) {
   Fleet fleet;
-  markDraining(fleet, "a:1");
+  fleet.markDraining("a:1");
   fleet.advance(milliseconds(300));
   BOOST_TEST(fleet.core("a:1").ownedPartitions() == 0U);
   fleet.advance(seconds(10));
@@ -42,7 +35,7 @@
 BOOST_AUTO_TEST_CASE(restarted_store_takes_its_partitions_back) {
   Fleet fleet;
   const auto order = fleet.order(kSlots);
-  markDraining(fleet, order[0]);
+  fleet.markDraining(order[0]);
   fleet.advance(seconds(1));
   fleet.kill(order[0]);
   fleet.start(order[0]);
@@ -51,12 +44,12 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(draining_store_goes_on_owning_while_it_is_the_only_one_left_to) {
+BOOST_AUTO_TEST_CASE(draining_store_continues_to_own_while_all_replicas_drain) {
   Fleet fleet;
   const auto order = fleet.order(kSlots);
-  markDraining(fleet, order[0]);
-  markDraining(fleet, order[1]);
-  markDraining(fleet, order[2]);
+  fleet.markDraining(order[0]);
+  fleet.markDraining(order[1]);
+  fleet.markDraining(order[2]);
   fleet.advance(seconds(10));
   BOOST_TEST(fleet.owners(kSlots) == std::vector<std::string>{order[0]},
              boost::test_tools::per_element());
@@ -73,7 +66,7 @@
   fleet.isolate(order[2], order[1]);
   fleet.kill(order[1]);
   fleet.start(order[1]);
-  markDraining(fleet, order[0]);
+  fleet.markDraining(order[0]);
   fleet.advance(seconds(3));
   BOOST_TEST(fleet.owners(kSlots) == std::vector<std::string>{order[0]},
              boost::test_tools::per_element());
@@ -85,15 +78,28 @@
   BOOST_TEST((fleet.core(order[1]).get(kSlots, "key") == Value("value")));
 }
 
-BOOST_AUTO_TEST_CASE(callers_ask_the_successor_of_a_draining_store_first) {
+BOOST_AUTO_TEST_CASE(returning_store_takes_back_after_the_hand_back_delay) {
   Fleet fleet;
   const auto order = fleet.order(kSlots);
-  OwnerLocator locator(fleet.directory, fleet.stores[order[0]].configuration);
-  BOOST_TEST(locator.candidate(kSlots, 0).address == order[0]);
-  markDraining(fleet, order[0]);
-  BOOST_TEST(locator.candidate(kSlots, 0).address == order[1]);
-  BOOST_TEST(locator.candidate(kSlots, 2).address == order[0]);
-  locator.redirected(kSlots, NodeId{order[1]});
-  fleet.markDead(order[1]);
-  BOOST_TEST(locator.candidate(kSlots, 0).address == order[2]);
+  fleet.lose(order[0]);
+  fleet.advance(seconds(1));
+  fleet.store(order[1], kSlots, "key", "value");
+  fleet.start(order[0]);
+  fleet.advance(TakeoverPolicy::kHandBackDelay - milliseconds(200));
+  BOOST_TEST(fleet.core(order[1]).owns(kSlots));
+  fleet.advance(seconds(1));
+  BOOST_TEST(fleet.core(order[0]).owns(kSlots));
+  BOOST_TEST(!fleet.core(order[1]).owns(kSlots));
+  BOOST_TEST((fleet.recovery(order[0], kSlots) == RecoveryKind::Complete));
+  BOOST_TEST((fleet.core(order[0]).get(kSlots, "key") == Value("value")));
+}
+
+BOOST_AUTO_TEST_CASE(store_partitioned_from_an_active_owner_does_not_displace_it) {
+  Fleet fleet;
+  const auto order = fleet.order(kSlots);
+  const std::uint64_t epoch = fleet.core(order[0]).epoch(kSlots);
+  fleet.isolate(order[0], order[1]);
+  fleet.advance(seconds(30));
+  BOOST_TEST(fleet.core(order[0]).epoch(kSlots) == epoch);
+  BOOST_TEST(!fleet.core(order[1]).owns(kSlots));
 }
