--- a/sim/sim_disk.cpp
+++ b/sim/sim_disk.cpp
@@ -4,18 +4,18 @@
 namespace {
 
 /// Small files, so that a run wraps the ring many times.
-RingKnobs smallRing() {
-  RingKnobs knobs;
-  knobs.fileBytes = 256U << 10U;
-  knobs.fileCount = 8;
+LogStoreOptions smallRing() {
+  LogStoreOptions knobs;
+  knobs.segmentBytes = 256U << 10U;
+  knobs.segmentCount = 8;
   return knobs;
 }
 
 }  // namespace
 
 Status SimDisk::open(RandomEngine& random) {
-  Result<std::unique_ptr<RecordRing>> opened =
-      RecordRing::open(files_, "disk", smallRing(), random);
+  Result<std::unique_ptr<LogStructuredStore>> opened =
+      LogStructuredStore::open(files_, "disk", smallRing(), random);
   if (!opened) {
     return opened.error();
   }
--- a/sim/sim_disk.h
+++ b/sim/sim_disk.h
@@ -33,7 +33,7 @@
 
  private:
   FakeFileSystem files_;
-  std::unique_ptr<RecordRing> ring_;
+  std::unique_ptr<LogStructuredStore> ring_;
   Time runningUntil_{};  ///< End of the sync that runs, or ran last.
   Time nextUntil_{};     ///< End of the sync that follows it, if somebody waits for one.
 };
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -33,7 +33,7 @@
 }
 
 ControlProcess::ControlProcess(const ProcessSettings& settings, const ProcessKeys& keys,
-                               RecordRing* ring)
+                               LogStructuredStore* ring)
     : settings_(settings), process_(settings, keys, ring),
       cores_(process_.runtime(),
              nodeOptions(settings, ring == nullptr ? std::string() : ring->storeId())),
--- a/src/control/control_process.h
+++ b/src/control/control_process.h
@@ -4,8 +4,8 @@
 
 #include "assembly/control_cores.h"
 #include "process/node_process.h"
-#include "storage/posix_file_system.h"
 #include "storage/log_structured_store.h"
+#include "storage/posix_file_system.h"
 
 #include <memory>
 
@@ -67,7 +67,8 @@
  public:
   /// @p ring must be open; null on a register node without a disk. Arguments must outlive the
   /// object.
-  ControlProcess(const ProcessSettings& settings, const ProcessKeys& keys, RecordRing* ring);
+  ControlProcess(const ProcessSettings& settings, const ProcessKeys& keys,
+                 LogStructuredStore* ring);
 
   /// Runs until the platform asks to stop. Returns the exit code.
   int run();
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -17,14 +17,16 @@
   }
   PosixFileSystem files;
   RandomEngine random(std::random_device{}());
-  std::unique_ptr<RecordRing> ring;
+  std::unique_ptr<LogStructuredStore> ring;
   if (!start.settings()->dataFolder.empty()) {
-    const auto knobs = RecordRing::knobsFor(files, start.settings()->dataFolder, RingKnobs{});
+    const auto knobs =
+        LogStructuredStore::optionsFor(files, start.settings()->dataFolder, LogStoreOptions{});
     if (!knobs) {
       logError("storage", knobs.error());
       return 1;
     }
-    auto opened = RecordRing::open(files, start.settings()->dataFolder, knobs.value(), random);
+    auto opened =
+        LogStructuredStore::open(files, start.settings()->dataFolder, knobs.value(), random);
     if (!opened) {
       logError("storage", opened.error());
       return 1;
--- a/src/process/state_process.cpp
+++ b/src/process/state_process.cpp
@@ -28,27 +28,27 @@
 
 }  // namespace
 
-RingKnobs ringKnobsFor(std::uint32_t diskMegabytes) {
-  RingKnobs knobs;
+LogStoreOptions ringKnobsFor(std::uint32_t diskMegabytes) {
+  LogStoreOptions knobs;
   const std::uint64_t room = diskMegabytes * kMegabyte * kDiskPercent / 100;
   if (diskMegabytes == 0) {
     return knobs;
   }
-  if (room >= knobs.fileBytes * knobs.fileCount) {
-    knobs.fileCount =
-        static_cast<std::uint32_t>(std::min<std::uint64_t>(room / knobs.fileBytes, kMostRingFiles));
+  if (room >= knobs.segmentBytes * knobs.segmentCount) {
+    knobs.segmentCount = static_cast<std::uint32_t>(
+        std::min<std::uint64_t>(room / knobs.segmentBytes, kMostRingFiles));
     return knobs;
   }
   std::uint64_t files = std::min(room / kLeastFileOfSmallDisk, kSmallDiskFiles);
   files = std::max(files, kTinyDiskFiles);
-  knobs.fileCount = static_cast<std::uint32_t>(files);
-  knobs.fileBytes =
+  knobs.segmentCount = static_cast<std::uint32_t>(files);
+  knobs.segmentBytes =
       std::clamp(room / files / kMegabyte, std::uint64_t{1}, kLargestFile / kMegabyte) * kMegabyte;
   return knobs;
 }
 
 StateProcess::StateProcess(const ProcessSettings& settings, const ProcessKeys& keys,
-                           RecordRing* ring)
+                           LogStructuredStore* ring)
     : settings_(settings), storeId_(ring == nullptr ? std::string() : ring->storeId()),
       node_(settings, keys, ring) {}
 
--- a/src/process/state_process.h
+++ b/src/process/state_process.h
@@ -14,7 +14,7 @@
 namespace shedshed {
 
 /// Sizes of the ring on a disk of @p diskMegabytes; the defaults for 0.
-RingKnobs ringKnobsFor(std::uint32_t diskMegabytes);
+LogStoreOptions ringKnobsFor(std::uint32_t diskMegabytes);
 
 /// One process, from its start to its end.
 class StateProcess {
@@ -24,7 +24,7 @@
 
   /// @p ring is null on a register node without a disk: it takes operators' calls and reads the
   /// listing, and votes in nothing. Arguments must outlive the object.
-  StateProcess(const ProcessSettings& settings, const ProcessKeys& keys, RecordRing* ring);
+  StateProcess(const ProcessSettings& settings, const ProcessKeys& keys, LogStructuredStore* ring);
 
   EventLoopNode& node() { return node_; }
   ControlCores& cores() { return *cores_; }
--- a/src/storage/durable_records.h
+++ b/src/storage/durable_records.h
@@ -8,7 +8,7 @@
 
 namespace shedshed {
 
-/// Records that survive once synced. Implemented by the ring of files. `append` and `sync` are
+/// Records that survive once synced. Implemented by `LogStructuredStore`. `append` and `sync` are
 /// called by one thread; the reading methods by any.
 class DurableRecords : public RecordReader {
  public:
--- a/src/storage/log_structured_store.cpp
+++ b/src/storage/log_structured_store.cpp
@@ -1,48 +1,111 @@
 #include "storage/log_structured_store.h"
 
+#include "storage/log_recovery.h"
+
 #include <algorithm>
+#include <utility>
 
 namespace shedshed {
 
-RecordRing::RecordRing(std::string folder, RingKnobs knobs)
-    : folder_(std::move(folder)), knobs_(knobs) {}
+LogStructuredStore::LogStructuredStore(std::unique_ptr<SegmentFiles> files,
+                                       std::unique_ptr<RecordIndex> index, LogPosition position)
+    : files_(std::move(files)), index_(std::move(index)),
+      writer_(*files_, *index_, std::move(position)) {}
+
+Result<std::unique_ptr<LogStructuredStore>> LogStructuredStore::open(FileSystem& fileSystem,
+                                                                     std::string folder,
+                                                                     LogStoreOptions options,
+                                                                     RandomEngine& random) {
+  const Status valid = options.validate();
+  if (!valid) {
+    return valid.error();
+  }
+  auto files = SegmentFiles::open(fileSystem, std::move(folder), options);
+  if (!files) {
+    return files.error();
+  }
+  auto index = std::make_unique<RecordIndex>(options.cachedValueBytes);
+  Result<LogPosition> position = LogRecovery(*files.value(), *index).run(random);
+  if (!position) {
+    return position.error();
+  }
+  std::unique_ptr<LogStructuredStore> store(new LogStructuredStore(
+      std::move(files).value(), std::move(index), std::move(position).value()));
+  const Status finished = store->finishRecovery();
+  if (!finished) {
+    return finished.error();
+  }
+  return store;
+}
+
+Result<LogStoreOptions> LogStructuredStore::optionsFor(FileSystem& fileSystem,
+                                                       const std::string& folder,
+                                                       LogStoreOptions wanted) {
+  const Result<std::optional<SegmentHeader>> header = SegmentFiles::findHeader(fileSystem, folder);
+  if (!header) {
+    return header.error();
+  }
+  if (header.value()) {
+    wanted.segmentBytes = header.value()->segmentBytes;
+    wanted.segmentCount = header.value()->segmentCount;
+  }
+  return wanted;
+}
 
-Status RecordRing::append(const std::vector<Mutation>& mutations) {
+Status LogStructuredStore::finishRecovery() {
+  // Recovered records may still be unsynced if only the process ended: readers take them for
+  // durable, so they must be.
+  const Status synced = writer_.syncActive();
+  if (!synced || !writer_.isSegmentEmpty()) {
+    return synced;
+  }
+  return writer_.compactOldest();
+}
+
+Status LogStructuredStore::append(const std::vector<Mutation>& mutations) {
   const std::lock_guard<std::mutex> writing(writeMutex_);
   if (poisoned_) {
     return *poisoned_;
   }
   const Status room = checkRoom(mutations);
   if (!room) {
-    return room.error();
+    return room;
   }
   std::string payload;
   for (const Mutation& mutation : mutations) {
     appendPayloadEntry(payload, mutation.key, mutation.value);
   }
-  // One turn around the ring looks at every file's live records once: if that made no room, no
+  const Status made = makeRoom(payload.size());
+  if (!made) {
+    return made;
+  }
+  const Status written = writer_.append(RecordKind::Group, payload);
+  if (!written) {
+    return poison(written.error());
+  }
+  return okStatus();
+}
+
+Status LogStructuredStore::makeRoom(std::uint64_t payloadBytes) {
+  // One turn through all files looks at every segment's live records once: if that made no room, no
   // further turn will.
-  for (std::uint32_t turn = 0; !fits(payload.size()); ++turn) {
-    if (turn == knobs_.fileCount) {
-      return makeError(ErrorCode::StorageFull, "no file has room for the group");
+  for (std::uint32_t begun = 0; !writer_.fits(payloadBytes); ++begun) {
+    if (begun == files_->options().segmentCount) {
+      return makeError(ErrorCode::StorageFull, "no segment has room for the group");
     }
-    const Status allocated = allocateFile((fileSequence_ + 1) % knobs_.fileCount);
+    const Status allocated = writer_.allocateNextSegment();
     if (!allocated) {
       return allocated;
     }
-    const Status rotated = rotate();
+    const Status rotated = writer_.beginNextSegment();
     if (!rotated) {
       return poison(rotated.error());
     }
   }
-  const Status written = writeRecord(RecordKind::Group, payload);
-  if (!written) {
-    return poison(written.error());
-  }
   return okStatus();
 }
 
-Status RecordRing::sync() {
+Status LogStructuredStore::sync() {
   std::uint64_t appended = 0;
   File* active = nullptr;
   {
@@ -50,23 +113,23 @@
     if (poisoned_) {
       return *poisoned_;
     }
-    if (syncedSequence_ >= lastSequence_) {
+    if (!writer_.hasUnsynced()) {
       return okStatus();
     }
-    appended = nextSequence_ - 1;
-    active = &file(fileSequence_);
+    appended = writer_.lastAppended();
+    active = &writer_.activeSegment();
   }
-  // Earlier files were synced when the active one was taken; the active one suffices.
+  // Earlier segments were synced when the active one was begun; the active one suffices.
   const Status synced = active->sync();
   const std::lock_guard<std::mutex> writing(writeMutex_);
   if (!synced) {
     return poison(synced.error());
   }
-  syncedSequence_ = std::max(syncedSequence_, appended);
+  writer_.setSynced(appended);
   // Left unsynced: it shows at recovery that what precedes it was synced, so that damage there is
-  // not taken for a torn tail.
-  if (fits(0)) {
-    const Status marked = writeRecord(RecordKind::SyncMark, std::string());
+  // not taken for a torn write.
+  if (writer_.fits(0)) {
+    const Status marked = writer_.append(RecordKind::SyncMarker, std::string());
     if (!marked) {
       return poison(marked.error());
     }
@@ -74,248 +137,70 @@
   return okStatus();
 }
 
-Result<std::optional<std::string>> RecordRing::read(std::string_view key) const {
-  std::uint64_t triedFile = 0;
-  std::uint64_t triedOffset = 0;
+Result<std::optional<std::string>> LogStructuredStore::read(std::string_view key) const {
+  std::uint64_t failedSegment = 0;
+  std::uint64_t failedOffset = 0;
   while (true) {
-    Version version;
-    {
-      const std::lock_guard<std::mutex> reading(indexMutex_);
-      const auto found = index_.find(key);
-      if (found == index_.end()) {
-        return std::optional<std::string>();
-      }
-      version = found->second;
-    }
-    if (version.cached) {
-      return version.cached;
+    const std::optional<RecordLocation> location = index_->find(key);
+    if (!location) {
+      return std::optional<std::string>();
     }
-    Result<std::string> value = readVersion(version);
+    Result<std::string> value = readValue(*files_, *location);
     if (value) {
       return std::optional<std::string>(std::move(value).value());
     }
-    // The file may have been reused since the look-up; then the version has moved. A second
-    // failure at the same place is real.
-    if (version.fileSequence == triedFile && version.offset == triedOffset) {
+    // The file may have been reused since the look-up; then the record has moved. A second failure
+    // at the same location is real.
+    if (location->segmentSequence == failedSegment && location->offset == failedOffset) {
       return value.error();
     }
-    triedFile = version.fileSequence;
-    triedOffset = version.offset;
+    failedSegment = location->segmentSequence;
+    failedOffset = location->offset;
   }
 }
 
-std::vector<std::string> RecordRing::keys(std::string_view prefix) const {
-  const std::lock_guard<std::mutex> reading(indexMutex_);
-  std::vector<std::string> found;
-  for (auto entry = index_.lower_bound(prefix); entry != index_.end(); ++entry) {
-    if (entry->first.compare(0, prefix.size(), prefix) != 0) {
-      break;
-    }
-    found.push_back(entry->first);
-  }
-  return found;
+std::vector<std::string> LogStructuredStore::keys(std::string_view prefix) const {
+  return index_->keys(prefix);
 }
 
-RingUsage RecordRing::usage() const {
-  const std::lock_guard<std::mutex> reading(indexMutex_);
-  RingUsage usage;
-  usage.liveBytes = liveBytes_;
-  usage.freeBytes = liveLimitBytes() - std::min(liveLimitBytes(), liveBytes_);
-  usage.files = knobs_.fileCount;
-  usage.reclaimedFiles = reclaimedFiles_;
-  usage.wraps = turns_ / knobs_.fileCount;
+LogStoreUsage LogStructuredStore::usage() const {
+  const LogStoreOptions& options = files_->options();
+  LogStoreUsage usage;
+  usage.liveBytes = index_->liveBytes();
+  usage.freeBytes = options.maxLiveBytes() - std::min(options.maxLiveBytes(), usage.liveBytes);
+  usage.segments = options.segmentCount;
+  usage.reclaimedSegments = writer_.reclaimedSegments();
+  usage.wraps = writer_.segmentsBegun() / options.segmentCount;
   return usage;
 }
 
-RecordSpace RecordRing::space() const {
-  const std::lock_guard<std::mutex> reading(indexMutex_);
-  return {liveBytes_, liveLimitBytes()};
+RecordSpace LogStructuredStore::space() const {
+  return {index_->liveBytes(), files_->options().maxLiveBytes()};
 }
 
-Status RecordRing::poison(const Error& error) {
+Status LogStructuredStore::poison(const Error& error) {
   if (!poisoned_) {
     poisoned_ = makeError(ErrorCode::StorageFailed, "poisoned by: " + error.detail);
   }
   return *poisoned_;
 }
 
-Status RecordRing::checkRoom(const std::vector<Mutation>& mutations) {
-  std::map<std::string_view, std::uint64_t> after;
+Status LogStructuredStore::checkRoom(const std::vector<Mutation>& mutations) const {
   std::uint64_t payloadBytes = 0;
   for (const Mutation& mutation : mutations) {
     const std::size_t valueBytes = mutation.value ? mutation.value->size() : 0;
-    const std::uint64_t bytes = payloadEntryBytes(mutation.key.size(), valueBytes);
-    payloadBytes += bytes;
-    after[mutation.key] = mutation.value ? bytes : 0;
-  }
-  if (payloadBytes > maximumPayloadBytes()) {
-    return makeError(ErrorCode::TooLarge, "the group is larger than a file");
-  }
-  const std::lock_guard<std::mutex> reading(indexMutex_);
-  std::uint64_t live = liveBytes_;
-  for (const auto& [key, bytes] : after) {
-    const auto found = index_.find(key);
-    live += bytes;
-    live -= found == index_.end() ? 0 : payloadEntryBytes(key.size(), found->second.bytes);
-  }
-  // A group that frees room is taken also when the ring is full.
-  if (live > liveLimitBytes() && live > liveBytes_) {
-    return makeError(ErrorCode::StorageFull, "live records fill the ring");
-  }
-  return okStatus();
-}
-
-Status RecordRing::allocateFile(std::uint64_t slot) {
-  if (allocated_[slot]) {
-    return okStatus();
-  }
-  const Status allocated = files_[slot]->allocate(knobs_.fileBytes);
-  allocated_[slot] = static_cast<bool>(allocated);
-  return allocated;
-}
-
-Status RecordRing::rotate() {
-  // The only step that overwrites records. What the spare file held was written forward into the
-  // active file at the latest rotation; once the active file is synced, the spare is needed no
-  // more.
-  if (knobs_.syncBeforeReuse) {
-    const Status synced = syncActive();
-    if (!synced) {
-      return synced;
-    }
-  }
-  const Status header =
-      writeFileHeader((fileSequence_ + 1) % knobs_.fileCount, fileSequence_ + 1, nextSequence_);
-  if (!header) {
-    return header;
+    payloadBytes += payloadEntryBytes(mutation.key.size(), valueBytes);
   }
-  ++fileSequence_;
-  offset_ = kFirstRecordOffset;
-  return forwardOldest();
-}
-
-Status RecordRing::writeFileHeader(std::uint64_t slot, std::uint64_t fileSequence,
-                                   std::uint64_t firstSequence) {
-  FileHeader header;
-  header.storeId = storeId_;
-  header.fileSequence = fileSequence;
-  header.firstSequence = firstSequence;
-  header.fileBytes = knobs_.fileBytes;
-  header.fileCount = knobs_.fileCount;
-  const Status written = files_[slot]->writeAt(0, encodeFileHeader(header));
-  if (!written) {
-    return written;
+  const LogStoreOptions& options = files_->options();
+  if (payloadBytes > options.maxPayloadBytes()) {
+    return makeError(ErrorCode::TooLarge, "the group is larger than a segment");
   }
-  // Synced before the first record, so that records never lie behind an earlier header.
-  return files_[slot]->sync();
-}
-
-Status RecordRing::forwardOldest() {
-  std::string payload;
-  bool reclaims = false;
-  if (fileSequence_ >= knobs_.fileCount) {
-    const std::uint64_t oldest = fileSequence_ - knobs_.fileCount + 1;
-    reclaims = true;
-    // Only this thread changes the index, so it may read it without the lock.
-    for (const auto& [key, version] : index_) {
-      if (version.fileSequence != oldest) {
-        continue;
-      }
-      const Result<std::string> value = readVersion(version);
-      if (!value) {
-        return value.error();
-      }
-      appendPayloadEntry(payload, key, value.value());
-    }
+  const std::uint64_t after = index_->liveBytesAfter(mutations);
+  // A group that frees room is accepted also when the store is full.
+  if (after > options.maxLiveBytes() && after > index_->liveBytes()) {
+    return makeError(ErrorCode::StorageFull, "live records fill the store");
   }
-  // It fits: these mutations and more shared the oldest file with at least one record header.
-  const Status written = writeRecord(RecordKind::Forward, payload);
-  const std::lock_guard<std::mutex> reading(indexMutex_);
-  reclaimedFiles_ += reclaims ? 1 : 0;
-  turns_ = fileSequence_;
-  return written;
-}
-
-Status RecordRing::syncActive() {
-  const Status synced = file(fileSequence_).sync();
-  if (synced) {
-    syncedSequence_ = nextSequence_ - 1;
-  }
-  return synced;
-}
-
-Status RecordRing::writeRecord(RecordKind kind, const std::string& payload) {
-  RecordHeader header;
-  header.payloadBytes = static_cast<std::uint32_t>(payload.size());
-  header.kind = kind;
-  header.sequence = nextSequence_;
-  header.syncedSequence = syncedSequence_;
-  const std::string bytes = encodeRecord(header, fileSequence_, payload);
-  const Status written = file(fileSequence_).writeAt(offset_, bytes);
-  if (!written) {
-    return written;
-  }
-  apply(payload, fileSequence_, offset_ + kRecordHeaderBytes);
-  offset_ += bytes.size();
-  if (kind != RecordKind::SyncMark) {
-    lastSequence_ = nextSequence_;
-  }
-  ++nextSequence_;
   return okStatus();
 }
 
-void RecordRing::apply(std::string_view payload, std::uint64_t fileSequence,
-                       std::uint64_t payloadOffset) {
-  const auto entries = decodePayload(payload);
-  const std::lock_guard<std::mutex> reading(indexMutex_);
-  for (const PayloadEntry& entry : *entries) {
-    const auto found = index_.find(entry.key);
-    if (found != index_.end()) {
-      liveBytes_ -= payloadEntryBytes(entry.key.size(), found->second.bytes);
-      index_.erase(found);
-    }
-    if (!entry.value) {
-      continue;
-    }
-    Version version;
-    version.fileSequence = fileSequence;
-    version.offset = payloadOffset + entry.valueOffset;
-    version.bytes = static_cast<std::uint32_t>(entry.value->size());
-    version.checksum = valueChecksum(*entry.value);
-    if (version.bytes <= knobs_.cachedValueBytes) {
-      version.cached = std::string(*entry.value);
-    }
-    liveBytes_ += payloadEntryBytes(entry.key.size(), version.bytes);
-    index_.emplace(std::string(entry.key), std::move(version));
-  }
-}
-
-Result<std::string> RecordRing::readVersion(const Version& version) const {
-  if (version.cached) {
-    return *version.cached;
-  }
-  Result<std::string> value = file(version.fileSequence).readAt(version.offset, version.bytes);
-  if (!value) {
-    return value;
-  }
-  if (valueChecksum(value.value()) != version.checksum) {
-    return makeError(ErrorCode::StorageCorrupt, "a value fails its checksum in " + folder_);
-  }
-  return value;
-}
-
-bool RecordRing::fits(std::uint64_t payloadBytes) const {
-  return offset_ + recordBytes(payloadBytes) <= knobs_.fileBytes;
-}
-
-std::uint64_t RecordRing::maximumPayloadBytes() const {
-  // Every file starts with a forward record, if only an empty one.
-  return knobs_.fileBytes - kFirstRecordOffset - recordBytes(0) - kRecordHeaderBytes;
-}
-
-std::uint64_t RecordRing::liveLimitBytes() const {
-  constexpr std::uint64_t kPercent = 100;
-  return (knobs_.fileCount - 2) * maximumPayloadBytes() / kPercent * knobs_.livePercent;
-}
-
 }  // namespace shedshed
--- a/src/storage/segment_format.cpp
+++ b/src/storage/segment_format.cpp
@@ -6,14 +6,14 @@
 namespace shedshed {
 namespace {
 
-constexpr std::uint64_t kFileMagic = 0x31474e4952444853;  // "SHDRING1"
-constexpr std::uint32_t kRecordMagic = 0x43455253;        // "SREC"
+constexpr std::uint64_t kSegmentMagic = 0x31474e4952444853;  // "SHDRING1"
+constexpr std::uint32_t kRecordMagic = 0x43455253;           // "SREC"
 constexpr std::size_t kChecksumBytes = 8;
 constexpr std::size_t kEntryHeaderBytes = 9;  // Flag, key length, value length.
 
 template <class Number>
 void put(std::string& bytes, Number number) {
-  static_assert(__BYTE_ORDER__ == __ORDER_LITTLE_ENDIAN__, "the files are little-endian");
+  static_assert(__BYTE_ORDER__ == __ORDER_LITTLE_ENDIAN__, "the segments are little-endian");
   bytes.append(reinterpret_cast<const char*>(&number), sizeof number);
 }
 
@@ -31,32 +31,32 @@
 
 }  // namespace
 
-std::string encodeFileHeader(const FileHeader& header) {
+std::string encodeSegmentHeader(const SegmentHeader& header) {
   std::string bytes;
-  put(bytes, kFileMagic);
-  put(bytes, header.fileSequence);
+  put(bytes, kSegmentMagic);
+  put(bytes, header.segmentSequence);
   put(bytes, header.firstSequence);
-  put(bytes, header.fileBytes);
-  put(bytes, header.fileCount);
+  put(bytes, header.segmentBytes);
+  put(bytes, header.segmentCount);
   bytes += header.storeId;
-  bytes.resize(kFileHeaderBytes - kChecksumBytes);
+  bytes.resize(kSegmentHeaderBytes - kChecksumBytes);
   put(bytes, checksum(bytes, 0));
   return bytes;
 }
 
-std::optional<FileHeader> decodeFileHeader(std::string_view bytes) {
-  const std::string_view covered = bytes.substr(0, kFileHeaderBytes - kChecksumBytes);
+std::optional<SegmentHeader> decodeSegmentHeader(std::string_view bytes) {
+  const std::string_view covered = bytes.substr(0, kSegmentHeaderBytes - kChecksumBytes);
   std::size_t offset = covered.size();
   const bool valid = get<std::uint64_t>(bytes, offset) == checksum(covered, 0);
   offset = 0;
-  if (get<std::uint64_t>(bytes, offset) != kFileMagic || !valid) {
+  if (get<std::uint64_t>(bytes, offset) != kSegmentMagic || !valid) {
     return std::nullopt;
   }
-  FileHeader header;
-  header.fileSequence = get<std::uint64_t>(bytes, offset);
+  SegmentHeader header;
+  header.segmentSequence = get<std::uint64_t>(bytes, offset);
   header.firstSequence = get<std::uint64_t>(bytes, offset);
-  header.fileBytes = get<std::uint64_t>(bytes, offset);
-  header.fileCount = get<std::uint32_t>(bytes, offset);
+  header.segmentBytes = get<std::uint64_t>(bytes, offset);
+  header.segmentCount = get<std::uint32_t>(bytes, offset);
   header.storeId = bytes.substr(offset, kStoreIdBytes);
   return header;
 }
@@ -106,7 +106,7 @@
   return (bytes + kRecordAlignment - 1) / kRecordAlignment * kRecordAlignment;
 }
 
-std::string encodeRecord(const RecordHeader& header, std::uint64_t fileSequence,
+std::string encodeRecord(const RecordHeader& header, std::uint64_t segmentSequence,
                          std::string_view payload) {
   std::string covered;
   covered.reserve(recordBytes(payload.size()));
@@ -119,34 +119,34 @@
   bytes.reserve(recordBytes(payload.size()));
   put(bytes, kRecordMagic);
   put(bytes, std::uint32_t{0});
-  put(bytes, checksum(covered, fileSequence));
+  put(bytes, checksum(covered, segmentSequence));
   bytes += covered;
   bytes.resize(recordBytes(payload.size()));
   return bytes;
 }
 
-std::optional<RecordHeader> decodeRecord(std::string_view file, std::uint64_t offset,
-                                         std::uint64_t fileSequence) {
-  if (offset + kRecordHeaderBytes > file.size()) {
+std::optional<RecordHeader> decodeRecord(std::string_view segment, std::uint64_t offset,
+                                         std::uint64_t segmentSequence) {
+  if (offset + kRecordHeaderBytes > segment.size()) {
     return std::nullopt;
   }
   std::size_t at = offset;
-  if (get<std::uint32_t>(file, at) != kRecordMagic) {
+  if (get<std::uint32_t>(segment, at) != kRecordMagic) {
     return std::nullopt;
   }
   at += sizeof(std::uint32_t);
-  const std::uint64_t expected = get<std::uint64_t>(file, at);
+  const std::uint64_t expected = get<std::uint64_t>(segment, at);
   const std::size_t coveredAt = at;
   RecordHeader header;
-  header.payloadBytes = get<std::uint32_t>(file, at);
-  header.kind = static_cast<RecordKind>(get<std::uint32_t>(file, at));
-  header.sequence = get<std::uint64_t>(file, at);
-  header.syncedSequence = get<std::uint64_t>(file, at);
-  if (header.payloadBytes > file.size() - at) {
+  header.payloadBytes = get<std::uint32_t>(segment, at);
+  header.kind = static_cast<RecordKind>(get<std::uint32_t>(segment, at));
+  header.sequence = get<std::uint64_t>(segment, at);
+  header.syncedSequence = get<std::uint64_t>(segment, at);
+  if (header.payloadBytes > segment.size() - at) {
     return std::nullopt;
   }
   const std::size_t end = at + header.payloadBytes;
-  if (checksum(file.substr(coveredAt, end - coveredAt), fileSequence) != expected) {
+  if (checksum(segment.substr(coveredAt, end - coveredAt), segmentSequence) != expected) {
     return std::nullopt;
   }
   return header;
--- a/src/storage/segment_format.h
+++ b/src/storage/segment_format.h
@@ -1,9 +1,9 @@
 /// @file
-/// Layout of the files of the record ring. Numbers are little-endian.
+/// Layout of a segment file of the log-structured store. Numbers are little-endian.
 ///
-/// A file starts with a header in its first sector, in a block of its own. From
+/// A segment starts with a header in its first sector, in a block of its own. From
 /// `kFirstRecordOffset` on follow records without gaps; each is one atomic group of mutations and
-/// has one checksum, so a group is whole or absent. The checksum is seeded with the file's
+/// has one checksum, so a group is complete or absent. The checksum is seeded with the segment's
 /// sequence: what remains of an earlier use of the file never passes it.
 #pragma once
 
@@ -17,8 +17,8 @@
 
 namespace shedshed {
 
-/// Size of a file header, in bytes. Below one sector, so that a disk writes it whole.
-constexpr std::size_t kFileHeaderBytes = 128;
+/// Size of a segment header, in bytes. Below one sector, so that a disk writes it atomically.
+constexpr std::size_t kSegmentHeaderBytes = 128;
 
 /// Offset of the first record, in bytes.
 constexpr std::uint64_t kFirstRecordOffset = 4096;
@@ -32,21 +32,24 @@
 /// Length of a store id: 32 hexadecimal digits.
 constexpr std::size_t kStoreIdBytes = 32;
 
-struct FileHeader {
+/// The header of a segment. It also repeats the sizes of the store, which never change.
+struct SegmentHeader {
   std::string storeId;
-  std::uint64_t fileSequence =
-      0;  ///< Counts the uses of files; modulo the count it names the file. 0: not used.
-  std::uint64_t firstSequence = 0;  ///< Sequence of the first record in this file.
-  std::uint64_t fileBytes = 0;
-  std::uint32_t fileCount = 0;
+  /// Counts the segments that were ever begun; modulo `segmentCount` it names the file. 0: the file
+  /// was not used yet.
+  std::uint64_t segmentSequence = 0;
+  std::uint64_t firstSequence = 0;  ///< Sequence of the first record in this segment.
+  std::uint64_t segmentBytes = 0;
+  std::uint32_t segmentCount = 0;
 };
 
 enum class RecordKind : std::uint32_t {
-  Group = 1,     ///< A group that the caller appended.
-  Forward = 2,   ///< Live mutations of the oldest file; always the first record of a file.
-  SyncMark = 3,  ///< Empty; written after a sync, so that recovery knows what was synced.
+  Group = 1,       ///< A group that the caller appended.
+  Compaction = 2,  ///< Live records of the oldest segment; always the first record of a segment.
+  SyncMarker = 3,  ///< Empty; written after a sync, so that recovery knows what was synced.
 };
 
+/// The header of a record. The payload follows it.
 struct RecordHeader {
   std::uint32_t payloadBytes = 0;
   RecordKind kind = RecordKind::Group;
@@ -61,14 +64,16 @@
   std::size_t valueOffset = 0;  ///< Of the value, from the start of the payload, in bytes.
 };
 
-std::string encodeFileHeader(const FileHeader& header);
+/// Returns the header as it is written: `kSegmentHeaderBytes` bytes.
+std::string encodeSegmentHeader(const SegmentHeader& header);
 
 /// Returns nullopt if @p bytes is not a valid header.
-std::optional<FileHeader> decodeFileHeader(std::string_view bytes);
+std::optional<SegmentHeader> decodeSegmentHeader(std::string_view bytes);
 
 /// Bytes that one mutation takes in a payload.
 std::size_t payloadEntryBytes(std::size_t keyBytes, std::size_t valueBytes);
 
+/// Appends one mutation to @p payload; without a @p value it is a tombstone.
 void appendPayloadEntry(std::string& payload, std::string_view key,
                         const std::optional<std::string_view>& value);
 
@@ -78,12 +83,14 @@
 /// Bytes that a record takes in its file, with header and padding.
 std::uint64_t recordBytes(std::uint64_t payloadBytes);
 
-std::string encodeRecord(const RecordHeader& header, std::uint64_t fileSequence,
+/// Returns the record as it is written, padded to `kRecordAlignment`.
+std::string encodeRecord(const RecordHeader& header, std::uint64_t segmentSequence,
                          std::string_view payload);
 
-/// Returns the header of the record at @p offset of @p file; nullopt if it fails its checksum.
-std::optional<RecordHeader> decodeRecord(std::string_view file, std::uint64_t offset,
-                                         std::uint64_t fileSequence);
+/// Returns the header of the record at @p offset of @p segment; nullopt if none is there that
+/// passes its checksum.
+std::optional<RecordHeader> decodeRecord(std::string_view segment, std::uint64_t offset,
+                                         std::uint64_t segmentSequence);
 
 /// Checksum of a single value (xxh3, 64 bits).
 std::uint64_t valueChecksum(std::string_view value);
--- a/tests/storage/log_structured_store_test.cpp
+++ b/tests/storage/log_structured_store_test.cpp
@@ -1,6 +1,6 @@
 #include "storage/fake_file_system.h"
-#include "storage/posix_file_system.h"
 #include "storage/log_structured_store.h"
+#include "storage/posix_file_system.h"
 
 #include <algorithm>
 #include <atomic>
@@ -16,23 +16,23 @@
 using Table = std::map<std::string, std::string>;
 using Group = std::vector<Mutation>;
 
-RingKnobs smallKnobs() {
-  RingKnobs knobs;
-  knobs.fileBytes = 3 * kFirstRecordOffset;
-  knobs.fileCount = 4;
-  knobs.cachedValueBytes = 64;
-  return knobs;
+LogStoreOptions smallOptions() {
+  LogStoreOptions options;
+  options.segmentBytes = 3 * kFirstRecordOffset;
+  options.segmentCount = 4;
+  options.cachedValueBytes = 64;
+  return options;
 }
 
-Result<std::unique_ptr<RecordRing>> openRing(FileSystem& disk, RandomEngine& random,
-                                             RingKnobs knobs = smallKnobs()) {
-  return RecordRing::open(disk, "data", knobs, random);
+Result<std::unique_ptr<LogStructuredStore>> openStore(FileSystem& disk, RandomEngine& random,
+                                                      LogStoreOptions options = smallOptions()) {
+  return LogStructuredStore::open(disk, "data", options, random);
 }
 
-Table contents(const RecordRing& ring) {
+Table contents(const LogStructuredStore& store) {
   Table table;
-  for (const std::string& key : ring.keys("")) {
-    table[key] = ring.read(key).value().value();
+  for (const std::string& key : store.keys("")) {
+    table[key] = store.read(key).value().value();
   }
   return table;
 }
@@ -60,12 +60,12 @@
 /// A store under random groups, with the states that a crash may leave.
 class Workload {
  public:
-  Workload(FakeFileSystem& disk, std::uint64_t seed, RingKnobs knobs)
-      : disk_(disk), random_(seed), knobs_(knobs) {}
+  Workload(FakeFileSystem& disk, std::uint64_t seed, LogStoreOptions options)
+      : disk_(disk), random_(seed), options_(options) {}
 
   /// Appends and syncs until something fails or @p groups groups are written.
   void run(unsigned groups) {
-    auto opened = openRing(disk_, random_, knobs_);
+    auto opened = openStore(disk_, random_, options_);
     if (!opened) {
       return;
     }
@@ -89,7 +89,7 @@
   /// Crashes; returns whether the recovered state is one that is allowed.
   bool survivesCrash() {
     disk_.crash(random_);
-    auto opened = openRing(disk_, random_, knobs_);
+    auto opened = openStore(disk_, random_, options_);
     if (!opened) {
       return false;
     }
@@ -102,16 +102,16 @@
  private:
   FakeFileSystem& disk_;
   RandomEngine random_;
-  RingKnobs knobs_;
+  LogStoreOptions options_;
   std::vector<Table> allowed_ = {Table()};
 };
 
 /// Returns how many of the crashes, one after each disk operation, lost or mixed something.
-unsigned countBadCrashes(std::uint64_t seed, std::uint64_t operations, RingKnobs knobs) {
+unsigned countBadCrashes(std::uint64_t seed, std::uint64_t operations, LogStoreOptions options) {
   unsigned bad = 0;
   for (std::uint64_t operation = 0; operation < operations; ++operation) {
     FakeFileSystem disk;
-    Workload workload(disk, seed + operation, knobs);
+    Workload workload(disk, seed + operation, options);
     disk.cutPowerAfter(operation);
     workload.run(400);
     bool good = workload.survivesCrash();
@@ -137,16 +137,16 @@
     seeds.push_back(seed);
   }
   for (const std::uint64_t seed : seeds) {
-    BOOST_TEST(countBadCrashes(seed * 1000, 300, smallKnobs()) == 0U, "seed " << seed);
+    BOOST_TEST(countBadCrashes(seed * 1000, 300, smallOptions()) == 0U, "seed " << seed);
   }
 }
 
 BOOST_AUTO_TEST_CASE(the_crash_test_finds_the_loss_when_reuse_does_not_wait_for_the_sync) {
-  RingKnobs knobs = smallKnobs();
-  knobs.syncBeforeReuse = false;
+  LogStoreOptions options = smallOptions();
+  options.syncBeforeReuse = false;
   unsigned bad = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    bad += countBadCrashes(seed * 1000, 300, knobs);
+    bad += countBadCrashes(seed * 1000, 300, options);
   }
   BOOST_TEST(bad > 0U);
 }
@@ -155,18 +155,18 @@
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     FakeFileSystem disk;
     RandomEngine random(seed);
-    auto ring = openRing(disk, random).value();
+    auto store = openStore(disk, random).value();
     for (unsigned done = 0; done < seed; ++done) {
-      BOOST_REQUIRE(ring->append(randomGroup(random)));
+      BOOST_REQUIRE(store->append(randomGroup(random)));
     }
-    const Table appended = contents(*ring);
-    ring.reset();
+    const Table appended = contents(*store);
+    store.reset();
     disk.endProcess();
-    ring = openRing(disk, random).value();
-    BOOST_TEST((contents(*ring) == appended));
-    ring.reset();
+    store = openStore(disk, random).value();
+    BOOST_TEST((contents(*store) == appended));
+    store.reset();
     disk.crash(random);
-    BOOST_TEST((contents(*openRing(disk, random).value()) == appended));
+    BOOST_TEST((contents(*openStore(disk, random).value()) == appended));
   }
 }
 
@@ -177,22 +177,22 @@
   std::uint64_t wraps = 0;
   const Group kept = {{"kept", filler(500)}, {"erased", filler(500)}};
   for (unsigned restart = 0; restart < 20; ++restart) {
-    auto ring = openRing(disk, random).value();
-    BOOST_TEST((contents(*ring) == expected), "restart " << restart);
+    auto store = openStore(disk, random).value();
+    BOOST_TEST((contents(*store) == expected), "restart " << restart);
     const Group erase = {{"erased", std::nullopt}};
     for (const Group& group : {restart == 0 ? kept : Group(), erase}) {
-      BOOST_REQUIRE(ring->append(group));
+      BOOST_REQUIRE(store->append(group));
       applyGroup(expected, group);
     }
     for (unsigned done = 0; done < 2000; ++done) {
       const Group group = randomGroup(random);
-      BOOST_REQUIRE(ring->append(group));
+      BOOST_REQUIRE(store->append(group));
       applyGroup(expected, group);
     }
-    BOOST_REQUIRE(ring->sync());
-    BOOST_TEST((contents(*ring) == expected));
-    wraps = ring->usage().wraps;
-    ring.reset();
+    BOOST_REQUIRE(store->sync());
+    BOOST_TEST((contents(*store) == expected));
+    wraps = store->usage().wraps;
+    store.reset();
     disk.crash(random);
   }
   BOOST_TEST(wraps > 300U);
@@ -207,26 +207,26 @@
     RandomEngine random(seed);
     Table expected;
     {
-      auto ring = openRing(disk, random).value();
+      auto store = openStore(disk, random).value();
       for (unsigned done = 0; done < 10 + seed % 90; ++done) {
         const Group group = randomGroup(random);
-        BOOST_REQUIRE(ring->append(group));
+        BOOST_REQUIRE(store->append(group));
         applyGroup(expected, group);
       }
-      BOOST_REQUIRE(ring->sync());
+      BOOST_REQUIRE(store->sync());
     }
     disk.endProcess();
     const std::string path = "data/ring-000" + std::to_string(random() % 4);
     const std::uint64_t offset =
-        seed % 4 == 0 ? random() % kFileHeaderBytes : kFirstRecordOffset + random() % 8192;
+        seed % 4 == 0 ? random() % kSegmentHeaderBytes : kFirstRecordOffset + random() % 8192;
     // A file that was never used holds its header only.
     disk.flipBit(path, offset % disk.fileBytes(path), seed % 8);
-    const auto ring = openRing(disk, random);
-    if (!ring) {
-      BOOST_TEST((ring.error().code == ErrorCode::StorageCorrupt), ring.error().detail);
+    const auto store = openStore(disk, random);
+    if (!store) {
+      BOOST_TEST((store.error().code == ErrorCode::StorageCorrupt), store.error().detail);
       ++reported;
     } else {
-      BOOST_TEST((contents(*ring.value()) == expected), "seed " << seed);
+      BOOST_TEST((contents(*store.value()) == expected), "seed " << seed);
     }
   }
   BOOST_TEST(reported > 100U);
@@ -238,7 +238,7 @@
     for (unsigned lost = 0; lost <= kAll; ++lost) {
       FakeFileSystem disk;
       RandomEngine random(groups);
-      auto before = openRing(disk, random).value();
+      auto before = openStore(disk, random).value();
       for (unsigned done = 0; done < groups; ++done) {
         BOOST_REQUIRE(before->append(randomGroup(random)));
       }
@@ -253,9 +253,9 @@
           BOOST_REQUIRE(disk.remove(path));
         }
       }
-      const auto ring = openRing(disk, random);
-      BOOST_REQUIRE_MESSAGE(!ring, "lost " << lost << " after " << groups);
-      BOOST_TEST((ring.error().code == ErrorCode::StorageCorrupt));
+      const auto store = openStore(disk, random);
+      BOOST_REQUIRE_MESSAGE(!store, "lost " << lost << " after " << groups);
+      BOOST_TEST((store.error().code == ErrorCode::StorageCorrupt));
     }
   }
 }
@@ -263,117 +263,118 @@
 BOOST_AUTO_TEST_CASE(a_large_value_damaged_while_open_is_not_returned) {
   FakeFileSystem disk;
   RandomEngine random(1);
-  auto ring = openRing(disk, random).value();
-  BOOST_REQUIRE(ring->append({{"large", filler(2000)}}));
-  BOOST_TEST(ring->read("large").value().value() == filler(2000));
+  auto store = openStore(disk, random).value();
+  BOOST_REQUIRE(store->append({{"large", filler(2000)}}));
+  BOOST_TEST(store->read("large").value().value() == filler(2000));
   disk.flipBit("data/ring-0001", kFirstRecordOffset + 1000, 3);
-  BOOST_TEST((ring->read("large").error().code == ErrorCode::StorageCorrupt));
+  BOOST_TEST((store->read("large").error().code == ErrorCode::StorageCorrupt));
 }
 
-BOOST_AUTO_TEST_CASE(a_full_ring_refuses_keeps_all_and_takes_more_once_something_is_erased) {
+BOOST_AUTO_TEST_CASE(a_full_store_rejects_keeps_all_and_accepts_more_once_something_is_erased) {
   FakeFileSystem disk;
   RandomEngine random(3);
   Table expected;
-  auto ring = openRing(disk, random).value();
+  auto store = openStore(disk, random).value();
   Status last = okStatus();
   for (unsigned number = 0; last; ++number) {
     const Group group = {{"key" + std::to_string(number), filler(300)}};
-    last = ring->append(group);
+    last = store->append(group);
     if (last) {
       applyGroup(expected, group);
     }
   }
   BOOST_TEST((last.error().code == ErrorCode::StorageFull));
-  BOOST_TEST((contents(*ring) == expected));
+  BOOST_TEST((contents(*store) == expected));
   // Rewriting in place of the old versions stays possible, for many turns.
   for (unsigned number = 0; number < 2000; ++number) {
     const Group group = {{"key" + std::to_string(number % expected.size()), filler(300)}};
-    BOOST_REQUIRE(ring->append(group));
+    BOOST_REQUIRE(store->append(group));
   }
-  BOOST_REQUIRE(ring->append({{"key0", std::nullopt}, {"key1", std::nullopt}}));
-  BOOST_REQUIRE(ring->append({{"new", filler(300)}}));
-  BOOST_REQUIRE(ring->sync());
+  BOOST_REQUIRE(store->append({{"key0", std::nullopt}, {"key1", std::nullopt}}));
+  BOOST_REQUIRE(store->append({{"new", filler(300)}}));
+  BOOST_REQUIRE(store->sync());
   applyGroup(expected, {{"key0", std::nullopt}, {"key1", std::nullopt}, {"new", filler(300)}});
-  ring.reset();
+  store.reset();
   disk.crash(random);
-  BOOST_TEST((contents(*openRing(disk, random).value()) == expected));
+  BOOST_TEST((contents(*openStore(disk, random).value()) == expected));
 }
 
-BOOST_AUTO_TEST_CASE(a_group_larger_than_a_file_is_refused_and_the_largest_one_fits) {
+BOOST_AUTO_TEST_CASE(a_group_larger_than_a_segment_is_rejected_and_the_largest_one_fits) {
   FakeFileSystem disk;
   RandomEngine random(3);
-  auto ring = openRing(disk, random).value();
-  const std::size_t room = smallKnobs().fileBytes - kFirstRecordOffset - 2 * kRecordHeaderBytes;
+  auto store = openStore(disk, random).value();
+  const std::size_t room =
+      smallOptions().segmentBytes - kFirstRecordOffset - 2 * kRecordHeaderBytes;
   const std::size_t largest = room - payloadEntryBytes(3, 0);
-  BOOST_TEST((ring->append({{"key", filler(largest + 1)}}).error().code == ErrorCode::TooLarge));
+  BOOST_TEST((store->append({{"key", filler(largest + 1)}}).error().code == ErrorCode::TooLarge));
   for (unsigned turn = 0; turn < 20; ++turn) {
-    BOOST_REQUIRE(ring->append({{"key", filler(largest)}}));
+    BOOST_REQUIRE(store->append({{"key", filler(largest)}}));
   }
-  BOOST_TEST(ring->read("key").value().value().size() == largest);
+  BOOST_TEST(store->read("key").value().value().size() == largest);
 }
 
-BOOST_AUTO_TEST_CASE(a_failed_sync_or_write_poisons_the_ring) {
+BOOST_AUTO_TEST_CASE(a_failed_sync_or_write_poisons_the_store) {
   for (const bool failsSync : {true, false}) {
     FakeFileSystem disk;
     RandomEngine random(5);
-    auto ring = openRing(disk, random).value();
-    BOOST_REQUIRE(ring->append({{"before", "1"}}));
-    BOOST_REQUIRE(ring->sync());
+    auto store = openStore(disk, random).value();
+    BOOST_REQUIRE(store->append({{"before", "1"}}));
+    BOOST_REQUIRE(store->sync());
     if (failsSync) {
       disk.failNextSync();
     } else {
       disk.failNextWrite();
     }
-    const Status appended = ring->append({{"after", "2"}});
+    const Status appended = store->append({{"after", "2"}});
     BOOST_TEST(bool(appended) == failsSync);
     for (unsigned attempt = 0; attempt < 2; ++attempt) {
-      BOOST_TEST((ring->sync().error().code == ErrorCode::StorageFailed));
-      BOOST_TEST((ring->append({{"later", "3"}}).error().code == ErrorCode::StorageFailed));
+      BOOST_TEST((store->sync().error().code == ErrorCode::StorageFailed));
+      BOOST_TEST((store->append({{"later", "3"}}).error().code == ErrorCode::StorageFailed));
     }
-    ring.reset();
+    store.reset();
     disk.crash(random);
-    BOOST_TEST((contents(*openRing(disk, random).value()) == Table{{"before", "1"}}));
+    BOOST_TEST((contents(*openStore(disk, random).value()) == Table{{"before", "1"}}));
   }
 }
 
 BOOST_AUTO_TEST_CASE(the_store_id_lasts_until_the_folder_is_emptied) {
   FakeFileSystem disk;
   RandomEngine random(5);
-  const std::string id = openRing(disk, random).value()->storeId();
+  const std::string id = openStore(disk, random).value()->storeId();
   BOOST_TEST(id.size() == kStoreIdBytes);
   disk.crash(random);
-  BOOST_TEST(openRing(disk, random).value()->storeId() == id);
+  BOOST_TEST(openStore(disk, random).value()->storeId() == id);
   disk.empty();
-  BOOST_TEST(openRing(disk, random).value()->storeId() != id);
+  BOOST_TEST(openStore(disk, random).value()->storeId() != id);
 }
 
-BOOST_AUTO_TEST_CASE(opening_refuses_a_second_opener_other_knobs_and_a_full_disk) {
+BOOST_AUTO_TEST_CASE(opening_rejects_a_second_opener_other_sizes_and_a_full_disk) {
   FakeFileSystem disk;
   RandomEngine random(5);
-  disk.limitBytes(smallKnobs().fileBytes);
-  BOOST_TEST((openRing(disk, random).error().code == ErrorCode::StorageFull));
+  disk.limitBytes(smallOptions().segmentBytes);
+  BOOST_TEST((openStore(disk, random).error().code == ErrorCode::StorageFull));
   disk.empty();
   disk.limitBytes(1 << 20);
-  auto ring = openRing(disk, random).value();
-  BOOST_TEST((openRing(disk, random).error().code == ErrorCode::AlreadyExists));
-  ring.reset();
-  RingKnobs other = smallKnobs();
-  other.fileCount = 5;
-  BOOST_TEST((openRing(disk, random, other).error().code == ErrorCode::InvalidArgument));
+  auto store = openStore(disk, random).value();
+  BOOST_TEST((openStore(disk, random).error().code == ErrorCode::AlreadyExists));
+  store.reset();
+  LogStoreOptions other = smallOptions();
+  other.segmentCount = 5;
+  BOOST_TEST((openStore(disk, random, other).error().code == ErrorCode::InvalidArgument));
 }
 
-// A release that sized new rings by the disk could not open the rings of the one before.
-BOOST_AUTO_TEST_CASE(a_ring_keeps_the_sizes_that_it_was_created_with) {
+// A release that sizes new stores by the disk must open the stores of the one before.
+BOOST_AUTO_TEST_CASE(a_store_keeps_the_sizes_that_it_was_created_with) {
   FakeFileSystem disk;
   RandomEngine random(7);
-  RingKnobs larger = smallKnobs();
-  larger.fileCount = 9;
-  BOOST_TEST(RecordRing::knobsFor(disk, "data", larger).value().fileCount == 9U);
-  BOOST_REQUIRE(openRing(disk, random).value()->append({{"key", "value"}}));
-  const Result<RingKnobs> knobs = RecordRing::knobsFor(disk, "data", larger);
-  BOOST_TEST(knobs.value().fileCount == smallKnobs().fileCount);
-  const auto ring = openRing(disk, random, knobs.value());
-  BOOST_TEST(ring.value()->read("key").value().value() == "value");
+  LogStoreOptions larger = smallOptions();
+  larger.segmentCount = 9;
+  BOOST_TEST(LogStructuredStore::optionsFor(disk, "data", larger).value().segmentCount == 9U);
+  BOOST_REQUIRE(openStore(disk, random).value()->append({{"key", "value"}}));
+  const Result<LogStoreOptions> options = LogStructuredStore::optionsFor(disk, "data", larger);
+  BOOST_TEST(options.value().segmentCount == smallOptions().segmentCount);
+  const auto store = openStore(disk, random, options.value());
+  BOOST_TEST(store.value()->read("key").value().value() == "value");
 }
 
 BOOST_AUTO_TEST_CASE(real_files_are_read_while_they_are_written_and_reopened) {
@@ -383,80 +384,80 @@
   PosixFileSystem disk;
   RandomEngine random(5);
   {
-    auto ring = RecordRing::open(disk, root + "/a/b", smallKnobs(), random).value();
-    BOOST_REQUIRE(ring->append({{"large", filler(900)}}));
+    auto store = LogStructuredStore::open(disk, root + "/a/b", smallOptions(), random).value();
+    BOOST_REQUIRE(store->append({{"large", filler(900)}}));
     std::atomic<bool> done = false;
     std::atomic<unsigned> wrong = 0;
     std::thread reader([&] {
       while (!done) {
-        const auto value = ring->read("large");
+        const auto value = store->read("large");
         wrong += value && value.value() && value.value()->size() == 900 ? 0 : 1;
       }
     });
     for (unsigned number = 0; number < 3000; ++number) {
-      BOOST_REQUIRE(ring->append({{"other", filler(700)}}));
+      BOOST_REQUIRE(store->append({{"other", filler(700)}}));
       if (number % 100 == 0) {
-        BOOST_REQUIRE(ring->sync());
+        BOOST_REQUIRE(store->sync());
       }
     }
     done = true;
     reader.join();
     BOOST_TEST(wrong == 0U);
-    BOOST_TEST(ring->usage().wraps > 10U);
-    const auto second = RecordRing::open(disk, root + "/a/b", smallKnobs(), random);
+    BOOST_TEST(store->usage().wraps > 10U);
+    const auto second = LogStructuredStore::open(disk, root + "/a/b", smallOptions(), random);
     BOOST_TEST((second.error().code == ErrorCode::AlreadyExists));
   }
-  const auto again = RecordRing::open(disk, root + "/a/b", smallKnobs(), random);
+  const auto again = LogStructuredStore::open(disk, root + "/a/b", smallOptions(), random);
   BOOST_TEST(contents(*again.value()).size() == 2U);
   BOOST_TEST(disk.list(root + "/a/b").value().size() == 5U);
   std::filesystem::remove_all(root);
 }
 
-// A ring took its whole size of the disk from the start: 45 stores of 192 MB each.
-BOOST_AUTO_TEST_CASE(a_ring_takes_no_more_of_the_disk_than_it_needs) {
+// Preallocating all segments at the creation filled disks that many stores share.
+BOOST_AUTO_TEST_CASE(a_store_takes_no_more_of_the_disk_than_it_needs) {
   FakeFileSystem disk;
   RandomEngine random(7);
-  RingKnobs knobs = smallKnobs();
-  knobs.fileCount = 12;
-  knobs.fileBytes = 64 * kFirstRecordOffset;
-  auto ring = RecordRing::open(disk, "data", knobs, random);
-  BOOST_REQUIRE(ring);
+  LogStoreOptions options = smallOptions();
+  options.segmentCount = 12;
+  options.segmentBytes = 64 * kFirstRecordOffset;
+  auto store = LogStructuredStore::open(disk, "data", options, random);
+  BOOST_REQUIRE(store);
   const auto size = [&disk] { return disk.allocatedBytes(); };
-  BOOST_TEST(size() < 2 * knobs.fileBytes);
+  BOOST_TEST(size() < 2 * options.segmentBytes);
   std::uint64_t written = 0;
-  for (int number = 0; written < 3 * knobs.fileBytes; ++number) {
+  for (int number = 0; written < 3 * options.segmentBytes; ++number) {
     const std::string value(100, 'v');
-    BOOST_REQUIRE(ring.value()->append({{"key" + std::to_string(number), value}}));
+    BOOST_REQUIRE(store.value()->append({{"key" + std::to_string(number), value}}));
     written += value.size();
   }
-  BOOST_REQUIRE(ring.value()->sync());
-  BOOST_TEST(size() < 8 * knobs.fileBytes);
-  ring.value().reset();
-  auto again = RecordRing::open(disk, "data", knobs, random);
+  BOOST_REQUIRE(store.value()->sync());
+  BOOST_TEST(size() < 8 * options.segmentBytes);
+  store.value().reset();
+  auto again = LogStructuredStore::open(disk, "data", options, random);
   BOOST_REQUIRE(again);
   BOOST_TEST(again.value()->read("key0").value().has_value());
 }
 
-// A full disk refuses the group that needs another file; the ring goes on when there is room.
-BOOST_AUTO_TEST_CASE(a_disk_without_room_for_the_next_file_refuses_and_recovers) {
+// A full disk rejects the group that needs another segment; the store continues once there is room.
+BOOST_AUTO_TEST_CASE(a_disk_without_room_for_the_next_segment_rejects_and_recovers) {
   FakeFileSystem disk;
   RandomEngine random(7);
-  RingKnobs knobs = smallKnobs();
-  knobs.fileCount = 12;
-  knobs.fileBytes = 64 * kFirstRecordOffset;
-  auto ring = RecordRing::open(disk, "data", knobs, random);
-  BOOST_REQUIRE(ring);
+  LogStoreOptions options = smallOptions();
+  options.segmentCount = 12;
+  options.segmentBytes = 64 * kFirstRecordOffset;
+  auto store = LogStructuredStore::open(disk, "data", options, random);
+  BOOST_REQUIRE(store);
   disk.limitBytes(disk.allocatedBytes());
   const std::string value(100, 'v');
   int number = 0;
   Status last = okStatus();
   while (last) {
-    last = ring.value()->append({{"key" + std::to_string(number++), value}});
+    last = store.value()->append({{"key" + std::to_string(number++), value}});
   }
   BOOST_TEST((last.error().code == ErrorCode::StorageFull));
-  BOOST_TEST(ring.value()->sync().has_value());
-  BOOST_TEST(ring.value()->read("key0").value().has_value());
+  BOOST_TEST(store.value()->sync().has_value());
+  BOOST_TEST(store.value()->read("key0").value().has_value());
   disk.limitBytes(1 << 24);
-  BOOST_TEST(ring.value()->append({{"more", value}}).has_value());
-  BOOST_TEST(ring.value()->sync().has_value());
+  BOOST_TEST(store.value()->append({{"more", value}}).has_value());
+  BOOST_TEST(store.value()->sync().has_value());
 }
