--- a/sim/sim_disk.h
+++ b/sim/sim_disk.h
@@ -5,7 +5,7 @@
 
 #include "kernel/core.h"
 #include "storage/fake_file_system.h"
-#include "storage/record_ring.h"
+#include "storage/log_structured_store.h"
 
 #include <memory>
 
@@ -33,7 +33,7 @@
 
  private:
   FakeFileSystem files_;
-  std::unique_ptr<RecordRing> ring_;
+  std::unique_ptr<LogStructuredStore> ring_;
   Time runningUntil_{};  ///< End of the sync that runs, or ran last.
   Time nextUntil_{};     ///< End of the sync that follows it, if somebody waits for one.
 };
--- /dev/null
+++ b/src/storage/log_recovery.cpp
@@ -0,0 +1,179 @@
+#include "storage/log_recovery.h"
+
+#include "storage/store_creation.h"
+
+namespace shedshed {
+
+namespace {
+
+Error corrupt(const std::string& detail) {
+  return makeError(ErrorCode::StorageCorrupt, detail);
+}
+
+}  // namespace
+
+Result<LogPosition> LogRecovery::run(RandomEngine& random) {
+  auto headers = files_.readHeaders();
+  if (!headers) {
+    return headers.error();
+  }
+  const Status sizes = checkSizes(headers.value());
+  if (!sizes) {
+    return sizes.error();
+  }
+  const Status located = locateNewest(headers.value(), random);
+  if (!located) {
+    return located.error();
+  }
+  if (position_.segmentSequence == 1) {
+    const Status finished = StoreCreation(files_).finish(position_.storeId, headers.value());
+    if (!finished) {
+      return finished.error();
+    }
+    headers = files_.readHeaders();
+    if (!headers) {
+      return headers.error();
+    }
+  }
+  const Status checked = checkHeaders(headers.value());
+  if (!checked) {
+    return checked.error();
+  }
+  const Status replayed = replaySegments(headers.value());
+  if (!replayed) {
+    return replayed.error();
+  }
+  return position_;
+}
+
+Status LogRecovery::locateNewest(const Headers& headers, RandomEngine& random) {
+  for (const std::optional<SegmentHeader>& header : headers) {
+    if (header && header->segmentSequence > position_.segmentSequence) {
+      position_.segmentSequence = header->segmentSequence;
+      position_.storeId = header->storeId;
+    }
+  }
+  if (position_.segmentSequence != 0) {
+    return okStatus();
+  }
+  Result<std::string> storeId = StoreCreation(files_).begin(random);
+  if (!storeId) {
+    return storeId.error();
+  }
+  position_.segmentSequence = 1;
+  position_.storeId = std::move(storeId).value();
+  return okStatus();
+}
+
+Status LogRecovery::checkSizes(const Headers& headers) const {
+  const LogStoreOptions& options = files_.options();
+  for (const std::optional<SegmentHeader>& header : headers) {
+    if (!header) {
+      continue;
+    }
+    if (header->segmentBytes != options.segmentBytes ||
+        header->segmentCount != options.segmentCount) {
+      return makeError(ErrorCode::InvalidArgument, "the store was created with other sizes");
+    }
+  }
+  return okStatus();
+}
+
+/// Checks that every file is there in its latest use. The newest segment tells which use that is,
+/// as the files are used in turn; a disk writes a header's sector atomically, so a crash leaves the
+/// earlier or the later header.
+Status LogRecovery::checkHeaders(const Headers& headers) const {
+  const std::uint64_t count = files_.options().segmentCount;
+  const std::uint64_t newest = position_.segmentSequence;
+  for (std::uint64_t slot = 0; slot < count; ++slot) {
+    // The latest use of this slot up to the newest segment; 0 if it was not used yet.
+    const std::uint64_t age = (newest + count - slot) % count;
+    const std::uint64_t expected = newest > age ? newest - age : 0;
+    const std::optional<SegmentHeader>& header = headers[slot];
+    if (!header || header->segmentSequence != expected || header->storeId != position_.storeId) {
+      return corrupt("the header of " + SegmentFiles::fileName(slot) + " is lost or damaged");
+    }
+  }
+  return okStatus();
+}
+
+Status LogRecovery::replaySegments(const Headers& headers) {
+  const std::uint64_t newest = position_.segmentSequence;
+  // The oldest segment is still needed if its live records had not arrived in the newest one.
+  const Result<bool> compacted = startsWithCompaction(newest);
+  if (!compacted) {
+    return compacted.error();
+  }
+  const std::uint64_t kept = files_.options().segmentCount - (compacted.value() ? 1 : 0);
+  const std::uint64_t first = newest > kept ? newest - kept + 1 : 1;
+  position_.nextSequence = headers[files_.slotOf(first)]->firstSequence;
+  for (std::uint64_t sequence = first; sequence <= newest; ++sequence) {
+    const SegmentHeader& header = *headers[files_.slotOf(sequence)];
+    if (header.segmentSequence != sequence || header.firstSequence != position_.nextSequence) {
+      return corrupt("records are missing before " +
+                     SegmentFiles::fileName(files_.slotOf(sequence)));
+    }
+    const Result<std::string> content = files_.readSegment(sequence);
+    if (!content) {
+      return content.error();
+    }
+    const Result<std::uint64_t> end = replaySegment(header, content.value());
+    if (!end) {
+      return end.error();
+    }
+    if (sequence == newest) {
+      position_.offset = end.value();
+      return cutTail(content.value());
+    }
+  }
+  return okStatus();
+}
+
+Result<std::uint64_t> LogRecovery::replaySegment(const SegmentHeader& header,
+                                                 std::string_view content) {
+  std::uint64_t end = kFirstRecordOffset;
+  while (true) {
+    const auto record = decodeRecord(content, end, header.segmentSequence);
+    if (!record || record->sequence != position_.nextSequence) {
+      return end;
+    }
+    const std::uint64_t payloadOffset = end + kRecordHeaderBytes;
+    const std::string_view payload = content.substr(payloadOffset, record->payloadBytes);
+    if (!decodePayload(payload)) {
+      return corrupt("a record is malformed");
+    }
+    index_.apply(payload, header.segmentSequence, payloadOffset);
+    end += recordBytes(record->payloadBytes);
+    ++position_.nextSequence;
+  }
+}
+
+/// Looks for complete records after the first unreadable one. One that was written after the
+/// unreadable one had been synced proves damage. The others were unsynced at a power loss. All that
+/// follows is overwritten with zeros, also what is unreadable: a later, torn write could supply the
+/// very sectors that a cut record lacks, and bring it back.
+Status LogRecovery::cutTail(std::string_view content) {
+  const std::uint64_t end = position_.offset;
+  for (std::uint64_t at = end; at < content.size(); at += kRecordAlignment) {
+    const auto record = decodeRecord(content, at, position_.segmentSequence);
+    if (record && record->syncedSequence >= position_.nextSequence) {
+      return corrupt("record " + std::to_string(position_.nextSequence) + " is damaged");
+    }
+  }
+  if (content.find_first_not_of('\0', end) == std::string_view::npos) {
+    return okStatus();
+  }
+  File& active = files_.segment(position_.segmentSequence);
+  return active.writeAt(end, std::string(content.size() - end, '\0'));
+}
+
+Result<bool> LogRecovery::startsWithCompaction(std::uint64_t segmentSequence) const {
+  const Result<std::string> content = files_.readSegment(segmentSequence);
+  if (!content) {
+    return content.error();
+  }
+  const auto record = decodeRecord(content.value(), kFirstRecordOffset, segmentSequence);
+  return record && record->kind == RecordKind::Compaction;
+}
+
+}  // namespace shedshed
