--- a/sim/sim_fleet.cpp
+++ b/sim/sim_fleet.cpp
@@ -251,7 +251,7 @@
   }
   for (const NodeId& id : fronts_) {
     std::string held;
-    for (const SlotHolder::Held& slot : front(id)->cores.slots.heldSlots()) {
+    for (const HolderLease& slot : front(id)->cores.slots.leases()) {
       held +=
           " " + slot.claim.limiter + "/" + slot.claim.key + "#" + std::to_string(slot.claim.number);
     }
@@ -285,7 +285,7 @@
     if (!node(id).up()) {
       continue;
     }
-    for (const SlotHolder::Held& held : front(id)->cores.slots.heldSlots()) {
+    for (const HolderLease& held : front(id)->cores.slots.leases()) {
       if (held.validUntil <= world_.now()) {
         continue;
       }
--- a/src/batch/batch_runner_core.h
+++ b/src/batch/batch_runner_core.h
@@ -141,7 +141,7 @@
                const Result<SlotGrant>& grant);
   /// Items that wait for slots or hold them.
   static std::uint32_t wantedSlots(const Run& run);
-  void onShare(const RunKey& key, const std::string& model, const RunShare& share);
+  void onShare(const RunKey& key, const std::string& model, const ShareAssignment& share);
   void retryRefused();
   void askStart(const RunKey& key, Run& run, std::uint64_t position);
   void onStartReply(const StartReply& reply);
--- a/src/batch/batch_runner_items.cpp
+++ b/src/batch/batch_runner_items.cpp
@@ -107,9 +107,9 @@
   limit.pool = {"batch", item.model};
   request.limits.push_back(limit);
   if (run.assignment.hasDueTime) {
-    request.demand = RunDemand{key.first + "/" + std::to_string(key.second),
-                               run.due - context_.now(), wantedSlots(run)};
-    request.onShare = [this, key, model = item.model](const RunShare& share) {
+    request.shareRequest = ShareRequest{key.first + "/" + std::to_string(key.second),
+                                        run.due - context_.now(), wantedSlots(run)};
+    request.onShareAssigned = [this, key, model = item.model](const ShareAssignment& share) {
       onShare(key, model, share);
     };
   }
@@ -181,7 +181,8 @@
          static_cast<std::uint32_t>(active);
 }
 
-void BatchRunnerCore::onShare(const RunKey& key, const std::string& model, const RunShare& share) {
+void BatchRunnerCore::onShare(const RunKey& key, const std::string& model,
+                              const ShareAssignment& share) {
   if (Run* run = find(key)) {
     run->admissions[model].setShare(share.slots, share.free, context_.now());
   }
--- a/src/operators/supervision_json.cpp
+++ b/src/operators/supervision_json.cpp
@@ -11,7 +11,7 @@
   addUnsigned(object, name, milliseconds > 0 ? static_cast<std::uint64_t>(milliseconds) : 0);
 }
 
-void addHolding(cJSON* array, const SlotHolding& holding) {
+void addHolding(cJSON* array, const GrantedSlotExplanation& holding) {
   cJSON* item = cJSON_CreateObject();
   addUnsigned(item, "number", holding.number);
   cJSON_AddStringToObject(item, "holder", holding.holder.address.c_str());
@@ -32,14 +32,14 @@
   addUnsigned(item, "unscaled", pool.size.unscaled);
   cJSON_AddNumberToObject(item, "per_s", pool.size.rate.perSecond);
   addUnsigned(item, "burst", pool.size.rate.burst);
-  addMilliseconds(item, "hold_ms", pool.size.hold);
+  addMilliseconds(item, "hold_ms", pool.size.holdTime);
   cJSON_AddNumberToObject(item, "scale", pool.size.scale);
   addUnsigned(item, "live", pool.liveSlots);
   addUnsigned(item, "batch_items", pool.batchSlots);
   cJSON_AddBoolToObject(item, "recovering", pool.recovering ? 1 : 0);
   addUnsigned(item, "epoch", pool.epoch);
   cJSON* holdings = cJSON_AddArrayToObject(item, "slots");
-  for (const SlotHolding& holding : pool.holdings) {
+  for (const GrantedSlotExplanation& holding : pool.grantedSlots) {
     addHolding(holdings, holding);
   }
   cJSON_AddItemToArray(array, item);
@@ -49,7 +49,7 @@
   cJSON* item = cJSON_CreateObject();
   cJSON_AddStringToObject(item, "model", lending.model.c_str());
   addUnsigned(item, "lent", lending.lent);
-  addUnsigned(item, "room", lending.room);
+  addUnsigned(item, "room", lending.engineCapacity);
   addUnsigned(item, "live", lending.liveSlots);
   addUnsigned(item, "reserve", lending.reserve);
   cJSON_AddItemToArray(array, item);
--- a/src/slots/lending_core.cpp
+++ b/src/slots/lending_core.cpp
@@ -90,21 +90,22 @@
   }
 }
 
-/// Live slots are counted over all models: a tenant's pool does not tell which model its calls ask
+/// Live slots are counted over all models: a tenant's pool does not know which model its calls ask
 /// for, and lending too little is safe.
 LendingExplanation LendingCore::computeModel(const std::string& model, bool complete) const {
   LendingExplanation result;
   result.model = model;
-  result.room = readyEngineRoom(*engines_.table(), model);
+  result.engineCapacity = readyEngineCapacity(*engines_.table(), model);
   result.liveSlots = liveSlots();
-  const double share = std::ceil(rates_.batchReserve() * result.room);
+  const double share = std::ceil(rates_.batchReserve() * result.engineCapacity);
   const double arriving = std::ceil(arrivalsPerSecond() * seconds(options_.reserveHorizon));
   result.reserve = static_cast<std::uint32_t>(std::max(share, arriving));
   const std::uint32_t taken = result.liveSlots + result.reserve;
-  const std::uint32_t idle = complete && result.room > taken ? result.room - taken : 0;
+  const std::uint32_t idle =
+      complete && result.engineCapacity > taken ? result.engineCapacity - taken : 0;
   const auto before = lent_.find(model);
   const std::uint32_t lentBefore = before == lent_.end() ? 0 : before->second.lent;
-  const double growth = std::max(1.0, std::floor(result.room * options_.growthPerTick));
+  const double growth = std::max(1.0, std::floor(result.engineCapacity * options_.growthPerTick));
   result.lent = std::min(idle, lentBefore + static_cast<std::uint32_t>(growth));
   return result;
 }
@@ -137,7 +138,7 @@
 }
 
 /// Ownership is proved first, so that a singleton that was replaced while it was frozen does not
-/// announce room that its successor has already taken back.
+/// announce capacity that its successor has already taken back.
 void LendingCore::announce() {
   const std::uint64_t epoch = epoch_;
   store_.confirmOwnership(partition(), [this, epoch](Status status) {
--- a/src/slots/lending_core.h
+++ b/src/slots/lending_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// The singleton that sets how much idle engine room is lent to batch items.
+/// The singleton that sets how much idle engine capacity is lent to batch items.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -16,29 +16,30 @@
 
 namespace shedshed {
 
-/// Interval at which the lent room is computed and announced.
+/// Interval at which the lent capacity is computed and announced.
 inline constexpr Duration kLendingTick = std::chrono::milliseconds(250);
-/// A live store whose report is older than this makes the lent room 0: its live slots are unknown.
+/// A live store whose report is older than this makes the lent capacity 0: its live slots are
+/// unknown.
 inline constexpr Duration kUsageReportLifetime = std::chrono::seconds(2);
-/// The lent room grows by at most this share of the engines' room (at least 1) in one tick.
+/// The lent capacity grows by at most this share of the engines' capacity (at least 1) in one tick.
 inline constexpr double kLendingGrowthPerTick = 0.025;
 /// The reserve covers the live calls that arrive within this time.
 inline constexpr Duration kReserveHorizon = std::chrono::seconds(1);
 /// Share of the arrival rate in force that is kept per tick after live arrivals fall.
 inline constexpr double kArrivalDecay = 0.9;
 
-/// How freely room is lent. Right for a fleet are a growth by which the room is back well before
-/// the results of a batch are due, and a horizon of about the time that a live call holds its slot.
+/// How freely capacity is lent. Choose a growth that restores the lent capacity well before the
+/// results of a batch are due, and a horizon of about the time that a live call holds its slot.
 struct LendingOptions {
   double growthPerTick = kLendingGrowthPerTick;
   Duration reserveHorizon = kReserveHorizon;
 };
 
 /// Runs on every store; acts on the owner of the partition of the name "lending", under that
-/// partition's epoch. Room that is lent but not announced again ends by itself, so a cut-off
+/// partition's epoch. Lent capacity that is not announced again expires, so a partitioned
 /// singleton cannot lend for long.
 ///
-/// N = room − live slots in use − reserve. It falls at once and grows slowly.
+/// N = engine capacity − live slots in use − reserve. It falls at once and grows slowly.
 class LendingCore : public Core {
  public:
   /// Keeps references to all; they must outlive it.
--- a/src/slots/pool_sizer.cpp
+++ b/src/slots/pool_sizer.cpp
@@ -13,14 +13,14 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-double boundedSeconds(Duration hold) {
-  return std::clamp(seconds(hold), seconds(kMinimumHold), seconds(kMaximumHold));
+double boundedSeconds(Duration holdTime) {
+  return std::clamp(seconds(holdTime), seconds(kMinimumHoldTime), seconds(kMaximumHoldTime));
 }
 
 }  // namespace
 
-std::uint32_t unscaledPoolSize(const PoolRate& rate, Duration hold) {
-  const double sustained = std::ceil(rate.perSecond * seconds(hold) - kRoundingTolerance);
+std::uint32_t unscaledPoolSize(const PoolRate& rate, Duration holdTime) {
+  const double sustained = std::ceil(rate.perSecond * seconds(holdTime) - kRoundingTolerance);
   return static_cast<std::uint32_t>(std::max(0.0, sustained)) + rate.burst;
 }
 
@@ -29,14 +29,14 @@
   return static_cast<std::uint32_t>(std::max(1.0, uneven)) + rate.burst;
 }
 
-std::uint32_t readyEngineRoom(const EngineTable& engines, const std::string& model) {
-  std::uint32_t room = 0;
+std::uint32_t readyEngineCapacity(const EngineTable& engines, const std::string& model) {
+  std::uint32_t capacity = 0;
   for (const EngineInfo& engine : engines.engines) {
     if (engine.state == EngineState::Ready && (model.empty() || engine.model == model)) {
-      room += engine.maxRunning;
+      capacity += engine.maxRunning;
     }
   }
-  return room;
+  return capacity;
 }
 
 PoolSizer::PoolSizer(const PoolRateSource& rates, const EngineSource& engines)
@@ -46,32 +46,32 @@
   PoolSize result;
   result.pool = pool;
   result.rate = rates_.rate(pool);
-  result.hold = hold(pool);
+  result.holdTime = holdTime(pool);
   result.scale = scale_;
   if (result.rate.unlimited) {
-    result.unscaled = std::max(readyEngineRoom(*engines_.table()), 1U);
+    result.unscaled = std::max(readyEngineCapacity(*engines_.table()), 1U);
     result.size = result.unscaled;
     return result;
   }
-  result.unscaled = unscaledPoolSize(result.rate, result.hold);
+  result.unscaled = unscaledPoolSize(result.rate, result.holdTime);
   const double scaled = std::floor(result.unscaled * scale_ + kRoundingTolerance);
   const std::uint32_t least = std::min(result.unscaled, 1U);
   result.size = std::max(static_cast<std::uint32_t>(scaled), least);
   return result;
 }
 
-void PoolSizer::observeHold(const PoolName& pool, Duration hold) {
+void PoolSizer::observeHoldTime(const PoolName& pool, Duration holdTime) {
   Measurement& measured = measurement(pool);
-  measured.meanSeconds += kHoldSmoothing * (boundedSeconds(hold) - measured.meanSeconds);
+  measured.meanSeconds += kHoldTimeSmoothing * (boundedSeconds(holdTime) - measured.meanSeconds);
 }
 
-void PoolSizer::adoptHold(const PoolName& pool, Duration hold) {
-  const double reported = boundedSeconds(hold);
+void PoolSizer::adoptHoldTime(const PoolName& pool, Duration holdTime) {
+  const double reported = boundedSeconds(holdTime);
   measurements_[{pool.limiter, pool.key}] = {reported, reported};
 }
 
 void PoolSizer::update(Duration elapsed) {
-  const double factor = std::pow(kHoldChangePerSecond, seconds(elapsed));
+  const double factor = std::pow(kHoldTimeChangePerSecond, seconds(elapsed));
   for (auto& entry : measurements_) {
     Measurement& measured = entry.second;
     const double lowest = measured.inForceSeconds / factor;
@@ -81,10 +81,10 @@
   scale_ = computeScale();
 }
 
-Duration PoolSizer::hold(const PoolName& pool) const {
+Duration PoolSizer::holdTime(const PoolName& pool) const {
   const auto found = measurements_.find({pool.limiter, pool.key});
   if (found == measurements_.end()) {
-    return kDefaultHold;
+    return kDefaultHoldTime;
   }
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(found->second.inForceSeconds));
@@ -93,20 +93,20 @@
 /// Without any ready engine nothing is scaled: routing refuses such a call with its own error, and
 /// an owner whose engine table is still empty must not refuse in its place.
 double PoolSizer::computeScale() const {
-  const std::uint32_t room = readyEngineRoom(*engines_.table());
+  const std::uint32_t capacity = readyEngineCapacity(*engines_.table());
   std::uint64_t total = 0;
   for (const PoolName& pool : rates_.tenantPools()) {
     const PoolRate rate = rates_.rate(pool);
-    total += rate.unlimited ? 0 : unscaledPoolSize(rate, hold(pool));
+    total += rate.unlimited ? 0 : unscaledPoolSize(rate, holdTime(pool));
   }
-  if (room == 0 || total <= room) {
+  if (capacity == 0 || total <= capacity) {
     return 1;
   }
-  return static_cast<double>(room) / static_cast<double>(total);
+  return static_cast<double>(capacity) / static_cast<double>(total);
 }
 
 PoolSizer::Measurement& PoolSizer::measurement(const PoolName& pool) {
-  const double initial = seconds(kDefaultHold);
+  const double initial = seconds(kDefaultHoldTime);
   return measurements_.try_emplace({pool.limiter, pool.key}, Measurement{initial, initial})
       .first->second;
 }
--- a/src/slots/slot_client.h
+++ b/src/slots/slot_client.h
@@ -1,10 +1,10 @@
 /// @file
-/// The holder's side of the numbered slots.
+/// Interface through which a node acquires numbered slots, and the types of a request.
 #pragma once
 
 #include "kernel/error.h"
 #include "kernel/time.h"
-#include "slots/run_shares.h"
+#include "slots/share_allocator.h"
 
 #include <cstdint>
 #include <functional>
@@ -26,21 +26,15 @@
 /// One limit that must grant.
 struct SlotLimit {
   PoolName pool;
-  bool failOpen = true;    ///< Run without a slot if the store cannot be reached.
-  Duration block{0};       ///< Opt-in wait before a refusal.
-  Duration poll{0};        ///< Interval between tries while blocked; varied by half of it.
+  bool failOpen = true;  ///< Run without a slot if the store cannot be reached.
+  Duration block{0};     ///< Opt-in wait before a refusal.
+  Duration poll{0};      ///< Interval between attempts while blocked, with a jitter of half of it.
   Duration timeToLive{0};  ///< Slot TTL.
-  /// The number is neither renewed nor given back: its owner lets it expire, and so bounds how many
-  /// requests begin in any time. Only a request that another limit refuses gives it back.
+  /// The number is neither renewed nor released: its owner lets it expire, and so bounds how many
+  /// requests start in any period. Only a request that another limit rejects releases it.
   bool untilExpiry = false;
 };
 
-/// How many slots of the batch pool a run should hold.
-struct RunShare {
-  std::uint32_t slots = 0;  ///< By the due times of all runs.
-  std::uint32_t free = 0;   ///< Slots of the pool that nobody holds.
-};
-
 /// A request for slots under all of `limits`.
 struct SlotRequest {
   std::string requestId;
@@ -48,10 +42,10 @@
   std::vector<SlotLimit> limits;
   /// Time after which a store that does not answer is decided by the fail mode; 0: the default.
   Duration storeDeadline{0};
-  /// Told to the owner of the batch pool, if set.
-  std::optional<RunDemand> demand;
-  /// Called with each answer of that owner that names the run's share.
-  std::function<void(const RunShare&)> onShare;
+  /// Sent to the owner of the batch pool with each acquisition, if set.
+  std::optional<ShareRequest> shareRequest;
+  /// Called with each share that this owner assigns in an answer.
+  std::function<void(const ShareAssignment&)> onShareAssigned;
 };
 
 /// Granted slots, held until `SlotClient::release`.
@@ -76,7 +70,8 @@
   }
 };
 
-/// Acquires, renews and releases slots. Core thread only. Renewal goes by itself.
+/// Acquires, renews and releases slots. Core thread only. Granted slots are renewed without further
+/// calls.
 class SlotClient {
  public:
   virtual ~SlotClient() = default;
@@ -85,7 +80,7 @@
   /// `PoolFull`, or `StoreUnavailable` (a limit that fails closed).
   virtual void acquire(SlotRequest request, std::function<void(Result<SlotGrant>)> done) = 0;
 
-  /// Gives all slots of a grant back. Idempotent; unknown ids are ignored.
+  /// Releases all slots of a grant. Idempotent; unknown ids are ignored.
   virtual void release(std::uint64_t grantId) = 0;
 };
 
--- a/src/slots/slot_client_core.cpp
+++ b/src/slots/slot_client_core.cpp
@@ -60,8 +60,8 @@
           message, [&](const RenewSlotsReply& typed) { holder_.renewed(from, typed); }) ||
       dispatchMessage<RecoveryNotice>(
           message, [&](const RecoveryNotice& typed) { holder_.recoveryNoticed(from, typed); }) ||
-      dispatchMessage<HeldSlotsQuery>(message,
-                                      [&](const HeldSlotsQuery& typed) { checkHeld(from, typed); });
+      dispatchMessage<GrantedSlotsQuery>(
+          message, [&](const GrantedSlotsQuery& typed) { checkHeld(from, typed); });
 }
 
 void SlotClientCore::timerExpired(TimerId timer) {
@@ -141,11 +141,11 @@
     AcquireSlot request;
     request.attempt = acquisition.attempt;
     request.claim = acquisition.claim;
-    const auto& demand = acquisition.request.demand;
-    if (demand && acquisition.claim.limiter == kBatchLimiter) {
-      request.run = demand->run;
-      request.dueInMilliseconds = toMilliseconds(demand->dueIn);
-      request.wanted = demand->wanted;
+    const auto& share = acquisition.request.shareRequest;
+    if (share && acquisition.claim.limiter == kBatchLimiter) {
+      request.run = share->run;
+      request.dueInMilliseconds = toMilliseconds(share->dueIn);
+      request.requestedSlots = share->requestedSlots;
     }
     context_.send(acquisition.asked, request);
   }
@@ -173,7 +173,7 @@
 
 /// A token that is neither held nor being asked for is one of an earlier life of this node, or was
 /// given up: no call counts on it and none ever will.
-void SlotClientCore::checkHeld(const NodeId& from, const HeldSlotsQuery& query) {
+void SlotClientCore::checkHeld(const NodeId& from, const GrantedSlotsQuery& query) {
   std::vector<SlotClaim> unknown;
   for (const SlotClaim& claim : query.claims) {
     if (!holder_.holds(claim.token) && asking_.count(claim.token) == 0) {
@@ -186,17 +186,17 @@
 void SlotClientCore::answered(const NodeId& from, const AcquireSlotReply& reply) {
   const auto found = asking_.find(reply.claim.token);
   if (found == asking_.end()) {
-    if (reply.outcome == SlotOutcome::Held) {
+    if (reply.outcome == SlotOutcome::Granted) {
       releaseLateGrant(reply.claim);
     }
     return;
   }
   const std::uint64_t id = found->second;
   Acquisition& acquisition = acquisitions_.at(id);
-  if (reply.namesShare && acquisition.request.onShare) {
-    acquisition.request.onShare({reply.share, reply.free});
+  if (reply.shareAssigned && acquisition.request.onShareAssigned) {
+    acquisition.request.onShareAssigned({reply.share, reply.free});
   }
-  if (reply.outcome == SlotOutcome::Held) {
+  if (reply.outcome == SlotOutcome::Granted) {
     granted(id, reply);
   } else if (reply.outcome == SlotOutcome::Full) {
     refused(id, reply.poolSize);
--- a/src/slots/slot_client_core.h
+++ b/src/slots/slot_client_core.h
@@ -52,7 +52,7 @@
   bool idle() const { return acquisitions_.empty() && holder_.idle(); }
 
   /// The slots held by this node, for operators and invariants.
-  std::vector<SlotHolder::Held> heldSlots() const { return holder_.heldSlots(); }
+  std::vector<HolderLease> leases() const { return holder_.leases(); }
 
  private:
   using Done = std::function<void(Result<SlotGrant>)>;
@@ -83,7 +83,7 @@
   void beginLimit(std::uint64_t id);
   void ask(std::uint64_t id);
   void retryAt(std::uint64_t id, Duration pause);
-  void checkHeld(const NodeId& from, const HeldSlotsQuery& query);
+  void checkHeld(const NodeId& from, const GrantedSlotsQuery& query);
   void answered(const NodeId& from, const AcquireSlotReply& reply);
   void granted(std::uint64_t id, const AcquireSlotReply& reply);
   void redirected(std::uint64_t id, const NodeId& from, const AcquireSlotReply& reply);
--- a/src/slots/slot_holder.cpp
+++ b/src/slots/slot_holder.cpp
@@ -43,8 +43,8 @@
   return held_.count(token) != 0;
 }
 
-std::vector<SlotHolder::Held> SlotHolder::heldSlots() const {
-  std::vector<Held> result;
+std::vector<HolderLease> SlotHolder::leases() const {
+  std::vector<HolderLease> result;
   for (const auto& entry : held_) {
     result.push_back({entry.second.claim, entry.second.validUntil});
   }
@@ -186,7 +186,7 @@
                               const RenewedSlot& slot) {
   const auto found = held_.find(slot.token);
   if (found == held_.end()) {
-    if (slot.outcome == SlotOutcome::Held) {
+    if (slot.outcome == SlotOutcome::Granted) {
       releaseAgain(slot.token);
     }
     return;
@@ -194,7 +194,7 @@
   HeldSlot& held = found->second;
   const auto round = rounds_.find(reply.round);
   switch (slot.outcome) {
-  case SlotOutcome::Held:
+  case SlotOutcome::Granted:
     held.claim.number = slot.number;
     if (round != rounds_.end()) {
       held.validUntil = std::max(held.validUntil, round->second + timeToLive(held.claim));
@@ -206,7 +206,7 @@
   case SlotOutcome::NotOwner:
     renewElsewhere(held, from, reply.ownerHint);
     break;
-  case SlotOutcome::Over:
+  case SlotOutcome::Overcommitted:
     context_.counters().add("slot_over_admissions_total");
     held_.erase(found);
     break;
--- a/src/slots/slot_holder.h
+++ b/src/slots/slot_holder.h
@@ -22,16 +22,16 @@
 /// A slot is renewed when this part of its time to live has passed.
 inline constexpr int kRenewalsPerTimeToLive = 3;
 
+/// A granted slot as its holder sees it. The holder may rely on it until `validUntil`, which is
+/// counted from before the request that the owner last answered was sent.
+struct HolderLease {
+  SlotClaim claim;
+  Time validUntil;
+};
+
 /// Renews, re-asserts and releases slots. Core thread only.
 class SlotHolder {
  public:
-  /// A held slot. It counts as held for sure until `validUntil`, which is reckoned from before the
-  /// request that the owner last answered was sent.
-  struct Held {
-    SlotClaim claim;
-    Time validUntil;
-  };
-
   /// Keeps references to both; they must outlive it.
   SlotHolder(CoreContext& context, OwnerLocator& locator, SlotSafeguards safeguards);
 
@@ -67,7 +67,7 @@
 
   /// True if nothing is held and every release has been acknowledged.
   bool idle() const { return held_.empty() && releasing_.empty(); }
-  std::vector<Held> heldSlots() const;
+  std::vector<HolderLease> leases() const;
 
  private:
   struct HeldSlot {
--- a/src/slots/slot_messages.h
+++ b/src/slots/slot_messages.h
@@ -48,22 +48,23 @@
 struct AcquireSlot {
   static constexpr ServiceId kService = ServiceId::SlotOwner;
   static constexpr std::uint16_t kKind = 1;
-  std::uint64_t attempt = 0;  ///< Echoed; tells a refusal of this try from an older one.
+  std::uint64_t attempt =
+      0;  ///< Echoed; distinguishes a refusal of this attempt from an older one.
   SlotClaim claim;
-  std::string run;  ///< Of the item that asks, if it tells what its run wants; see `RunDemand`.
+  std::string run;  ///< Run of the item, if it requests a share; see `ShareRequest`.
   std::int64_t dueInMilliseconds = 0;
-  std::uint32_t wanted = 0;
-  MSGPACK_DEFINE(attempt, claim, run, dueInMilliseconds, wanted);
+  std::uint32_t requestedSlots = 0;
+  MSGPACK_DEFINE(attempt, claim, run, dueInMilliseconds, requestedSlots);
 };
 
 /// Outcome of a request about one slot. The numeric values travel on the wire.
 enum class SlotOutcome : std::uint8_t {
-  Held = 1,      ///< The token holds `number`.
-  Full = 2,      ///< No number is free.
-  NotOwner = 3,  ///< Ask `ownerHint`.
-  NotReady = 4,  ///< The owner waits for holders to re-assert their slots.
-  Over = 5,      ///< The number went to another token and no other one is free.
-  Released = 6,  ///< The token holds nothing.
+  Granted = 1,        ///< The token holds `number`.
+  Full = 2,           ///< No number is free.
+  NotOwner = 3,       ///< Ask `ownerHint`.
+  NotReady = 4,       ///< The owner waits for holders to re-assert their slots.
+  Overcommitted = 5,  ///< The number went to another token and no other one is free.
+  Released = 6,       ///< The token holds nothing.
 };
 
 /// Owner → holder: answer to `AcquireSlot`.
@@ -71,20 +72,21 @@
   static constexpr ServiceId kService = ServiceId::SlotClient;
   static constexpr std::uint16_t kKind = 1;
   std::uint64_t attempt = 0;
-  SlotClaim claim;  ///< As asked for, with the number if the answer is `Held`.
+  SlotClaim claim;  ///< As asked for, with the number if the answer is `Granted`.
   SlotOutcome outcome = SlotOutcome::NotReady;
   std::uint32_t poolSize = 0;  ///< N if the answer is `Full`.
   std::uint64_t epoch = 0;     ///< Epoch of the owner that granted.
   NodeId ownerHint;
-  std::string engine;  ///< With `Held`: engine with the fewest holders of the pool; may be empty.
-  bool namesShare = false;  ///< `share` and `free` are set.
-  std::uint32_t share = 0;  ///< See `RunShare`.
+  std::string
+      engine;  ///< With `Granted`: engine with the fewest holders of the pool; may be empty.
+  bool shareAssigned = false;  ///< `share` and `free` are set.
+  std::uint32_t share = 0;     ///< See `ShareAssignment`.
   std::uint32_t free = 0;
-  MSGPACK_DEFINE(attempt, claim, outcome, poolSize, epoch, ownerHint, engine, namesShare, share,
+  MSGPACK_DEFINE(attempt, claim, outcome, poolSize, epoch, ownerHint, engine, shareAssigned, share,
                  free);
 };
 
-/// Holder → owner: gives one slot back. Resent until answered.
+/// Holder → owner: releases one slot. Resent until answered.
 struct ReleaseSlot {
   static constexpr ServiceId kService = ServiceId::SlotOwner;
   static constexpr std::uint16_t kKind = 2;
@@ -109,18 +111,18 @@
   static constexpr ServiceId kService = ServiceId::SlotOwner;
   static constexpr std::uint16_t kKind = 3;
   std::vector<SlotClaim> claims;
-  /// True in an answer to `RecoveryNotice`: `claims` is all that this holder has in `partition`.
+  /// Set in an answer to `RecoveryNotice`: `claims` is all that this holder has in `partition`.
   bool complete = false;
   PartitionId partition;    ///< Only if `complete`.
   std::uint64_t epoch = 0;  ///< Only if `complete`: that of the notice.
-  std::uint64_t round = 0;  ///< Echoed; tells when the request was sent.
+  std::uint64_t round = 0;  ///< Echoed; identifies when the request was sent.
   MSGPACK_DEFINE(claims, complete, partition, epoch, round);
 };
 
 /// Outcome of the renewal of one slot.
 struct RenewedSlot {
   OwnerToken token;
-  SlotOutcome outcome = SlotOutcome::Held;
+  SlotOutcome outcome = SlotOutcome::Granted;
   std::uint32_t number = 0;
   MSGPACK_DEFINE(token, outcome, number);
 };
@@ -146,29 +148,29 @@
   MSGPACK_DEFINE(partition, epoch);
 };
 
-/// Owner → holder: these slots have not been heard of for a while. The holder renews those that it
+/// Owner → holder: these slots have not been renewed for a while. The holder renews those that it
 /// holds and releases those that it does not know: a process that was killed left them.
-struct HeldSlotsQuery {
+struct GrantedSlotsQuery {
   static constexpr ServiceId kService = ServiceId::SlotClient;
   static constexpr std::uint16_t kKind = 5;
   std::vector<SlotClaim> claims;
   MSGPACK_DEFINE(claims);
 };
 
-/// Measured hold time of one pool.
-struct PoolHold {
+/// Mean time for which the slots of one pool are held.
+struct PoolHoldTime {
   std::string limiter;
   std::string key;
-  std::int64_t holdMicroseconds = 0;
-  MSGPACK_DEFINE(limiter, key, holdMicroseconds);
+  std::int64_t meanHoldMicroseconds = 0;
+  MSGPACK_DEFINE(limiter, key, meanHoldMicroseconds);
 };
 
 /// Owner → all live stores: hold times of the pools that it owns. Lets every owner compute the
 /// sum over all pools, and a successor start from the measured value.
-struct PoolHoldReport {
+struct HoldTimeReport {
   static constexpr ServiceId kService = ServiceId::SlotOwner;
   static constexpr std::uint16_t kKind = 4;
-  std::vector<PoolHold> pools;
+  std::vector<PoolHoldTime> pools;
   MSGPACK_DEFINE(pools);
 };
 
@@ -187,11 +189,12 @@
 struct SlotUsageReport {
   static constexpr ServiceId kService = ServiceId::Lending;
   static constexpr std::uint16_t kKind = 1;
-  std::uint64_t number = 0;       ///< Rises with each report of a process.
-  std::uint32_t liveSlots = 0;    ///< Slots of class `Live` held in tenants' pools.
-  std::uint32_t batchSlots = 0;   ///< Slots of class `BatchItem` held in tenants' pools.
-  std::uint64_t liveGrants = 0;   ///< Grants of class `Live` since the process started.
-  std::uint64_t incarnation = 0;  ///< Random per process: tells a restart from a step back.
+  std::uint64_t number = 0;      ///< Rises with each report of a process.
+  std::uint32_t liveSlots = 0;   ///< Slots of class `Live` held in tenants' pools.
+  std::uint32_t batchSlots = 0;  ///< Slots of class `BatchItem` held in tenants' pools.
+  std::uint64_t liveGrants = 0;  ///< Grants of class `Live` since the process started.
+  std::uint64_t incarnation =
+      0;  ///< Random per process: distinguishes a restart from a counter that went back.
   MSGPACK_DEFINE(number, liveSlots, batchSlots, liveGrants, incarnation);
 };
 
--- a/src/slots/slot_owner_core.cpp
+++ b/src/slots/slot_owner_core.cpp
@@ -20,8 +20,8 @@
   return static_cast<std::uint32_t>(std::strtoul(digits.c_str(), nullptr, 10));
 }
 
-SlotHolding holdingOf(std::uint32_t number, const HeldNumber& held, Time now) {
-  SlotHolding holding;
+GrantedSlotExplanation explainGrant(std::uint32_t number, const GrantedSlot& held, Time now) {
+  GrantedSlotExplanation holding;
   holding.number = number;
   holding.holder = held.row.holder;
   holding.serviceClass = held.row.claim.serviceClass;
@@ -55,8 +55,8 @@
       dispatchMessage<ReleaseSlot>(message,
                                    [&](const ReleaseSlot& typed) { release(from, typed); }) ||
       dispatchMessage<RenewSlots>(message, [&](const RenewSlots& typed) { renew(from, typed); }) ||
-      dispatchMessage<PoolHoldReport>(message,
-                                      [&](const PoolHoldReport& typed) { adoptHolds(typed); }) ||
+      dispatchMessage<HoldTimeReport>(
+          message, [&](const HoldTimeReport& typed) { adoptHoldTimes(typed); }) ||
       dispatchMessage<LendingLimit>(message,
                                     [&](const LendingLimit& typed) { adoptLendingLimit(typed); });
 }
@@ -117,7 +117,7 @@
   if (!row || !number) {
     return;
   }
-  HeldNumber held;
+  GrantedSlot held;
   held.row = std::move(row).value();
   held.expiresAt = expiryOf(held.row.claim);
   held.checkAt = context_.now() + kHolderCheckAge;
@@ -138,40 +138,40 @@
   return owned.pools.try_emplace(poolHash(name), name).first->second;
 }
 
-HeldNumber* SlotOwnerCore::heldBy(const PartitionId& partition, std::uint64_t epoch,
-                                  const SlotClaim& claim) {
+GrantedSlot* SlotOwnerCore::findGrant(const PartitionId& partition, std::uint64_t epoch,
+                                      const SlotClaim& claim) {
   OwnedPartition* current = owned(partition);
   if (current == nullptr || current->epoch != epoch) {
     return nullptr;
   }
-  HeldNumber* held = poolOf(*current, claim.pool()).find(claim.number);
+  GrantedSlot* held = poolOf(*current, claim.pool()).find(claim.number);
   return held != nullptr && held->row.claim.token == claim.token ? held : nullptr;
 }
 
 // ---- Sizes
 
-std::uint32_t SlotOwnerCore::lentRoom() const {
-  std::uint32_t room = 0;
-  for (const auto& entry : lentRooms_) {
-    room += context_.now() <= entry.second.validUntil ? entry.second.size : 0;
+std::uint32_t SlotOwnerCore::lendableCapacity() const {
+  std::uint32_t capacity = 0;
+  for (const auto& entry : lendingLimits_) {
+    capacity += context_.now() <= entry.second.validUntil ? entry.second.size : 0;
   }
-  return room;
+  return capacity;
 }
 
-/// Items take numbers above those of the tenant's live calls, as many as room is lent: a batch then
-/// neither keeps a live call from its slot nor waits while engines are idle.
+/// Items take numbers above those of the tenant's live calls, as many as capacity is lent: a
+/// batch then neither keeps a live call from its slot nor waits while engines are idle.
 SlotOwnerCore::NumberRange SlotOwnerCore::openNumbers(const PoolName& name,
                                                       SlotClass serviceClass) const {
   const std::uint32_t size = poolSize(name);
   if (serviceClass == SlotClass::Live || name.limiter != kTenantLimiter) {
     return {0, size};
   }
-  const std::uint32_t lent = lentRoom();
+  const std::uint32_t lent = lendableCapacity();
   if (lent == 0) {
     return {0, static_cast<std::uint32_t>(std::ceil(size * kItemShareOfTenantPool))};
   }
   // A tenant without competitors leaves nothing to others by taking less.
-  const double share = rates_.tenantPools().size() > 1 ? kItemShareOfLentRoom : 1.0;
+  const double share = rates_.tenantPools().size() > 1 ? kItemShareOfLentCapacity : 1.0;
   return {size, static_cast<std::uint32_t>(std::ceil(lent * share))};
 }
 
@@ -180,34 +180,34 @@
     return quotaPoolSize(rates_.rate(name));
   }
   if (name.limiter == kServiceLimiter) {
-    return std::max(readyEngineRoom(*engines_.table(), name.key), 1U);
+    return std::max(readyEngineCapacity(*engines_.table(), name.key), 1U);
   }
   if (name.limiter != kBatchLimiter) {
     return sizer_.size(name).size;
   }
-  const auto lent = lentRooms_.find(name.key);
-  if (lent == lentRooms_.end() || context_.now() > lent->second.validUntil) {
+  const auto lent = lendingLimits_.find(name.key);
+  if (lent == lendingLimits_.end() || context_.now() > lent->second.validUntil) {
     return 0;
   }
-  return std::min(lent->second.size, readyEngineRoom(*engines_.table(), name.key));
+  return std::min(lent->second.size, readyEngineCapacity(*engines_.table(), name.key));
 }
 
-void SlotOwnerCore::adoptHolds(const PoolHoldReport& report) {
-  for (const PoolHold& pool : report.pools) {
+void SlotOwnerCore::adoptHoldTimes(const HoldTimeReport& report) {
+  for (const PoolHoldTime& pool : report.pools) {
     const PoolName name{pool.limiter, pool.key};
     if (owned(poolPartition(name)) == nullptr) {
-      sizer_.adoptHold(name, std::chrono::microseconds(pool.holdMicroseconds));
+      sizer_.adoptHoldTime(name, std::chrono::microseconds(pool.meanHoldMicroseconds));
     }
   }
 }
 
 void SlotOwnerCore::adoptLendingLimit(const LendingLimit& limit) {
-  LentRoom& room = lentRooms_[limit.model];
+  ModelLendingLimit& limitInForce = lendingLimits_[limit.model];
   const auto received = std::make_pair(limit.epoch, limit.number);
-  if (received <= std::make_pair(room.epoch, room.number)) {
+  if (received <= std::make_pair(limitInForce.epoch, limitInForce.number)) {
     return;
   }
-  room = {limit.epoch, limit.number, limit.size, context_.now() + kLendingLimitLifetime};
+  limitInForce = {limit.epoch, limit.number, limit.size, context_.now() + kLendingLimitLifetime};
 }
 
 std::vector<PoolExplanation> SlotOwnerCore::explain() const {
@@ -226,7 +226,7 @@
       explanation.recovering = recovery_.isOpen(partition.first);
       explanation.epoch = partition.second.epoch;
       for (const auto& held : pool.numbers()) {
-        explanation.holdings.push_back(holdingOf(held.first, held.second, context_.now()));
+        explanation.grantedSlots.push_back(explainGrant(held.first, held.second, context_.now()));
       }
       result.push_back(explanation);
     }
@@ -284,10 +284,10 @@
 /// A number whose holder was killed would stay taken for its time to live, although the holder is
 /// back. Only the holder itself can say that it holds nothing: one that is silent may be frozen.
 void SlotOwnerCore::checkHolders() {
-  if (!options_.safeguards.askSilentHolders) {
+  if (!options_.safeguards.queryUnresponsiveHolders) {
     return;
   }
-  std::map<NodeId, HeldSlotsQuery> queries;
+  std::map<NodeId, GrantedSlotsQuery> queries;
   for (auto& partition : partitions_) {
     if (!store_.owns(partition.first)) {
       continue;
@@ -297,7 +297,7 @@
         continue;  // These numbers are not given back by anyone.
       }
       for (auto& held : pool.second.numbers()) {
-        HeldNumber& slot = held.second;
+        GrantedSlot& slot = held.second;
         if (slot.acknowledged && slot.checkAt <= context_.now()) {
           slot.checkAt = context_.now() + kHolderCheckRetry;
           queries[slot.row.holder].claims.push_back(slot.row.claim);
@@ -306,7 +306,7 @@
     }
   }
   for (const auto& [holder, query] : queries) {
-    context_.counters().add("slot_holders_asked_total");
+    context_.counters().add("slot_holder_queries_total");
     context_.send(holder, query);
   }
 }
@@ -367,11 +367,12 @@
   usage.batchSlots = countSlots(SlotClass::BatchItem);
   usage.liveGrants = liveGrants_;
   usage.incarnation = incarnation_;
-  PoolHoldReport holds;
+  HoldTimeReport holds;
   for (const auto& partition : partitions_) {
     for (const auto& entry : partition.second.pools) {
       const PoolName& name = entry.second.name();
-      const auto hold = std::chrono::duration_cast<std::chrono::microseconds>(sizer_.hold(name));
+      const auto hold =
+          std::chrono::duration_cast<std::chrono::microseconds>(sizer_.holdTime(name));
       holds.pools.push_back({name.limiter, name.key, hold.count()});
     }
   }
--- a/src/slots/slot_owner_core.h
+++ b/src/slots/slot_owner_core.h
@@ -10,7 +10,7 @@
 #include "slots/pool_rates.h"
 #include "slots/pool_sizer.h"
 #include "slots/recovery_windows.h"
-#include "slots/run_shares.h"
+#include "slots/share_allocator.h"
 #include "slots/slot_messages.h"
 #include "slots/slot_pool.h"
 #include "slots/slot_safeguards.h"
@@ -43,7 +43,7 @@
 /// its live calls.
 inline constexpr double kItemShareOfTenantPool = 0.75;
 /// Share of the lent room that the items of one tenant may take.
-inline constexpr double kItemShareOfLentRoom = 0.5;
+inline constexpr double kItemShareOfLentCapacity = 0.5;
 
 struct SlotOwnerOptions {
   SlotSafeguards safeguards;
@@ -78,7 +78,7 @@
     std::uint64_t epoch = 0;
     std::map<std::string, SlotPool> pools;  ///< By pool hash.
   };
-  struct LentRoom {
+  struct ModelLendingLimit {
     std::uint64_t epoch = 0;
     std::uint64_t number = 0;
     std::uint32_t size = 0;
@@ -86,16 +86,17 @@
   };
 
   void acquire(const NodeId& from, const AcquireSlot& request);
-  void answerHeld(const NodeId& from, const AcquireSlot& request, std::uint32_t number);
+  void answerRepeatedAcquisition(const NodeId& from, const AcquireSlot& request,
+                                 std::uint32_t number);
   void grant(const NodeId& from, const AcquireSlot& request, std::uint32_t number);
   /// The engine for a new holder of @p pool at node @p holder.
   std::string suggestEngine(const SlotPool& pool, const NodeId& holder);
   /// Adds to @p reply what the run that asks should hold.
-  void tellShare(const AcquireSlot& request, AcquireSlotReply& reply);
+  void addShare(const AcquireSlot& request, AcquireSlotReply& reply);
   void refuse(const NodeId& from, const AcquireSlot& request, SlotOutcome outcome,
               std::uint32_t poolSize = 0);
-  void replyHeld(const NodeId& from, const AcquireSlot& request, std::uint32_t number,
-                 std::uint64_t epoch);
+  void replyGranted(const NodeId& from, const AcquireSlot& request, std::uint32_t number,
+                    std::uint64_t epoch);
 
   void release(const NodeId& from, const ReleaseSlot& request);
   void replyReleased(const NodeId& from, const OwnerToken& token);
@@ -112,7 +113,7 @@
   void writeReasserted(const PartitionId& partition, std::uint64_t epoch, std::vector<SlotRow> rows,
                        std::function<void(Status)> answer);
 
-  void adoptHolds(const PoolHoldReport& report);
+  void adoptHoldTimes(const HoldTimeReport& report);
   void adoptLendingLimit(const LendingLimit& limit);
 
   void expireSlots();
@@ -127,7 +128,7 @@
 
   OwnedPartition* owned(const PartitionId& partition);
   SlotPool& poolOf(OwnedPartition& owned, const PoolName& name);
-  HeldNumber* heldBy(const PartitionId& partition, std::uint64_t epoch, const SlotClaim& claim);
+  GrantedSlot* findGrant(const PartitionId& partition, std::uint64_t epoch, const SlotClaim& claim);
   std::uint32_t poolSize(const PoolName& name) const;
   /// A range of a pool's numbers.
   struct NumberRange {
@@ -137,7 +138,7 @@
   /// The numbers of the pool that a holder of @p serviceClass may take.
   NumberRange openNumbers(const PoolName& name, SlotClass serviceClass) const;
   /// The room that is lent to batch items, of all models together.
-  std::uint32_t lentRoom() const;
+  std::uint32_t lendableCapacity() const;
   void loadTable(const PartitionId& partition, OwnedPartition& owned);
   void loadRow(OwnedPartition& owned, std::string_view key, const std::string& value);
   Time firstExpiry(const SlotPool& pool, const SlotClaim& claim) const;
@@ -153,9 +154,9 @@
   PoolSizer sizer_;
   std::map<PartitionId, OwnedPartition> partitions_;
   RecoveryWindows recovery_;
-  std::map<OwnerToken, Time> releasedTokens_;   ///< Until when each is remembered.
-  std::map<std::string, LentRoom> lentRooms_;   ///< By model.
-  std::map<std::string, RunShares> runShares_;  ///< By model, of the owned batch pools.
+  std::map<OwnerToken, Time> releasedTokens_;               ///< Until when each is remembered.
+  std::map<std::string, ModelLendingLimit> lendingLimits_;  ///< By model.
+  std::map<std::string, ShareAllocator> runShares_;         ///< By model, of the owned batch pools.
   Time startedAt_;
   Time lastUpdate_;
   Time lastReport_;
--- a/src/slots/slot_owner_requests.cpp
+++ b/src/slots/slot_owner_requests.cpp
@@ -29,7 +29,7 @@
   SlotPool& pool = poolOf(*current, name);
   const std::optional<std::uint32_t> existing = pool.numberOf(request.claim.token);
   if (existing && options_.safeguards.idempotentTokens) {
-    answerHeld(from, request, *existing);
+    answerRepeatedAcquisition(from, request, *existing);
     return;
   }
   if (recovery_.isOpen(partition)) {
@@ -52,11 +52,11 @@
 
 /// The token asks again. A copy that arrives while the first write is outstanding needs no answer
 /// of its own; after a failed write the row is written again.
-void SlotOwnerCore::answerHeld(const NodeId& from, const AcquireSlot& request,
-                               std::uint32_t number) {
+void SlotOwnerCore::answerRepeatedAcquisition(const NodeId& from, const AcquireSlot& request,
+                                              std::uint32_t number) {
   const PartitionId partition = poolPartition(request.claim.pool());
   OwnedPartition& current = *owned(partition);
-  HeldNumber& held = *poolOf(current, request.claim.pool()).find(number);
+  GrantedSlot& held = *poolOf(current, request.claim.pool()).find(number);
   if (held.writeOutstanding) {
     return;
   }
@@ -68,7 +68,7 @@
   const std::uint64_t epoch = current.epoch;
   store_.confirmOwnership(partition, [this, from, request, number, epoch](Status status) {
     if (status) {
-      replyHeld(from, request, number, epoch);
+      replyGranted(from, request, number, epoch);
     }
   });
 }
@@ -77,7 +77,7 @@
   const PoolName name = request.claim.pool();
   const PartitionId partition = poolPartition(name);
   OwnedPartition& current = *owned(partition);
-  HeldNumber held;
+  GrantedSlot held;
   held.row = {request.claim, from};
   held.row.claim.number = number;
   held.expiresAt = firstExpiry(poolOf(current, name), request.claim);
@@ -93,10 +93,10 @@
   poolOf(current, name).put(number, std::move(held));
   const std::uint64_t epoch = current.epoch;
   if (!options_.safeguards.grantAfterMajority) {
-    replyHeld(from, request, number, epoch);
+    replyGranted(from, request, number, epoch);
   }
   store_.write(partition, {entry}, [this, from, request, claim, partition, epoch](Status status) {
-    HeldNumber* written = heldBy(partition, epoch, claim);
+    GrantedSlot* written = findGrant(partition, epoch, claim);
     if (written != nullptr) {
       written->writeOutstanding = false;
       written->acknowledged = static_cast<bool>(status);
@@ -108,7 +108,7 @@
     }
     context_.counters().add("slot_grants_total");
     liveGrants_ += claim.serviceClass == SlotClass::Live ? 1 : 0;
-    replyHeld(from, request, claim.number, epoch);
+    replyGranted(from, request, claim.number, epoch);
   });
 }
 
@@ -122,33 +122,34 @@
   return pool.placement().suggest(*engines_.table(), pool.name(), zone, context_.random()());
 }
 
-void SlotOwnerCore::replyHeld(const NodeId& from, const AcquireSlot& request, std::uint32_t number,
-                              std::uint64_t epoch) {
+void SlotOwnerCore::replyGranted(const NodeId& from, const AcquireSlot& request,
+                                 std::uint32_t number, std::uint64_t epoch) {
   AcquireSlotReply reply;
   reply.attempt = request.attempt;
   reply.claim = request.claim;
   reply.claim.number = number;
-  reply.outcome = SlotOutcome::Held;
+  reply.outcome = SlotOutcome::Granted;
   reply.epoch = epoch;
-  if (const HeldNumber* held = heldBy(poolPartition(request.claim.pool()), epoch, reply.claim)) {
+  if (const GrantedSlot* held =
+          findGrant(poolPartition(request.claim.pool()), epoch, reply.claim)) {
     reply.engine = held->engine;
   }
-  tellShare(request, reply);
+  addShare(request, reply);
   context_.send(from, reply);
 }
 
-void SlotOwnerCore::tellShare(const AcquireSlot& request, AcquireSlotReply& reply) {
+void SlotOwnerCore::addShare(const AcquireSlot& request, AcquireSlotReply& reply) {
   const PoolName name = request.claim.pool();
   OwnedPartition* current = owned(poolPartition(name));
   if (request.run.empty() || name.limiter != kBatchLimiter || current == nullptr) {
     return;
   }
-  const RunDemand demand{request.run, std::chrono::milliseconds(request.dueInMilliseconds),
-                         request.wanted};
+  const ShareRequest share{request.run, std::chrono::milliseconds(request.dueInMilliseconds),
+                           request.requestedSlots};
   const std::uint32_t size = poolSize(name);
   const auto used = static_cast<std::uint32_t>(poolOf(*current, name).numbers().size());
-  reply.namesShare = true;
-  reply.share = runShares_[name.key].update(demand, size, sizer_.hold(name), context_.now());
+  reply.shareAssigned = true;
+  reply.share = runShares_[name.key].allocate(share, size, sizer_.holdTime(name), context_.now());
   reply.free = size > used ? size - used : 0;
 }
 
@@ -163,7 +164,7 @@
     reply.ownerHint = store_.ownerHint(poolPartition(request.claim.pool()));
   }
   if (outcome == SlotOutcome::Full) {
-    tellShare(request, reply);
+    addShare(request, reply);
   }
   context_.send(from, reply);
 }
@@ -190,7 +191,7 @@
   }
   const std::optional<Time> acquiredAt = pool.find(*number)->acquiredAt;
   if (acquiredAt) {
-    sizer_.observeHold(name, context_.now() - *acquiredAt);
+    sizer_.observeHoldTime(name, context_.now() - *acquiredAt);
   }
   pool.erase(*number);
   context_.counters().add("slot_releases_total");
@@ -274,7 +275,7 @@
   store_.write(partition, std::move(entries),
                [this, partition, epoch, rows, answer](Status status) {
                  for (const SlotRow& row : rows) {
-                   HeldNumber* written = heldBy(partition, epoch, row.claim);
+                   GrantedSlot* written = findGrant(partition, epoch, row.claim);
                    if (status && written != nullptr) {
                      written->acknowledged = true;
                    }
@@ -293,14 +294,14 @@
   if (!number) {
     return reassertClaim(from, claim, pool, rows);
   }
-  HeldNumber& held = *pool.find(*number);
+  GrantedSlot& held = *pool.find(*number);
   held.expiresAt = expiryOf(held.row.claim);
   held.checkAt = context_.now() + kHolderCheckAge;
   if (!held.acknowledged) {
     rows.push_back(held.row);
   }
   context_.counters().add("slot_renewals_total");
-  return {claim.token, SlotOutcome::Held, *number};
+  return {claim.token, SlotOutcome::Granted, *number};
 }
 
 /// The token's own number if it is free (also above N: nothing is revoked), else any free one.
@@ -316,9 +317,9 @@
     number = pool.probe(poolSize(claim.pool()), context_.random());
   }
   if (!number) {
-    return {claim.token, SlotOutcome::Over, 0};
+    return {claim.token, SlotOutcome::Overcommitted, 0};
   }
-  HeldNumber held;
+  GrantedSlot held;
   held.row = {claim, from};
   held.row.claim.number = *number;
   held.expiresAt = expiryOf(claim);
@@ -326,7 +327,7 @@
   rows.push_back(held.row);
   pool.put(*number, std::move(held));
   context_.counters().add("slot_reassertions_total");
-  return {claim.token, SlotOutcome::Held, *number};
+  return {claim.token, SlotOutcome::Granted, *number};
 }
 
 }  // namespace shedshed
--- a/src/slots/slot_pool.cpp
+++ b/src/slots/slot_pool.cpp
@@ -45,12 +45,12 @@
   return std::nullopt;
 }
 
-HeldNumber* SlotPool::find(std::uint32_t number) {
+GrantedSlot* SlotPool::find(std::uint32_t number) {
   const auto found = numbers_.find(number);
   return found == numbers_.end() ? nullptr : &found->second;
 }
 
-void SlotPool::put(std::uint32_t number, HeldNumber held) {
+void SlotPool::put(std::uint32_t number, GrantedSlot held) {
   erase(number);
   tokens_[held.row.claim.token] = number;
   placement_.added(held.engine);
--- a/src/slots/slot_pool.h
+++ b/src/slots/slot_pool.h
@@ -39,7 +39,7 @@
 };
 
 /// One held number in the owner's memory.
-struct HeldNumber {
+struct GrantedSlot {
   SlotRow row;
   Time expiresAt;
   Time checkAt;                    ///< When the holder is asked whether it still holds it.
@@ -57,8 +57,8 @@
   const PoolName& name() const { return name_; }
 
   /// The held numbers, ascending.
-  std::map<std::uint32_t, HeldNumber>& numbers() { return numbers_; }
-  const std::map<std::uint32_t, HeldNumber>& numbers() const { return numbers_; }
+  std::map<std::uint32_t, GrantedSlot>& numbers() { return numbers_; }
+  const std::map<std::uint32_t, GrantedSlot>& numbers() const { return numbers_; }
 
   /// Returns the number that @p token holds.
   std::optional<std::uint32_t> numberOf(const OwnerToken& token) const;
@@ -69,9 +69,9 @@
                                      std::uint32_t first = 0) const;
 
   /// Returns the held number or nullptr.
-  HeldNumber* find(std::uint32_t number);
+  GrantedSlot* find(std::uint32_t number);
 
-  void put(std::uint32_t number, HeldNumber held);
+  void put(std::uint32_t number, GrantedSlot held);
   void erase(std::uint32_t number);
 
   /// When the last of the held numbers expires; `Time::min()` if none is held.
@@ -85,7 +85,7 @@
 
  private:
   PoolName name_;
-  std::map<std::uint32_t, HeldNumber> numbers_;
+  std::map<std::uint32_t, GrantedSlot> numbers_;
   std::map<OwnerToken, std::uint32_t> tokens_;
   EnginePlacement placement_;
 };
--- a/src/slots/slot_safeguards.h
+++ b/src/slots/slot_safeguards.h
@@ -9,22 +9,22 @@
 struct SlotSafeguards {
   /// After a loss of memory nothing new is granted before the holders have re-asserted.
   bool recoveryWindow = true;
-  /// A recovery window waits for the holders that are held dead, too.
+  /// A recovery window waits for the holders that are confirmed dead, too.
   bool awaitDeadHolders = true;
   /// A grant is answered only once a majority has it.
   bool grantAfterMajority = true;
   /// An owner proves that it still owns the partition before it answers a renewal.
   bool confirmRenewals = true;
-  /// A token that asks again gets the slot that it holds.
+  /// A repeated acquisition with the same token gets the slot that the token holds.
   bool idempotentTokens = true;
-  /// A grant that arrives after its acquisition was given up is released at once.
+  /// A grant that arrives after its acquisition was abandoned is released at once.
   bool releaseLateGrants = true;
-  /// Slots already taken are released before a refusal is reported.
+  /// Slots already granted are released before a rejection is reported.
   bool releaseBeforeRefusal = true;
   /// A grant of an older epoch than a recovery that this holder has answered is discarded.
   bool discardOldGrants = true;
-  /// The holder of a slot that was not heard of for a while is asked whether it holds it.
-  bool askSilentHolders = true;
+  /// The holder of a slot that was not renewed for a while is queried whether it still holds it.
+  bool queryUnresponsiveHolders = true;
 };
 
 }  // namespace shedshed
--- a/tests/compatibility/message_format_test.cpp
+++ b/tests/compatibility/message_format_test.cpp
@@ -136,8 +136,8 @@
   checkMessage<RenewSlots>(checked);
   checkMessage<RenewSlotsReply>(checked);
   checkMessage<RecoveryNotice>(checked);
-  checkMessage<HeldSlotsQuery>(checked);
-  checkMessage<PoolHoldReport>(checked);
+  checkMessage<GrantedSlotsQuery>(checked);
+  checkMessage<HoldTimeReport>(checked);
   checkMessage<LendingLimit>(checked);
   checkMessage<SlotUsageReport>(checked);
   checkFormat<BatchStatus>("batch.batch_status", checked);
@@ -195,7 +195,7 @@
   checkFormat<OwnerToken>("slots.owner_token", checked);
   checkFormat<SlotClaim>("slots.slot_claim", checked);
   checkFormat<RenewedSlot>("slots.renewed_slot", checked);
-  checkFormat<PoolHold>("slots.pool_hold", checked);
+  checkFormat<PoolHoldTime>("slots.pool_hold", checked);
   checkFormat<SlotRow>("slots.slot_row", checked);
   for (const auto& entry : formats().entries()) {
     BOOST_TEST(checked.count(entry.first) == 1U, "nothing reads " << entry.first);
@@ -226,11 +226,11 @@
   BOOST_TEST(number(EngineState::Gone) == 3);
   BOOST_TEST(number(SlotClass::Live) == 1);
   BOOST_TEST(number(SlotClass::BatchItem) == 2);
-  BOOST_TEST(number(SlotOutcome::Held) == 1);
+  BOOST_TEST(number(SlotOutcome::Granted) == 1);
   BOOST_TEST(number(SlotOutcome::Full) == 2);
   BOOST_TEST(number(SlotOutcome::NotOwner) == 3);
   BOOST_TEST(number(SlotOutcome::NotReady) == 4);
-  BOOST_TEST(number(SlotOutcome::Over) == 5);
+  BOOST_TEST(number(SlotOutcome::Overcommitted) == 5);
   BOOST_TEST(number(SlotOutcome::Released) == 6);
   BOOST_TEST(number(AcceptorVerdict::Granted) == 1);
   BOOST_TEST(number(AcceptorVerdict::Outranked) == 2);
--- a/tests/operators/operators_server_test.cpp
+++ b/tests/operators/operators_server_test.cpp
@@ -259,7 +259,7 @@
   node.services.slots = [] {
     PoolExplanation pool;
     pool.size.pool = {"tenant", "acme"};
-    pool.holdings.push_back(
+    pool.grantedSlots.push_back(
         {3, NodeId{"127.0.0.1:5"}, SlotClass::Live, std::nullopt, std::chrono::seconds(2)});
     return SlotExplanation{{pool}, {{"m", 1, 8, 4, 3}}};
   };
--- a/tests/slots/holder_check_test.cpp
+++ b/tests/slots/holder_check_test.cpp
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_CASE(mutation_without_a_question_they_stay_taken) {
   SlotSafeguards safeguards;
-  safeguards.askSilentHolders = false;
+  safeguards.queryUnresponsiveHolders = false;
   SlotFleet fleet(safeguards);
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
@@ -60,7 +60,7 @@
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   fleet.harness.advance(seconds(30));
-  BOOST_TEST(fleet.fronts[0]->core.heldSlots().size() == 2U);
+  BOOST_TEST(fleet.fronts[0]->core.leases().size() == 2U);
   BOOST_TEST(codeOf(fleet.acquire(1, {longLimit()})) == ErrorCode::PoolFull);
 }
 
@@ -83,10 +83,10 @@
   const auto reply = decodeMessage<AcquireSlotReply>(fleet.harness.queue.back().message);
   BOOST_REQUIRE(reply.has_value());
   fleet.harness.queue.push_front(
-      {NodeId{"s1:1"}, NodeId{"f1:1"}, encodeMessage(HeldSlotsQuery{{reply.value().claim}})});
+      {NodeId{"s1:1"}, NodeId{"f1:1"}, encodeMessage(GrantedSlotsQuery{{reply.value().claim}})});
   fleet.harness.settle();
   BOOST_REQUIRE(outcome->has_value());
   BOOST_TEST((*outcome)->has_value());
-  BOOST_TEST(fleet.fronts[0]->core.heldSlots().size() == 1U);
+  BOOST_TEST(fleet.fronts[0]->core.leases().size() == 1U);
   BOOST_TEST(fleet.rows() == 1U);
 }
--- a/tests/slots/pool_sizer_test.cpp
+++ b/tests/slots/pool_sizer_test.cpp
@@ -29,7 +29,7 @@
   BOOST_TEST(sizer.size({kTenantLimiter, "small"}).size == 2U);
   BOOST_TEST(sizer.size({kTenantLimiter, "none"}).size == 0U);
   engines.engines->engines[0].state = EngineState::Draining;
-  BOOST_TEST(readyEngineRoom(*engines.engines) == 0U);
+  BOOST_TEST(readyEngineCapacity(*engines.engines) == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(hold_in_force_moves_at_a_bounded_speed) {
@@ -38,15 +38,15 @@
   const PoolName pool{kTenantLimiter, "t"};
   PoolSizer sizer(rates, engines);
   for (int i = 0; i < 200; ++i) {
-    sizer.observeHold(pool, seconds(20));
+    sizer.observeHoldTime(pool, seconds(20));
   }
-  BOOST_TEST((sizer.hold(pool) == kDefaultHold));
+  BOOST_TEST((sizer.holdTime(pool) == kDefaultHoldTime));
   sizer.update(seconds(1));
-  BOOST_TEST((sizer.hold(pool) == milliseconds(2500)));
+  BOOST_TEST((sizer.holdTime(pool) == milliseconds(2500)));
   for (int i = 0; i < 30; ++i) {
     sizer.update(seconds(1));
   }
-  BOOST_TEST((sizer.hold(pool) > seconds(19)));
+  BOOST_TEST((sizer.holdTime(pool) > seconds(19)));
 }
 
 BOOST_AUTO_TEST_CASE(owner_measures_the_hold_time) {
@@ -60,10 +60,10 @@
   }
   const auto pools = fleet.stores[0]->core.explain();
   BOOST_REQUIRE(pools.size() == 1U);
-  BOOST_TEST((pools[0].size.hold < milliseconds(700)));
+  BOOST_TEST((pools[0].size.holdTime < milliseconds(700)));
   fleet.takeOver(1, RecoveryKind::Complete);
   BOOST_TEST(fleet.acquire(0, {SlotFleet::limit("t")}).has_value());
-  BOOST_TEST((fleet.stores[1]->core.explain()[0].size.hold < milliseconds(700)));
+  BOOST_TEST((fleet.stores[1]->core.explain()[0].size.holdTime < milliseconds(700)));
 }
 
 namespace {
--- a/tests/slots/slot_fleet.h
+++ b/tests/slots/slot_fleet.h
@@ -176,10 +176,10 @@
   }
 
   /// True if two tokens count the same number as theirs for sure.
-  bool numberHeldTwice() const {
+  bool numberGrantedTwice() const {
     std::set<std::pair<std::string, std::uint32_t>> numbers;
     for (const auto& front : fronts) {
-      for (const SlotHolder::Held& held : front->core.heldSlots()) {
+      for (const HolderLease& held : front->core.leases()) {
         const bool sure = held.validUntil > harness.now;
         if (sure && !numbers.insert({held.claim.key, held.claim.number}).second) {
           return true;
--- a/tests/slots/slot_protocol_test.cpp
+++ b/tests/slots/slot_protocol_test.cpp
@@ -62,7 +62,7 @@
   BOOST_REQUIRE(refused->has_value());
   BOOST_TEST((*refused)->has_error());
   BOOST_TEST(codeOf(**refused) == ErrorCode::PoolFull);
-  BOOST_TEST(!fleet.numberHeldTwice());
+  BOOST_TEST(!fleet.numberGrantedTwice());
 }
 
 BOOST_AUTO_TEST_CASE(lower_size_hands_out_no_high_numbers_and_revokes_nothing) {
@@ -102,7 +102,7 @@
   for (const bool safe : {true, false}) {
     SlotSafeguards safeguards;
     safeguards.releaseLateGrants = safe;
-    safeguards.askSilentHolders = false;  // The owner's question would free it as well.
+    safeguards.queryUnresponsiveHolders = false;  // The owner's question would free it as well.
     SlotFleet fleet(safeguards);
     fleet.stores[0]->table.holdWrites = true;
     const Result<SlotGrant> refused = fleet.acquire(0, {SlotFleet::limit("t")});
@@ -159,7 +159,7 @@
   const auto waiting = fleet.start(0, both);
   for (int i = 0; i < 50; ++i) {
     fleet.harness.advance(milliseconds(10));
-    BOOST_TEST(fleet.fronts[0]->core.heldSlots().empty());
+    BOOST_TEST(fleet.fronts[0]->core.leases().empty());
   }
   BOOST_TEST(!waiting->has_value());
   fleet.fronts[1]->core.release(holder.value().grantId);
@@ -202,7 +202,7 @@
   BOOST_TEST(fleet.acquire(0, {SlotFleet::limit("t")}).has_value());
   fleet.harness.advance(5 * kTestTimeToLive);
   BOOST_TEST(fleet.rows() == 1U);
-  BOOST_TEST((fleet.fronts[0]->core.heldSlots()[0].validUntil > fleet.harness.now));
+  BOOST_TEST((fleet.fronts[0]->core.leases()[0].validUntil > fleet.harness.now));
   fleet.cut("f1:1");
   fleet.harness.advance(2 * kTestTimeToLive);
   BOOST_TEST(fleet.rows() == 0U);
@@ -217,11 +217,11 @@
   fleet.harness.advance(2 * kTestTimeToLive);
   BOOST_TEST(fleet.rows() == 0U);
   BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value());
-  BOOST_TEST(!fleet.numberHeldTwice());
+  BOOST_TEST(!fleet.numberGrantedTwice());
   fleet.heal();
   fleet.harness.advance(seconds(3));
   BOOST_TEST(fleet.rows() == 2U);
-  BOOST_TEST(fleet.fronts[0]->core.heldSlots().size() == 1U);
+  BOOST_TEST(fleet.fronts[0]->core.leases().size() == 1U);
   BOOST_TEST(fleet.harness.counters.values["slot_over_admissions_total"] == 1);
-  BOOST_TEST(!fleet.numberHeldTwice());
+  BOOST_TEST(!fleet.numberGrantedTwice());
 }
--- a/tests/slots/takeover_test.cpp
+++ b/tests/slots/takeover_test.cpp
@@ -12,7 +12,7 @@
   BOOST_TEST(fleet.acquire(0, {SlotFleet::limit("t")}).has_value());
   fleet.takeOver(1, RecoveryKind::Complete);
   BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value());
-  BOOST_TEST(!fleet.numberHeldTwice());
+  BOOST_TEST(!fleet.numberGrantedTwice());
   fleet.harness.advance(3 * kTestTimeToLive);
   BOOST_TEST(fleet.rows() == 2U);
   BOOST_TEST(fleet.harness.counters.values["slot_over_admissions_total"] == 0);
@@ -31,7 +31,7 @@
     fleet.takeOver(1, RecoveryKind::Complete);
     fleet.start(1, {SlotFleet::limit("t")});
     fleet.harness.advance(milliseconds(300));
-    BOOST_TEST(fleet.numberHeldTwice() == !safe);
+    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
   }
 }
 
@@ -51,7 +51,7 @@
     fleet.fronts[1]->locator.redirected(poolPartition({kTenantLimiter, "t"}), {"s2:1"});
     fleet.harness.advance(2 * kTestTimeToLive);
     BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value());
-    BOOST_TEST(fleet.numberHeldTwice() == !safe);
+    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
   }
 }
 
@@ -67,7 +67,7 @@
     fleet.takeOver(1, RecoveryKind::MemoryLost);
     const Result<SlotGrant> early = fleet.acquire(1, {SlotFleet::limit("t")});
     BOOST_TEST(early.has_value() == !safe);
-    BOOST_TEST(fleet.numberHeldTwice() == !safe);
+    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
     if (!safe) {
       continue;
     }
@@ -105,11 +105,11 @@
     fleet.takeOver(1, RecoveryKind::MemoryLost);
     fleet.harness.advance(kMinimumRecoveryWindow + seconds(1));
     BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value() == !safe);
-    BOOST_TEST(fleet.numberHeldTwice() == !safe);
+    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
     if (safe) {
       fleet.harness.advance(kTestTimeToLive);
       BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value());
-      BOOST_TEST(!fleet.numberHeldTwice());
+      BOOST_TEST(!fleet.numberGrantedTwice());
     }
   }
 }
@@ -145,7 +145,7 @@
   fleet.takeOver(1, RecoveryKind::MemoryLost);
   fleet.takeOver(0, RecoveryKind::Complete);
   BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_error());
-  BOOST_TEST(!fleet.numberHeldTwice());
+  BOOST_TEST(!fleet.numberGrantedTwice());
   fleet.heal();
   fleet.harness.advance(seconds(2));
   fleet.takeOver(1, RecoveryKind::Complete);  // The window was closed: none is opened.
@@ -183,7 +183,7 @@
     fleet.heal();
     fleet.harness.queue.push_front(delayed.front());
     fleet.harness.settle();
-    BOOST_TEST(fleet.numberHeldTwice() == !safe);
+    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
   }
 }
 
@@ -283,7 +283,7 @@
         held.erase(held.begin() + static_cast<std::ptrdiff_t>(chosen));
       }
       chaos.step();
-      BOOST_REQUIRE_MESSAGE(!fleet.numberHeldTwice(), "seed " << seed << " step " << step);
+      BOOST_REQUIRE_MESSAGE(!fleet.numberGrantedTwice(), "seed " << seed << " step " << step);
     }
   }
   BOOST_TEST_MESSAGE("grants under faults: " << grants);
