--- /dev/null
+++ b/src/slots/batch_share_assigner.h
@@ -0,0 +1,37 @@
+/// @file
+/// Adds the share of a batch run to the answers of the batch pools' owner.
+#pragma once
+
+#include "slots/pool_capacity.h"
+#include "slots/share_allocator.h"
+#include "slots/slot_messages.h"
+#include "slots/slot_pools.h"
+
+#include <map>
+#include <string>
+
+namespace shedshed {
+
+/// One `ShareAllocator` for each batch pool that this store has answered for. Shares are advice: a
+/// run that takes more is bounded by the pool's size alone, so losing them with the process is
+/// safe.
+class BatchShareAssigner {
+ public:
+  /// Keeps references to all; they must outlive this object.
+  BatchShareAssigner(const SlotOwnerEnvironment& environment, SlotPools& pools,
+                     const PoolCapacity& capacity, const PoolSizer& sizer)
+      : environment_(environment), pools_(pools), capacity_(capacity), sizer_(sizer) {}
+
+  /// Adds to @p reply how many slots the run that sent @p request should hold. Does nothing for a
+  /// request that names no run, and outside of batch pools that this store owns.
+  void addShare(const AcquireSlot& request, AcquireSlotReply& reply);
+
+ private:
+  const SlotOwnerEnvironment& environment_;
+  SlotPools& pools_;
+  const PoolCapacity& capacity_;
+  const PoolSizer& sizer_;
+  std::map<std::string, ShareAllocator> allocators_;  ///< By model.
+};
+
+}  // namespace shedshed
--- /dev/null
+++ b/src/slots/released_tokens.h
@@ -0,0 +1,30 @@
+/// @file
+/// Owner tokens whose slots were released a short time ago.
+#pragma once
+
+#include "kernel/time.h"
+#include "slots/slot_messages.h"
+
+#include <map>
+
+namespace shedshed {
+
+/// A released token is remembered this long, so that a delayed copy of its acquisition or renewal
+/// does not take a slot again.
+inline constexpr Duration kReleasedTokenMemory = std::chrono::seconds(30);
+
+/// Tokens that must not take a slot any more. In memory only: a successor does not know them, and
+/// lets a slot that such a copy takes there expire. Core thread only.
+class ReleasedTokens {
+ public:
+  void remember(const OwnerToken& token, Time now);
+  bool contains(const OwnerToken& token) const { return forgetAt_.count(token) != 0; }
+
+  /// Forgets the tokens that were released `kReleasedTokenMemory` or longer before @p now.
+  void forgetExpired(Time now);
+
+ private:
+  std::map<OwnerToken, Time> forgetAt_;
+};
+
+}  // namespace shedshed
--- a/src/slots/slot_client_core.cpp
+++ b/src/slots/slot_client_core.cpp
@@ -4,7 +4,6 @@
 #include "slots/slot_pool.h"
 
 #include <algorithm>
-#include <tuple>
 #include <utility>
 
 namespace shedshed {
@@ -13,60 +12,45 @@
 /// Timer ids from 1 on belong to acquisitions.
 constexpr TimerId kHolderTimer = 0;
 
-std::vector<std::size_t> askingOrder(const std::vector<SlotLimit>& limits) {
-  std::vector<std::size_t> order;
-  for (std::size_t index = 0; index < limits.size(); ++index) {
-    order.push_back(index);
-  }
-  std::sort(order.begin(), order.end(), [&](std::size_t left, std::size_t right) {
-    const PoolName& a = limits[left].pool;
-    const PoolName& b = limits[right].pool;
-    return std::tie(a.limiter, a.key, left) < std::tie(b.limiter, b.key, right);
-  });
-  return order;
-}
-
-Duration smallestBlock(const std::vector<SlotLimit>& limits) {
-  Duration smallest = Duration::max();
-  for (const SlotLimit& limit : limits) {
-    smallest = std::min(smallest, limit.block);
-  }
-  return limits.empty() ? Duration{0} : smallest;
-}
-
 /// Varies @p poll by up to half of it in both directions.
 Duration jitteredPoll(Duration poll, RandomEngine& random) {
   const std::uint64_t span = static_cast<std::uint64_t>(std::max<Duration::rep>(poll.count(), 1));
   return poll / 2 + Duration(static_cast<Duration::rep>(random() % (span + 1)));
 }
 
+/// Capacity lent to batches is never taken without a grant.
+bool failsOpen(const SlotLimit& limit) {
+  return limit.failOpen && limit.pool.limiter != kBatchLimiter;
+}
+
 }  // namespace
 
 SlotClientCore::SlotClientCore(CoreContext& context, OwnerLocator& locator,
                                SlotClientOptions options)
-    : context_(context), locator_(locator), options_(options),
-      holder_(context, locator, options.safeguards) {}
+    : context_(context), locator_(locator), options_(options), releaser_(context, locator),
+      renewer_(context, locator, releaser_, options.safeguards.discardOldGrants) {}
 
 void SlotClientCore::start() {
   context_.startTimer(kHolderTimer, kHolderTick);
 }
 
 void SlotClientCore::receive(const NodeId& from, const Message& message) {
-  dispatchMessage<AcquireSlotReply>(
-      message, [&](const AcquireSlotReply& typed) { answered(from, typed); }) ||
+  dispatchMessage<AcquireSlotReply>(message,
+                                    [&](const AcquireSlotReply& typed) { onReply(from, typed); }) ||
       dispatchMessage<ReleaseSlotReply>(
-          message, [&](const ReleaseSlotReply& typed) { holder_.released(from, typed); }) ||
+          message, [&](const ReleaseSlotReply& typed) { releaser_.onReply(from, typed); }) ||
       dispatchMessage<RenewSlotsReply>(
-          message, [&](const RenewSlotsReply& typed) { holder_.renewed(from, typed); }) ||
+          message, [&](const RenewSlotsReply& typed) { renewer_.onReply(from, typed); }) ||
       dispatchMessage<RecoveryNotice>(
-          message, [&](const RecoveryNotice& typed) { holder_.recoveryNoticed(from, typed); }) ||
+          message, [&](const RecoveryNotice& typed) { renewer_.onRecoveryNotice(from, typed); }) ||
       dispatchMessage<GrantedSlotsQuery>(
-          message, [&](const GrantedSlotsQuery& typed) { checkHeld(from, typed); });
+          message, [&](const GrantedSlotsQuery& typed) { onGrantedSlotsQuery(from, typed); });
 }
 
 void SlotClientCore::timerExpired(TimerId timer) {
   if (timer == kHolderTimer) {
-    holder_.tick();
+    renewer_.tick();
+    releaser_.tick();
     context_.startTimer(kHolderTimer, kHolderTick);
     return;
   }
@@ -74,282 +58,250 @@
   if (found == acquisitions_.end()) {
     return;
   }
-  if (found->second.polling) {
-    beginRound(timer);
+  if (found->second.polling()) {
+    requestAllLimits(timer);
   } else {
-    tryTimedOut(timer);
+    onRequestTimeout(timer);
   }
 }
 
-// ---- Acquisition
-
-void SlotClientCore::acquire(SlotRequest request, Done done) {
-  const std::uint64_t id = ++lastId_;
-  Acquisition acquisition;
-  acquisition.order = askingOrder(request.limits);
-  acquisition.blockUntil = context_.now() + smallestBlock(request.limits);
-  acquisition.request = std::move(request);
-  acquisition.done = std::move(done);
-  const bool unlimited = acquisition.order.empty();
-  acquisitions_[id] = std::move(acquisition);
-  if (unlimited) {
+// ---- Requests
+
+void SlotClientCore::acquire(SlotRequest request, std::function<void(Result<SlotGrant>)> done) {
+  const std::uint64_t id = ++lastAcquisitionId_;
+  const auto added = acquisitions_.emplace(
+      id, SlotAcquisition(std::move(request), std::move(done), context_.now()));
+  if (added.first->second.complete()) {
     context_.defer([this, id] { finishGranted(id); });
     return;
   }
-  beginRound(id);
+  requestAllLimits(id);
 }
 
-void SlotClientCore::beginRound(std::uint64_t id) {
-  Acquisition& acquisition = acquisitions_.at(id);
-  acquisition.polling = false;
-  acquisition.position = 0;
-  acquisition.slots.assign(acquisition.request.limits.size(), SlotGrant::Slot{});
-  beginLimit(id);
+void SlotClientCore::requestAllLimits(std::uint64_t id) {
+  acquisitions_.at(id).restart();
+  requestCurrentLimit(id);
 }
 
-void SlotClientCore::beginLimit(std::uint64_t id) {
-  Acquisition& acquisition = acquisitions_.at(id);
-  if (acquisition.position == acquisition.order.size()) {
+void SlotClientCore::requestCurrentLimit(std::uint64_t id) {
+  SlotAcquisition& acquisition = acquisitions_.at(id);
+  if (acquisition.complete()) {
     finishGranted(id);
     return;
   }
-  const SlotLimit& limit = currentLimit(acquisition);
-  SlotClaim claim;
-  claim.limiter = limit.pool.limiter;
-  claim.key = limit.pool.key;
-  claim.token = newToken();
-  claim.timeToLiveMilliseconds = toMilliseconds(limit.timeToLive);
-  claim.serviceClass = acquisition.request.serviceClass;
-  asking_[claim.token] = id;
-  acquisition.claim = std::move(claim);
-  acquisition.candidate = 0;
-  acquisition.redirects = 0;
-  acquisition.requests = 0;
-  acquisition.firstSentAt = context_.now();
-  const Duration own = acquisition.request.storeDeadline;
-  acquisition.storeDeadline = context_.now() + (own > Duration{0} ? own : options_.storeDeadline);
-  ask(id);
+  const Duration requested = acquisition.request().storeDeadline;
+  const Duration wait = requested > Duration{0} ? requested : options_.storeDeadline;
+  const OwnerToken token = newToken();
+  acquisition.startLimit(token, context_.now(), context_.now() + wait);
+  requestedTokens_[token] = id;
+  sendRequest(id);
 }
 
-void SlotClientCore::ask(std::uint64_t id) {
-  Acquisition& acquisition = acquisitions_.at(id);
-  const PartitionId partition = poolPartition(acquisition.claim.pool());
-  acquisition.attempt = ++lastAttempt_;
-  acquisition.asked = locator_.candidate(partition, acquisition.candidate);
-  if (!acquisition.asked.empty()) {
-    ++acquisition.requests;
+void SlotClientCore::sendRequest(std::uint64_t id) {
+  SlotAcquisition& acquisition = acquisitions_.at(id);
+  LimitAttempt& attempt = acquisition.attempt();
+  attempt.attempt = ++lastAttempt_;
+  attempt.target = locator_.candidate(poolPartition(attempt.claim.pool()), attempt.candidate);
+  if (!attempt.target.empty()) {
+    ++attempt.requests;
     AcquireSlot request;
-    request.attempt = acquisition.attempt;
-    request.claim = acquisition.claim;
-    const auto& share = acquisition.request.shareRequest;
-    if (share && acquisition.claim.limiter == kBatchLimiter) {
+    request.attempt = attempt.attempt;
+    request.claim = attempt.claim;
+    const auto& share = acquisition.request().shareRequest;
+    if (share && attempt.claim.limiter == kBatchLimiter) {
       request.run = share->run;
       request.dueInMilliseconds = toMilliseconds(share->dueIn);
       request.requestedSlots = share->requestedSlots;
     }
-    context_.send(acquisition.asked, request);
+    context_.send(attempt.target, request);
   }
-  retryAt(id, kAttemptTimeout);
+  scheduleRetry(id, kAttemptTimeout);
 }
 
-void SlotClientCore::retryAt(std::uint64_t id, Duration pause) {
-  const Duration left = acquisitions_.at(id).storeDeadline - context_.now();
-  context_.startTimer(id, std::max(Duration{0}, std::min(pause, left)));
+void SlotClientCore::scheduleRetry(std::uint64_t id, Duration backoff) {
+  const Duration left = acquisitions_.at(id).attempt().storeDeadline - context_.now();
+  context_.startTimer(id, std::max(Duration{0}, std::min(backoff, left)));
 }
 
-/// The owner was silent, or a pause has ended: asks the next candidate with the same token.
-void SlotClientCore::tryTimedOut(std::uint64_t id) {
-  Acquisition& acquisition = acquisitions_.at(id);
-  if (context_.now() >= acquisition.storeDeadline) {
-    storeFailed(id);
+/// The owner did not answer, or a backoff has ended: the next candidate is asked with the same
+/// token, so that at most one slot is granted.
+void SlotClientCore::onRequestTimeout(std::uint64_t id) {
+  LimitAttempt& attempt = acquisitions_.at(id).attempt();
+  if (context_.now() >= attempt.storeDeadline) {
+    onStoreFailed(id);
     return;
   }
-  if (!acquisition.asked.empty()) {
-    locator_.failed(poolPartition(acquisition.claim.pool()), acquisition.asked);
-    ++acquisition.candidate;
+  if (!attempt.target.empty()) {
+    locator_.failed(poolPartition(attempt.claim.pool()), attempt.target);
+    ++attempt.candidate;
   }
-  ask(id);
+  sendRequest(id);
 }
 
-/// A token that is neither held nor being asked for is one of an earlier life of this node, or was
-/// given up: no call counts on it and none ever will.
-void SlotClientCore::checkHeld(const NodeId& from, const GrantedSlotsQuery& query) {
-  std::vector<SlotClaim> unknown;
-  for (const SlotClaim& claim : query.claims) {
-    if (!holder_.holds(claim.token) && asking_.count(claim.token) == 0) {
-      unknown.push_back(claim);
-    }
-  }
-  holder_.answerCheck(from, query.claims, unknown);
-}
+// ---- Answers
 
-void SlotClientCore::answered(const NodeId& from, const AcquireSlotReply& reply) {
-  const auto found = asking_.find(reply.claim.token);
-  if (found == asking_.end()) {
+void SlotClientCore::onReply(const NodeId& from, const AcquireSlotReply& reply) {
+  const auto found = requestedTokens_.find(reply.claim.token);
+  if (found == requestedTokens_.end()) {
     if (reply.outcome == SlotOutcome::Granted) {
       releaseLateGrant(reply.claim);
     }
     return;
   }
   const std::uint64_t id = found->second;
-  Acquisition& acquisition = acquisitions_.at(id);
-  if (reply.shareAssigned && acquisition.request.onShareAssigned) {
-    acquisition.request.onShareAssigned({reply.share, reply.free});
+  SlotAcquisition& acquisition = acquisitions_.at(id);
+  if (reply.shareAssigned && acquisition.request().onShareAssigned) {
+    acquisition.request().onShareAssigned({reply.share, reply.free});
   }
+  LimitAttempt& attempt = acquisition.attempt();
   if (reply.outcome == SlotOutcome::Granted) {
-    granted(id, reply);
+    onGranted(id, reply);
   } else if (reply.outcome == SlotOutcome::Full) {
-    refused(id, reply.poolSize);
-  } else if (reply.attempt != acquisition.attempt || acquisition.asked.empty()) {
-    return;  // An older try; the current one is still open.
+    onPoolFull(id, reply.poolSize);
+  } else if (reply.attempt != attempt.attempt || attempt.target.empty()) {
+    return;  // Answers an older request; the current one is still open.
   } else if (reply.outcome == SlotOutcome::NotOwner) {
-    redirected(id, from, reply);
+    onRedirected(id, from, reply);
   } else {
-    acquisition.asked = {};  // Not silent: asked again, not passed over.
-    retryAt(id, kAttemptPause);
+    attempt.target = {};  // It has answered: asked again, not passed over.
+    scheduleRetry(id, kAttemptBackoff);
   }
 }
 
 /// A grant that is already past its own time to live, or of an epoch whose memory was lost since,
-/// is not one: the same token asks again.
-void SlotClientCore::granted(std::uint64_t id, const AcquireSlotReply& reply) {
-  Acquisition& acquisition = acquisitions_.at(id);
-  const PartitionId partition = poolPartition(acquisition.claim.pool());
-  const Duration timeToLive = std::chrono::milliseconds(acquisition.claim.timeToLiveMilliseconds);
-  if (holder_.predatesRecovery(partition, reply.epoch) ||
-      context_.now() >= acquisition.firstSentAt + timeToLive) {
+/// does not count: the same token is requested again.
+void SlotClientCore::onGranted(std::uint64_t id, const AcquireSlotReply& reply) {
+  SlotAcquisition& acquisition = acquisitions_.at(id);
+  const LimitAttempt& attempt = acquisition.attempt();
+  if (renewer_.predatesRecovery(poolPartition(attempt.claim.pool()), reply.epoch) ||
+      context_.now() >= attempt.firstSentAt + timeToLive(attempt.claim)) {
     return;
   }
-  acquisition.claim.number = reply.claim.number;
-  asking_.erase(acquisition.claim.token);
-  if (currentLimit(acquisition).untilExpiry) {
-    acquisition.expiring.push_back(acquisition.claim);
-  } else {
-    holder_.add(acquisition.claim, acquisition.firstSentAt);
-    acquisition.taken.push_back(acquisition.claim.token);
+  requestedTokens_.erase(attempt.claim.token);
+  const bool renewed = !acquisition.currentLimit().untilExpiry;
+  acquisition.addGrantedSlot(reply.claim.number, reply.engine);
+  if (renewed) {
+    renewer_.add(attempt.claim, attempt.firstSentAt);
   }
-  SlotGrant::Slot& slot = acquisition.slots[acquisition.order[acquisition.position]];
-  slot = {acquisition.claim.pool(), acquisition.claim.number, false, reply.engine};
-  ++acquisition.position;
-  beginLimit(id);
+  requestCurrentLimit(id);
 }
 
-void SlotClientCore::redirected(std::uint64_t id, const NodeId& from,
-                                const AcquireSlotReply& reply) {
-  Acquisition& acquisition = acquisitions_.at(id);
-  const PartitionId partition = poolPartition(acquisition.claim.pool());
+void SlotClientCore::onRedirected(std::uint64_t id, const NodeId& from,
+                                  const AcquireSlotReply& reply) {
+  LimitAttempt& attempt = acquisitions_.at(id).attempt();
   const bool useful = !reply.ownerHint.empty() && reply.ownerHint != from;
   if (!useful) {
-    retryAt(id, kAttemptPause);
+    scheduleRetry(id, kAttemptBackoff);
     return;
   }
-  locator_.redirected(partition, reply.ownerHint);
-  acquisition.candidate = 0;
-  if (++acquisition.redirects <= kImmediateRedirects) {
-    ask(id);
+  locator_.redirected(poolPartition(attempt.claim.pool()), reply.ownerHint);
+  attempt.candidate = 0;
+  if (++attempt.redirects <= kImmediateRedirects) {
+    sendRequest(id);
     return;
   }
-  acquisition.asked = {};
-  acquisition.redirects = 0;
-  retryAt(id, kAttemptPause);
+  attempt.target = {};
+  attempt.redirects = 0;
+  scheduleRetry(id, kAttemptBackoff);
 }
 
-void SlotClientCore::refused(std::uint64_t id, std::uint32_t poolSize) {
-  Acquisition& acquisition = acquisitions_.at(id);
-  asking_.erase(acquisition.claim.token);
-  if (acquisition.requests > 1) {
-    holder_.abandon(acquisition.claim);  // Another of the requests may still be granted.
+void SlotClientCore::onPoolFull(std::uint64_t id, std::uint32_t poolSize) {
+  SlotAcquisition& acquisition = acquisitions_.at(id);
+  requestedTokens_.erase(acquisition.attempt().claim.token);
+  if (acquisition.attempt().requests > 1) {
+    abandon(acquisition.attempt().claim);  // Another of the requests may still be granted.
   }
-  const Duration poll = jitteredPoll(currentLimit(acquisition).poll, context_.random());
-  const bool waits = poolSize > 0 && context_.now() + poll <= acquisition.blockUntil;
+  const Duration poll = jitteredPoll(acquisition.currentLimit().poll, context_.random());
+  const bool waits = poolSize > 0 && acquisition.mayBlock(poll, context_.now());
   if (!waits) {
-    finishRefused(id, ErrorCode::PoolFull);
+    finishRejected(id, ErrorCode::PoolFull);
     return;
   }
-  giveBack(acquisition);
-  acquisition.polling = true;
+  releaseGranted(acquisition);
+  acquisition.startPolling();
   context_.startTimer(id, poll);
 }
 
-void SlotClientCore::storeFailed(std::uint64_t id) {
-  Acquisition& acquisition = acquisitions_.at(id);
-  asking_.erase(acquisition.claim.token);
-  holder_.abandon(acquisition.claim);
-  if (!failsOpen(currentLimit(acquisition))) {
-    finishRefused(id, ErrorCode::StoreUnavailable);
+void SlotClientCore::onStoreFailed(std::uint64_t id) {
+  SlotAcquisition& acquisition = acquisitions_.at(id);
+  requestedTokens_.erase(acquisition.attempt().claim.token);
+  abandon(acquisition.attempt().claim);
+  if (!failsOpen(acquisition.currentLimit())) {
+    finishRejected(id, ErrorCode::StoreUnavailable);
     return;
   }
   context_.counters().add("slot_fail_open_total");
-  SlotGrant::Slot& slot = acquisition.slots[acquisition.order[acquisition.position]];
-  slot = {acquisition.claim.pool(), 0, true, {}};
-  ++acquisition.position;
-  beginLimit(id);
-}
-
-/// Room lent to batches is never taken on trust.
-bool SlotClientCore::failsOpen(const SlotLimit& limit) const {
-  return limit.failOpen && limit.pool.limiter != kBatchLimiter;
+  acquisition.continueWithoutSlot();
+  requestCurrentLimit(id);
 }
 
-void SlotClientCore::giveBack(Acquisition& acquisition) {
-  for (const OwnerToken& token : acquisition.taken) {
-    holder_.release(token);
-  }
-  acquisition.taken.clear();
-  for (const SlotClaim& claim : acquisition.expiring) {
-    holder_.abandon(claim);
+/// A token that is neither held nor requested is one of an earlier process of this node, or was
+/// abandoned: no call counts on it and none ever will.
+void SlotClientCore::onGrantedSlotsQuery(const NodeId& from, const GrantedSlotsQuery& query) {
+  renewer_.answerQuery(from, query.claims);
+  for (const SlotClaim& claim : query.claims) {
+    if (!renewer_.holds(claim.token) && requestedTokens_.count(claim.token) == 0) {
+      context_.send(from, ReleaseSlot{claim.limiter, claim.key, claim.token});
+    }
   }
-  acquisition.expiring.clear();
 }
 
+// ---- End of an acquisition
+
 void SlotClientCore::finishGranted(std::uint64_t id) {
-  Acquisition acquisition = std::move(acquisitions_.at(id));
+  SlotAcquisition acquisition = std::move(acquisitions_.at(id));
   acquisitions_.erase(id);
   context_.stopTimer(id);
-  SlotGrant grant;
-  grant.grantId = id;
-  grant.slots = std::move(acquisition.slots);
-  grants_[id] = std::move(acquisition.taken);
-  acquisition.done(std::move(grant));
+  grants_[id] = acquisition.renewedTokens();
+  acquisition.finishGranted(id);
 }
 
-void SlotClientCore::finishRefused(std::uint64_t id, ErrorCode code) {
-  Acquisition acquisition = std::move(acquisitions_.at(id));
+void SlotClientCore::finishRejected(std::uint64_t id, ErrorCode code) {
+  SlotAcquisition acquisition = std::move(acquisitions_.at(id));
   acquisitions_.erase(id);
   context_.stopTimer(id);
   if (options_.safeguards.releaseBeforeRefusal) {
-    giveBack(acquisition);
+    releaseGranted(acquisition);
+  }
+  acquisition.finishRejected(code);
+}
+
+void SlotClientCore::releaseGranted(SlotAcquisition& acquisition) {
+  for (const OwnerToken& token : acquisition.renewedTokens()) {
+    renewer_.release(token);
+  }
+  for (const SlotClaim& claim : acquisition.expiringClaims()) {
+    abandon(claim);
+  }
+  acquisition.clearGranted();
+}
+
+void SlotClientCore::abandon(const SlotClaim& claim) {
+  if (options_.safeguards.releaseLateGrants) {
+    releaser_.release(claim);
   }
-  const SlotLimit& limit = currentLimit(acquisition);
-  acquisition.done(makeError(code, limit.pool.limiter + " " + limit.pool.key));
 }
 
 void SlotClientCore::releaseLateGrant(const SlotClaim& claim) {
-  if (holder_.holds(claim.token)) {
+  if (renewer_.holds(claim.token)) {
     return;  // A copy of a grant that arrived before.
   }
-  if (options_.safeguards.releaseLateGrants && !holder_.releaseAgain(claim.token)) {
-    holder_.abandon(claim);
+  if (options_.safeguards.releaseLateGrants && !releaser_.releaseAgain(claim.token)) {
+    releaser_.release(claim);
   }
 }
 
-// ---- Release
-
 void SlotClientCore::release(std::uint64_t grantId) {
   const auto found = grants_.find(grantId);
   if (found == grants_.end()) {
     return;
   }
   for (const OwnerToken& token : found->second) {
-    holder_.release(token);
+    renewer_.release(token);
   }
   grants_.erase(found);
 }
 
-const SlotLimit& SlotClientCore::currentLimit(const Acquisition& acquisition) const {
-  return acquisition.request.limits[acquisition.order[acquisition.position]];
-}
-
 OwnerToken SlotClientCore::newToken() {
   const std::uint64_t high = context_.random()();
   const std::uint64_t low = context_.random()();
--- a/src/slots/slot_messages.h
+++ b/src/slots/slot_messages.h
@@ -113,10 +113,10 @@
   std::vector<SlotClaim> claims;
   /// Set in an answer to `RecoveryNotice`: `claims` is all that this holder has in `partition`.
   bool complete = false;
-  PartitionId partition;    ///< Only if `complete`.
-  std::uint64_t epoch = 0;  ///< Only if `complete`: that of the notice.
-  std::uint64_t round = 0;  ///< Echoed; identifies when the request was sent.
-  MSGPACK_DEFINE(claims, complete, partition, epoch, round);
+  PartitionId partition;            ///< Only if `complete`.
+  std::uint64_t epoch = 0;          ///< Only if `complete`: that of the notice.
+  std::uint64_t requestNumber = 0;  ///< Echoed; identifies when the request was sent.
+  MSGPACK_DEFINE(claims, complete, partition, epoch, requestNumber);
 };
 
 /// Outcome of the renewal of one slot.
@@ -133,10 +133,10 @@
   static constexpr std::uint16_t kKind = 3;
   PartitionId partition;
   std::uint64_t epoch = 0;
-  std::uint64_t round = 0;
+  std::uint64_t requestNumber = 0;
   NodeId ownerHint;
   std::vector<RenewedSlot> slots;
-  MSGPACK_DEFINE(partition, epoch, round, ownerHint, slots);
+  MSGPACK_DEFINE(partition, epoch, requestNumber, ownerHint, slots);
 };
 
 /// Owner → all live holders: the memory of `partition` was lost; re-assert what you hold.
--- a/src/slots/slot_pool.cpp
+++ b/src/slots/slot_pool.cpp
@@ -18,6 +18,10 @@
   return kSlotRowPrefix + poolHash(pool) + ":" + std::to_string(number);
 }
 
+TableEntry rowEntry(const SlotRow& row) {
+  return {slotRowKey(row.claim.pool(), row.claim.number), encodeRecord(row)};
+}
+
 TableEntry erasedRow(const PoolName& pool, std::uint32_t number) {
   return {slotRowKey(pool, number), std::nullopt};
 }
@@ -38,7 +42,7 @@
   const std::uint32_t start = static_cast<std::uint32_t>(random() % size);
   for (std::uint32_t step = 0; step < size; ++step) {
     const std::uint32_t number = first + (start + step) % size;
-    if (numbers_.count(number) == 0) {
+    if (slots_.count(number) == 0) {
       return number;
     }
   }
@@ -46,20 +50,20 @@
 }
 
 GrantedSlot* SlotPool::find(std::uint32_t number) {
-  const auto found = numbers_.find(number);
-  return found == numbers_.end() ? nullptr : &found->second;
+  const auto found = slots_.find(number);
+  return found == slots_.end() ? nullptr : &found->second;
 }
 
-void SlotPool::put(std::uint32_t number, GrantedSlot held) {
+void SlotPool::put(std::uint32_t number, GrantedSlot slot) {
   erase(number);
-  tokens_[held.row.claim.token] = number;
-  placement_.added(held.engine);
-  numbers_[number] = std::move(held);
+  tokens_[slot.row.claim.token] = number;
+  placement_.added(slot.engine);
+  slots_[number] = std::move(slot);
 }
 
 void SlotPool::erase(std::uint32_t number) {
-  const auto found = numbers_.find(number);
-  if (found == numbers_.end()) {
+  const auto found = slots_.find(number);
+  if (found == slots_.end()) {
     return;
   }
   const auto token = tokens_.find(found->second.row.claim.token);
@@ -67,21 +71,21 @@
     tokens_.erase(token);
   }
   placement_.removed(found->second.engine);
-  numbers_.erase(found);
+  slots_.erase(found);
 }
 
 Time SlotPool::latestExpiry() const {
   Time latest = Time::min();
-  for (const auto& held : numbers_) {
-    latest = std::max(latest, held.second.expiresAt);
+  for (const auto& entry : slots_) {
+    latest = std::max(latest, entry.second.expiresAt);
   }
   return latest;
 }
 
 std::uint32_t SlotPool::used(SlotClass serviceClass) const {
   std::uint32_t count = 0;
-  for (const auto& held : numbers_) {
-    if (held.second.row.claim.serviceClass == serviceClass) {
+  for (const auto& entry : slots_) {
+    if (entry.second.row.claim.serviceClass == serviceClass) {
       ++count;
     }
   }
--- a/src/slots/slot_pool.h
+++ b/src/slots/slot_pool.h
@@ -27,9 +27,6 @@
 /// Returns `concurrency:{pool hash}:{number}`.
 std::string slotRowKey(const PoolName& pool, std::uint32_t number);
 
-/// The change that frees a number.
-TableEntry erasedRow(const PoolName& pool, std::uint32_t number);
-
 /// A replicated row: who holds the slot. Carries no expiry, since clocks of two machines are never
 /// compared: every owner starts the time to live anew.
 struct SlotRow {
@@ -38,27 +35,33 @@
   MSGPACK_DEFINE(claim, holder);
 };
 
-/// One held number in the owner's memory.
+/// The change that grants a number.
+TableEntry rowEntry(const SlotRow& row);
+
+/// The change that frees a number.
+TableEntry erasedRow(const PoolName& pool, std::uint32_t number);
+
+/// One granted slot in the owner's memory.
 struct GrantedSlot {
   SlotRow row;
   Time expiresAt;
-  Time checkAt;                    ///< When the holder is asked whether it still holds it.
+  Time checkAt;                    ///< When the holder is queried whether it still holds it.
   std::optional<Time> acquiredAt;  ///< Unknown if an earlier owner granted it.
   std::string engine;              ///< Engine suggested to the holder; may be empty.
   bool acknowledged = false;       ///< A majority has the row.
-  bool writeOutstanding = false;
+  bool writeOutstanding = false;   ///< The first write of the row has not ended yet.
 };
 
-/// The held numbers of one pool: an index over the rows of the owner's table.
+/// The granted slots of one pool: an index over the rows of the owner's table.
 class SlotPool {
  public:
   explicit SlotPool(PoolName name) : name_(std::move(name)) {}
 
   const PoolName& name() const { return name_; }
 
-  /// The held numbers, ascending.
-  std::map<std::uint32_t, GrantedSlot>& numbers() { return numbers_; }
-  const std::map<std::uint32_t, GrantedSlot>& numbers() const { return numbers_; }
+  /// The granted slots by ascending number.
+  std::map<std::uint32_t, GrantedSlot>& slots() { return slots_; }
+  const std::map<std::uint32_t, GrantedSlot>& slots() const { return slots_; }
 
   /// Returns the number that @p token holds.
   std::optional<std::uint32_t> numberOf(const OwnerToken& token) const;
@@ -68,24 +71,25 @@
   std::optional<std::uint32_t> probe(std::uint32_t size, RandomEngine& random,
                                      std::uint32_t first = 0) const;
 
-  /// Returns the held number or nullptr.
+  /// Returns the slot granted under @p number, or nullptr.
   GrantedSlot* find(std::uint32_t number);
 
-  void put(std::uint32_t number, GrantedSlot held);
+  /// Replaces the slot granted under @p number, if any.
+  void put(std::uint32_t number, GrantedSlot slot);
   void erase(std::uint32_t number);
 
-  /// When the last of the held numbers expires; `Time::min()` if none is held.
+  /// When the last of the granted slots expires; `Time::min()` if there is none.
   Time latestExpiry() const;
 
-  /// Where the holders of the pool's slots were sent.
+  /// Which engines were suggested to the holders of the pool's slots.
   const EnginePlacement& placement() const { return placement_; }
 
-  /// Slots held by holders of @p serviceClass.
+  /// Slots granted to holders of @p serviceClass.
   std::uint32_t used(SlotClass serviceClass) const;
 
  private:
   PoolName name_;
-  std::map<std::uint32_t, GrantedSlot> numbers_;
+  std::map<std::uint32_t, GrantedSlot> slots_;
   std::map<OwnerToken, std::uint32_t> tokens_;
   EnginePlacement placement_;
 };
