--- a/src/engines/engine_watch_core.cpp
+++ b/src/engines/engine_health_checker_core.cpp
@@ -1,4 +1,4 @@
-#include "engines/engine_watch_core.h"
+#include "engines/engine_health_checker_core.h"
 
 #include "kernel/message.h"
 #include "kernel/rendezvous.h"
--- a/src/engines/engine_watch_core.h
+++ b/src/engines/engine_health_checker_core.h
@@ -8,8 +8,8 @@
 /// of 3,300 engines holds ~100 B each: ~330 KB a node.
 #pragma once
 
+#include "engines/engine_health_report.h"
 #include "engines/engine_listing.h"
-#include "engines/engine_report.h"
 #include "engines/engine_table.h"
 #include "kernel/core.h"
 #include "kernel/snapshot.h"
--- a/src/engines/engine_report.cpp
+++ b/src/engines/engine_health_report.cpp
@@ -1,4 +1,4 @@
-#include "engines/engine_report.h"
+#include "engines/engine_health_report.h"
 
 #include "kernel/rendezvous.h"
 
