--- a/src/slots/engine_placement.cpp
+++ b/src/slots/engine_placement.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 /// Holders by which an engine in another zone must have fewer.
-constexpr double kOtherZone = 1.0;
+constexpr double kOtherZonePenalty = 1.0;
 
 /// True if the holders of @p pool may run at @p engine.
 bool serves(const EngineInfo& engine, const PoolName& pool) {
-  // A tenant's pool sees a part of an engine's calls only, and not which model they are for.
-  const bool sees = pool.limiter == kServiceLimiter || pool.limiter == kBatchLimiter;
-  return sees && engine.state == EngineState::Ready && engine.model == pool.key;
+  // The owner of a tenant's pool knows only some of an engine's calls, and not their model.
+  const bool knowsLoad = pool.limiter == kServiceLimiter || pool.limiter == kBatchLimiter;
+  return knowsLoad && engine.state == EngineState::Ready && engine.model == pool.key;
 }
 
 }  // namespace
@@ -31,7 +31,7 @@
     }
     const auto known = holders_.find(engine.id);
     double load = known == holders_.end() ? 0 : known->second;
-    load += zone.empty() || engine.zone == zone ? 0 : kOtherZone;
+    load += zone.empty() || engine.zone == zone ? 0 : kOtherZonePenalty;
     load /= std::max(engine.maxRunning, 1U);
     if (best == nullptr || load < bestLoad) {
       best = &engine;
@@ -41,13 +41,13 @@
   return best == nullptr ? std::string() : best->id;
 }
 
-void EnginePlacement::added(const std::string& engine) {
+void EnginePlacement::addHolder(const std::string& engine) {
   if (!engine.empty()) {
     ++holders_[engine];
   }
 }
 
-void EnginePlacement::removed(const std::string& engine) {
+void EnginePlacement::removeHolder(const std::string& engine) {
   const auto known = holders_.find(engine);
   if (known != holders_.end() && --known->second == 0) {
     holders_.erase(known);
--- a/src/slots/engine_placement.h
+++ b/src/slots/engine_placement.h
@@ -11,8 +11,8 @@
 
 namespace shedshed {
 
-/// Counts for each engine the slots of one pool whose holders were sent there. All holders of a
-/// pool ask one owner, which thus sees what no single holder sees.
+/// Counts for each engine the slots of one pool to whose holders it was suggested. All holders of a
+/// pool request their slots of one owner, which thus knows the load that no single holder knows.
 class EnginePlacement {
  public:
   /// The ready engine with the fewest holders for its size; one in @p zone is preferred to an
@@ -21,8 +21,8 @@
   std::string suggest(const EngineTable& table, const PoolName& pool, const std::string& zone,
                       std::uint64_t random) const;
 
-  void added(const std::string& engine);
-  void removed(const std::string& engine);
+  void addHolder(const std::string& engine);
+  void removeHolder(const std::string& engine);
 
  private:
   std::map<std::string, std::uint32_t> holders_;  ///< By engine id; none with 0.
--- a/src/slots/lending_core.cpp
+++ b/src/slots/lending_core.cpp
@@ -34,7 +34,7 @@
 
 void LendingCore::receive(const NodeId& from, const Message& message) {
   dispatchMessage<SlotUsageReport>(message,
-                                   [&](const SlotUsageReport& typed) { adoptUsage(from, typed); });
+                                   [&](const SlotUsageReport& typed) { recordUsage(from, typed); });
 }
 
 void LendingCore::timerExpired(TimerId) {
@@ -49,13 +49,13 @@
     lent_.clear();
     limitNumber_ = 0;
   }
-  compute();
-  announce();
+  updateLimits();
+  announceLimits();
 }
 
-/// Reports of one process are numbered; one with a lower number arrived late. Another incarnation
-/// starts afresh.
-void LendingCore::adoptUsage(const NodeId& from, const SlotUsageReport& report) {
+/// Reports of one process are numbered; one with a lower number arrived late. Another
+/// incarnation starts anew.
+void LendingCore::recordUsage(const NodeId& from, const SlotUsageReport& report) {
   const auto found = usage_.find(from);
   if (found == usage_.end() || found->second.report.incarnation != report.incarnation) {
     usage_[from] = {report, context_.now(), 0};
@@ -74,7 +74,7 @@
   known.receivedAt = context_.now();
 }
 
-void LendingCore::compute() {
+void LendingCore::updateLimits() {
   const bool complete = usageIsComplete();
   std::set<std::string> models;
   for (const EngineInfo& engine : engines_.table()->engines) {
@@ -82,7 +82,7 @@
   }
   std::map<std::string, LendingExplanation> next;
   for (const std::string& model : models) {
-    next[model] = computeModel(model, complete);
+    next[model] = computeLimit(model, complete);
   }
   lent_ = std::move(next);
   for (auto& entry : usage_) {
@@ -92,7 +92,7 @@
 
 /// Live slots are counted over all models: a tenant's pool does not know which model its calls ask
 /// for, and lending too little is safe.
-LendingExplanation LendingCore::computeModel(const std::string& model, bool complete) const {
+LendingExplanation LendingCore::computeLimit(const std::string& model, bool complete) const {
   LendingExplanation result;
   result.model = model;
   result.engineCapacity = readyEngineCapacity(*engines_.table(), model);
@@ -139,7 +139,7 @@
 
 /// Ownership is proved first, so that a singleton that was replaced while it was frozen does not
 /// announce capacity that its successor has already taken back.
-void LendingCore::announce() {
+void LendingCore::announceLimits() {
   const std::uint64_t epoch = epoch_;
   store_.confirmOwnership(partition(), [this, epoch](Status status) {
     if (status && epoch == epoch_) {
--- a/src/slots/lending_core.h
+++ b/src/slots/lending_core.h
@@ -40,20 +40,23 @@
 /// singleton cannot lend for long.
 ///
 /// N = engine capacity − live slots in use − reserve. It falls at once and grows slowly.
+///
+/// Nothing is durable: a successor starts with no capacity lent and lets it grow again, and the
+/// limits of its higher epoch replace those of its predecessor.
 class LendingCore : public Core {
  public:
   /// Keeps references to all; they must outlive it.
   LendingCore(CoreContext& context, PartitionStore& store, const PoolRateSource& rates,
               const EngineSource& engines, const Directory& directory, LendingOptions options = {});
 
-  /// The partition whose owner acts.
+  /// The partition whose owner is the lending singleton.
   static PartitionId partition();
 
   void start() override;
   void receive(const NodeId& from, const Message& message) override;
   void timerExpired(TimerId timer) override;
 
-  /// The values of the last tick; empty on a node that does not act.
+  /// The values of the last tick; empty on a node that is not the singleton.
   const std::map<std::string, LendingExplanation>& explain() const { return lent_; }
 
  private:
@@ -63,13 +66,13 @@
     double arrivalsPerSecond = 0;  ///< Rises at once, falls by `kArrivalDecay`.
   };
 
-  void adoptUsage(const NodeId& from, const SlotUsageReport& report);
-  void compute();
-  LendingExplanation computeModel(const std::string& model, bool complete) const;
+  void recordUsage(const NodeId& from, const SlotUsageReport& report);
+  void updateLimits();
+  LendingExplanation computeLimit(const std::string& model, bool complete) const;
   bool usageIsComplete() const;
   std::uint32_t liveSlots() const;
   double arrivalsPerSecond() const;
-  void announce();
+  void announceLimits();
   void sendLimits(std::uint64_t epoch);
 
   CoreContext& context_;
--- a/src/slots/pool_rates.h
+++ b/src/slots/pool_rates.h
@@ -1,5 +1,5 @@
 /// @file
-/// Where the rates of the pools come from.
+/// Rates of the pools, from the settings in force.
 #pragma once
 
 #include "kernel/time.h"
@@ -19,11 +19,12 @@
 inline constexpr const char* kQuotaLimiter = "quota";      ///< Key: tenant name; see `SlotLimit`.
 inline constexpr const char* kServiceLimiter = "service";  ///< Key: service; calls of no tenant.
 
-/// What the settings say about one pool.
+/// Rates that the settings give one pool.
 struct PoolRate {
   double perSecond = 0;     ///< Sustained requests per second.
   std::uint32_t burst = 0;  ///< Slots above the sustained need.
-  bool unlimited = false;   ///< The settings name no rate: only the engines' room bounds the pool.
+  bool unlimited =
+      false;  ///< The settings name no rate: only the engines' capacity bounds the pool.
 };
 
 /// Rates in force. Core thread only.
@@ -37,7 +38,7 @@
   /// All pools that share the engines: one for each tenant.
   virtual std::vector<PoolName> tenantPools() const = 0;
 
-  /// Share of the engines' room, 0 to 1, that is never lent to batches.
+  /// Share of the engines' capacity, 0 to 1, that is never lent to batches.
   virtual double batchReserve() const = 0;
 
   /// The longest time to live of any slot.
--- a/src/slots/recovery_windows.cpp
+++ b/src/slots/recovery_windows.cpp
@@ -5,25 +5,25 @@
 namespace shedshed {
 
 void RecoveryWindows::open(const PartitionId& partition, std::uint64_t epoch, Time now,
-                           Duration longest, Time trustFrom) {
+                           Duration longest, Time directoryCompleteAt) {
   Window window;
   window.epoch = epoch;
-  window.mayCloseAt = std::max(now + kMinimumRecoveryWindow, trustFrom);
+  window.mayCloseAt = std::max(now + kMinimumRecoveryWindow, directoryCompleteAt);
   window.endsAt = now + longest;
   windows_[partition] = window;
 }
 
-void RecoveryWindows::answered(const PartitionId& partition, std::uint64_t epoch,
-                               const NodeId& holder) {
+void RecoveryWindows::recordAnswer(const PartitionId& partition, std::uint64_t epoch,
+                                   const NodeId& holder) {
   const auto found = windows_.find(partition);
   if (found != windows_.end() && found->second.epoch == epoch) {
     found->second.answered.insert(holder);
   }
 }
 
-std::vector<RecoveryWindows::Missing>
-RecoveryWindows::missing(const std::vector<NodeId>& holders) const {
-  std::vector<Missing> result;
+std::vector<RecoveryWindows::PendingNotice>
+RecoveryWindows::pendingNotices(const std::vector<NodeId>& holders) const {
+  std::vector<PendingNotice> result;
   for (const auto& entry : windows_) {
     for (const NodeId& holder : holders) {
       if (entry.second.answered.count(holder) == 0) {
--- a/src/slots/recovery_windows.h
+++ b/src/slots/recovery_windows.h
@@ -1,5 +1,5 @@
 /// @file
-/// Partitions whose memory was lost and whose holders have not all re-asserted yet.
+/// Partitions whose memory was lost and whose holders have not all re-asserted their slots yet.
 #pragma once
 
 #include "kernel/time.h"
@@ -16,37 +16,38 @@
 /// A window stays open at least this long.
 inline constexpr Duration kMinimumRecoveryWindow = std::chrono::seconds(1);
 
-/// "Every holder has answered" is believed only this long after the start of the process: a
-/// younger one may not have learned of all data nodes. Five times the interval at which a node
-/// compares its version vector with another one.
+/// "Every holder has answered" counts only this long after the start of the process: before that
+/// its directory may not have all data nodes. Five times the interval at which a node compares its
+/// version vector with another one.
 inline constexpr int kDirectorySettleIntervals = 5;
 /// The same with the directory's default interval.
 inline constexpr Duration kDirectorySettle = kDirectorySettleIntervals * std::chrono::seconds(1);
 
 /// One recovery window per partition. While it is open nothing new is granted there.
 ///
-/// It closes when every known data node, those held dead included, has sent all that it holds, or
-/// when the longest time to live has passed: by then every slot granted before the loss has been
-/// renewed, and thereby re-asserted, or has expired at its holder.
+/// It closes when every known data node, also one that is confirmed dead, has sent all that it
+/// holds, or when the longest time to live has passed: by then every slot granted before the loss
+/// has been renewed, and thereby re-asserted, or has expired at its holder.
 class RecoveryWindows {
  public:
-  /// @p trustFrom: the directory names all holders from then on.
+  /// @p longest: time after which every earlier grant has expired. @p directoryCompleteAt: from
+  /// then on the directory has all holders.
   void open(const PartitionId& partition, std::uint64_t epoch, Time now, Duration longest,
-            Time trustFrom);
+            Time directoryCompleteAt);
   void close(const PartitionId& partition) { windows_.erase(partition); }
   bool isOpen(const PartitionId& partition) const { return windows_.count(partition) != 0; }
   bool empty() const { return windows_.empty(); }
 
   /// @p holder has sent all that it holds for @p partition, in answer to the notice of @p epoch.
-  void answered(const PartitionId& partition, std::uint64_t epoch, const NodeId& holder);
+  void recordAnswer(const PartitionId& partition, std::uint64_t epoch, const NodeId& holder);
 
-  /// A notice that has no answer yet.
-  struct Missing {
+  /// A recovery notice that has no answer yet.
+  struct PendingNotice {
     PartitionId partition;
     std::uint64_t epoch = 0;
     NodeId holder;
   };
-  std::vector<Missing> missing(const std::vector<NodeId>& holders) const;
+  std::vector<PendingNotice> pendingNotices(const std::vector<NodeId>& holders) const;
 
   /// Closes the windows that may close and returns their partitions.
   std::vector<PartitionId> closeFinished(const std::vector<NodeId>& holders, Time now);
--- a/src/slots/slot_pool.cpp
+++ b/src/slots/slot_pool.cpp
@@ -57,7 +57,7 @@
 void SlotPool::put(std::uint32_t number, GrantedSlot slot) {
   erase(number);
   tokens_[slot.row.claim.token] = number;
-  placement_.added(slot.engine);
+  placement_.addHolder(slot.engine);
   slots_[number] = std::move(slot);
 }
 
@@ -70,7 +70,7 @@
   if (token != tokens_.end() && token->second == number) {
     tokens_.erase(token);
   }
-  placement_.removed(found->second.engine);
+  placement_.removeHolder(found->second.engine);
   slots_.erase(found);
 }
 
--- a/src/slots/slot_recovery.cpp
+++ b/src/slots/slot_recovery.cpp
@@ -22,7 +22,7 @@
 
 void SlotRecovery::holderAnswered(const PartitionId& partition, std::uint64_t epoch,
                                   const NodeId& holder) {
-  windows_.answered(partition, epoch, holder);
+  windows_.recordAnswer(partition, epoch, holder);
   closeFinished();
 }
 
@@ -56,8 +56,8 @@
     return;
   }
   const std::vector<NodeId> holders = possibleHolders();
-  for (const RecoveryWindows::Missing& missing : windows_.missing(holders)) {
-    environment_.context.send(missing.holder, RecoveryNotice{missing.partition, missing.epoch});
+  for (const RecoveryWindows::PendingNotice& notice : windows_.pendingNotices(holders)) {
+    environment_.context.send(notice.holder, RecoveryNotice{notice.partition, notice.epoch});
   }
 }
 
--- a/tests/slots/engine_placement_test.cpp
+++ b/tests/slots/engine_placement_test.cpp
@@ -28,7 +28,7 @@
   std::map<std::string, int> sent;
   for (std::uint64_t holder = 0; holder < 80; ++holder) {
     const std::string engine = placement.suggest(table, kPool, "", holder * 7919);
-    placement.added(engine);
+    placement.addHolder(engine);
     ++sent[engine];
   }
   BOOST_TEST(sent.size() == 8U);
@@ -41,11 +41,11 @@
   const EngineTable table = tableOf(2);
   EnginePlacement placement;
   BOOST_TEST(placement.suggest(table, kPool, "b", 0) == "e1");
-  placement.added("e1");
-  placement.added("e1");
+  placement.addHolder("e1");
+  placement.addHolder("e1");
   BOOST_TEST(placement.suggest(table, kPool, "b", 0) == "e0");
-  placement.removed("e1");
-  placement.removed("e1");
+  placement.removeHolder("e1");
+  placement.removeHolder("e1");
   BOOST_TEST(placement.suggest(table, kPool, "b", 0) == "e1");
 }
 
--- a/tests/slots/fake_partition_store.h
+++ b/tests/slots/fake_partition_store.h
@@ -36,7 +36,7 @@
 }
 
 /// One store's view. Owns all partitions or none. An owner that was fenced goes on believing that
-/// it owns until `learnLoss`.
+/// it owns until `notifyOwnershipLost`.
 class FakePartitionStore : public PartitionStore {
  public:
   FakePartitionStore(FakeMajority& majority, NodeId self)
@@ -65,7 +65,7 @@
     }
   }
 
-  void learnLoss() {
+  void notifyOwnershipLost() {
     if (believedEpoch_ == 0 || majority_.owner == self_) {
       return;
     }
@@ -133,13 +133,13 @@
     std::function<void(Status)> done;
   };
   std::deque<Pending> pending;
-  bool holdWrites = false;  ///< Writes wait for `completeOne`.
+  bool delayWrites = false;  ///< Writes wait for `completeOne`.
 
  private:
   void enqueue(const PartitionId& partition, std::vector<TableEntry> entries,
                std::function<void(Status)> done) {
     pending.push_back({partition, believedEpoch_, std::move(entries), std::move(done)});
-    if (!holdWrites) {
+    if (!delayWrites) {
       while (completeOne()) {
       }
     }
--- a/tests/slots/holder_query_test.cpp
+++ b/tests/slots/holder_query_test.cpp
@@ -1,4 +1,4 @@
-// Owners ask the holders of slots that they have not heard of for a while.
+// Owners query the holders of slots that were not renewed for a while.
 #include "slot_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Service is back this long after the machines are.
+/// Service must have recovered this long after the machines.
 constexpr Duration kRecoveryLimit = seconds(15);
 
 SlotLimit longLimit() {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(numbers_of_a_killed_front_are_free_once_it_is_back) {
+BOOST_AUTO_TEST_CASE(numbers_of_a_killed_front_are_free_once_it_has_restarted) {
   SlotFleet fleet;
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
@@ -34,7 +34,7 @@
   BOOST_TEST(fleet.acquire(1, {longLimit()}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(mutation_without_a_question_they_stay_taken) {
+BOOST_AUTO_TEST_CASE(without_queries_numbers_of_a_killed_front_stay_taken) {
   SlotSafeguards safeguards;
   safeguards.queryUnresponsiveHolders = false;
   SlotFleet fleet(safeguards);
@@ -64,17 +64,17 @@
   BOOST_TEST(codeOf(fleet.acquire(1, {longLimit()})) == ErrorCode::PoolFull);
 }
 
-BOOST_AUTO_TEST_CASE(a_silent_holder_keeps_its_slot_for_its_time_to_live) {
+BOOST_AUTO_TEST_CASE(an_unresponsive_holder_keeps_its_slot_for_its_time_to_live) {
   SlotFleet fleet;
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
-  fleet.cut("f1:1");
+  fleet.isolate("f1:1");
   fleet.harness.advance(seconds(30));
   BOOST_TEST(codeOf(fleet.acquire(1, {longLimit()})) == ErrorCode::PoolFull);
 }
 
-/// The question arrives before the grant: the token is still being asked for.
-BOOST_AUTO_TEST_CASE(a_grant_on_its_way_is_not_disowned) {
+/// The query arrives before the grant: the token is still requested.
+BOOST_AUTO_TEST_CASE(a_grant_in_flight_is_not_released) {
   SlotFleet fleet;
   const auto outcome = fleet.start(0, {longLimit()});
   BOOST_REQUIRE(fleet.harness.queue.size() == 1U);
--- a/tests/slots/quota_test.cpp
+++ b/tests/slots/quota_test.cpp
@@ -44,9 +44,8 @@
   BOOST_TEST(granted.size() > 60U);
 }
 
-/// A tenant that asks for many times its quota gets its rate in each second. The whole window's
-/// quota used to be granted at once and nothing for the rest of the window (a hot tenant on the
-/// platform).
+/// A tenant that requests many times its quota gets its rate in each second, not the whole window's
+/// quota at once and nothing for the rest of the window.
 BOOST_AUTO_TEST_CASE(a_tenant_over_its_quota_gets_its_rate_in_every_second) {
   SlotFleet fleet;
   fleet.rates.rates["t"] = {20, 10};
@@ -93,7 +92,7 @@
   BOOST_TEST(fleet.acquire(1, {quotaOf("t")}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_request_that_another_limit_refuses_gives_its_quota_back) {
+BOOST_AUTO_TEST_CASE(a_request_that_another_limit_rejects_returns_its_quota) {
   SlotFleet fleet;
   fleet.rates.rates["t"] = {0, 1};
   fleet.rates.rates["u"] = {0, 1};
--- a/tests/slots/slot_fleet.h
+++ b/tests/slots/slot_fleet.h
@@ -134,11 +134,11 @@
     harness.settle();
   }
 
-  /// Store @p to takes over; the other one learns of it at once if @p told.
-  void takeOver(int to, RecoveryKind recovery, bool told = true, std::size_t surviving = 0) {
+  /// Store @p to takes over; the other one is notified at once if @p notified.
+  void takeOver(int to, RecoveryKind recovery, bool notified = true, std::size_t surviving = 0) {
     stores[to]->table.takeOver(&stores[1 - to]->table, surviving, recovery);
-    if (told) {
-      stores[1 - to]->table.learnLoss();
+    if (notified) {
+      stores[1 - to]->table.notifyOwnershipLost();
     }
   }
 
@@ -156,7 +156,7 @@
     return {{limiter, key}, failOpen, block, milliseconds(100), kTestTimeToLive};
   }
 
-  /// Starts an acquisition on front @p front; the outcome lands in the returned place.
+  /// Starts an acquisition on front @p front; the outcome is stored in the returned object.
   std::shared_ptr<std::optional<Result<SlotGrant>>> start(int front,
                                                           std::vector<SlotLimit> limits) {
     auto outcome = std::make_shared<std::optional<Result<SlotGrant>>>();
@@ -175,13 +175,13 @@
     return outcome->has_value() ? **outcome : makeError(ErrorCode::Internal, "no outcome");
   }
 
-  /// True if two tokens count the same number as theirs for sure.
+  /// True if two holders rely on the same number at present.
   bool numberGrantedTwice() const {
     std::set<std::pair<std::string, std::uint32_t>> numbers;
     for (const auto& front : fronts) {
-      for (const HolderLease& held : front->core.leases()) {
-        const bool sure = held.validUntil > harness.now;
-        if (sure && !numbers.insert({held.claim.key, held.claim.number}).second) {
+      for (const HolderLease& lease : front->core.leases()) {
+        const bool valid = lease.validUntil > harness.now;
+        if (valid && !numbers.insert({lease.claim.key, lease.claim.number}).second) {
           return true;
         }
       }
@@ -199,7 +199,7 @@
   }
 
   /// Drops every message from and to @p node.
-  void cut(const std::string& node) {
+  void isolate(const std::string& node) {
     harness.filter = [node](const Harness::Envelope& envelope) {
       return envelope.to.address != node && envelope.from.address != node;
     };
--- a/tests/slots/slot_protocol_test.cpp
+++ b/tests/slots/slot_protocol_test.cpp
@@ -19,7 +19,8 @@
 }
 
 /// Sends @p requests from a node outside the fleet and returns the answers of the owner.
-std::vector<AcquireSlotReply> ask(SlotFleet& fleet, const std::vector<AcquireSlot>& requests) {
+std::vector<AcquireSlotReply> sendRequests(SlotFleet& fleet,
+                                           const std::vector<AcquireSlot>& requests) {
   std::vector<AcquireSlotReply> replies;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
     if (envelope.to.address == "f2:1") {
@@ -41,7 +42,7 @@
 
 BOOST_AUTO_TEST_CASE(same_token_gets_the_same_slot) {
   SlotFleet fleet;
-  const auto replies = ask(fleet, {acquisition(7), acquisition(7)});
+  const auto replies = sendRequests(fleet, {acquisition(7), acquisition(7)});
   BOOST_REQUIRE(replies.size() == 2);
   BOOST_TEST(replies[0].claim.number == replies[1].claim.number);
   BOOST_TEST(fleet.rows() == 1U);
@@ -49,7 +50,7 @@
   SlotSafeguards mutated;
   mutated.idempotentTokens = false;
   SlotFleet careless(mutated);
-  ask(careless, {acquisition(7), acquisition(7)});
+  sendRequests(careless, {acquisition(7), acquisition(7)});
   BOOST_TEST(careless.rows() == 2U);
 }
 
@@ -98,17 +99,17 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(grant_after_giving_up_is_released) {
+BOOST_AUTO_TEST_CASE(a_grant_after_the_store_deadline_is_released) {
   for (const bool safe : {true, false}) {
     SlotSafeguards safeguards;
     safeguards.releaseLateGrants = safe;
-    safeguards.queryUnresponsiveHolders = false;  // The owner's question would free it as well.
+    safeguards.queryUnresponsiveHolders = false;  // The owner's query would free it as well.
     SlotFleet fleet(safeguards);
-    fleet.stores[0]->table.holdWrites = true;
+    fleet.stores[0]->table.delayWrites = true;
     const Result<SlotGrant> refused = fleet.acquire(0, {SlotFleet::limit("t")});
     BOOST_REQUIRE(refused.has_error());
     BOOST_TEST(codeOf(refused) == ErrorCode::StoreUnavailable);
-    fleet.stores[0]->table.holdWrites = false;
+    fleet.stores[0]->table.delayWrites = false;
     while (fleet.stores[0]->table.completeOne()) {
     }
     fleet.harness.advance(seconds(2));
@@ -140,7 +141,7 @@
 BOOST_AUTO_TEST_CASE(lost_release_is_sent_again) {
   SlotFleet fleet;
   const Result<SlotGrant> grant = fleet.acquire(0, {SlotFleet::limit("t")});
-  fleet.cut("f1:1");
+  fleet.isolate("f1:1");
   fleet.fronts[0]->core.release(grant.value().grantId);
   fleet.harness.advance(milliseconds(700));
   BOOST_TEST(fleet.rows() == 1U);
@@ -149,7 +150,7 @@
   BOOST_TEST(fleet.rows() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(blocked_request_polls_and_holds_nothing) {
+BOOST_AUTO_TEST_CASE(blocked_request_polls_and_keeps_no_slot) {
   SlotFleet fleet;
   fleet.rates.rates["a"] = {0, 1};
   fleet.rates.rates["b"] = {0, 1};
@@ -184,7 +185,7 @@
 
 BOOST_AUTO_TEST_CASE(unreachable_store_fails_open_or_closed) {
   SlotFleet fleet;
-  fleet.cut("f1:1");
+  fleet.isolate("f1:1");
   const Result<SlotGrant> open = fleet.acquire(0, {SlotFleet::limit("t", true)});
   BOOST_REQUIRE(open.has_value());
   BOOST_TEST(open.value().slots[0].withoutSlot);
@@ -197,23 +198,23 @@
   BOOST_TEST(codeOf(batch) == ErrorCode::StoreUnavailable);
 }
 
-BOOST_AUTO_TEST_CASE(held_slot_outlives_its_time_to_live_by_renewal_and_expires_without) {
+BOOST_AUTO_TEST_CASE(a_renewed_slot_outlives_its_time_to_live_and_expires_without_renewal) {
   SlotFleet fleet;
   BOOST_TEST(fleet.acquire(0, {SlotFleet::limit("t")}).has_value());
   fleet.harness.advance(5 * kTestTimeToLive);
   BOOST_TEST(fleet.rows() == 1U);
   BOOST_TEST((fleet.fronts[0]->core.leases()[0].validUntil > fleet.harness.now));
-  fleet.cut("f1:1");
+  fleet.isolate("f1:1");
   fleet.harness.advance(2 * kTestTimeToLive);
   BOOST_TEST(fleet.rows() == 0U);
   BOOST_TEST(fleet.harness.counters.values["slot_expiries_total"] == 1);
 }
 
-BOOST_AUTO_TEST_CASE(holder_past_its_time_to_live_reasserts_moves_or_is_over) {
+BOOST_AUTO_TEST_CASE(a_holder_past_its_time_to_live_reasserts_moves_or_is_overcommitted) {
   SlotFleet fleet;
   BOOST_TEST(fleet.acquire(0, {SlotFleet::limit("t")}).has_value());
   BOOST_TEST(fleet.acquire(0, {SlotFleet::limit("t")}).has_value());
-  fleet.cut("f1:1");
+  fleet.isolate("f1:1");
   fleet.harness.advance(2 * kTestTimeToLive);
   BOOST_TEST(fleet.rows() == 0U);
   BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value());
