--- a/src/assembly/control_cores.cpp
+++ b/src/assembly/control_cores.cpp
@@ -69,9 +69,9 @@
                                                   reads ? listing : nullptr);
     host.attach(ServiceId::EngineList, *engineList);
   } else {
-    engineWatch = std::make_unique<EngineWatchCore>(host.context(ServiceId::EngineWatch), directory,
-                                                    directory, configuration, nullptr);
-    host.attach(ServiceId::EngineWatch, *engineWatch);
+    engineHealthChecker = std::make_unique<EngineHealthCheckerCore>(
+        host.context(ServiceId::EngineWatch), directory, directory, configuration, nullptr);
+    host.attach(ServiceId::EngineWatch, *engineHealthChecker);
   }
   if (options.self.role == NodeRole::Store) {
     store = std::make_unique<StoreCores>(host, options, directory, configuration, engines());
@@ -82,7 +82,7 @@
   if (engineList) {
     return *engineList;
   }
-  return *engineWatch;
+  return *engineHealthChecker;
 }
 
 }  // namespace shedshed
--- a/src/assembly/control_cores.h
+++ b/src/assembly/control_cores.h
@@ -44,9 +44,9 @@
   DirectoryCore directory;
   RegisterCore registers;
   ConfigurationCore configuration;
-  std::unique_ptr<EngineWatchCore> engineWatch;  ///< Null with a listing source.
-  std::unique_ptr<EngineListCore> engineList;    ///< Null without one.
-  std::unique_ptr<StoreCores> store;             ///< Null on register nodes.
+  std::unique_ptr<EngineHealthCheckerCore> engineHealthChecker;  ///< Null with a listing source.
+  std::unique_ptr<EngineListCore> engineList;                    ///< Null without one.
+  std::unique_ptr<StoreCores> store;                             ///< Null on register nodes.
 };
 
 }  // namespace shedshed
--- a/src/assembly/data_cores.cpp
+++ b/src/assembly/data_cores.cpp
@@ -53,9 +53,9 @@
   host.attach(ServiceId::Register, registers);
   host.attach(ServiceId::Configuration, configuration);
   if (probe != nullptr) {
-    engineWatch = std::make_unique<EngineWatchCore>(host.context(ServiceId::EngineWatch), directory,
-                                                    directory, configuration, probe);
-    host.attach(ServiceId::EngineWatch, *engineWatch);
+    engineHealthChecker = std::make_unique<EngineHealthCheckerCore>(
+        host.context(ServiceId::EngineWatch), directory, directory, configuration, probe);
+    host.attach(ServiceId::EngineWatch, *engineHealthChecker);
   } else {
     engineList =
         std::make_unique<EngineListCore>(host.context(ServiceId::EngineList), directory, nullptr);
@@ -69,7 +69,7 @@
   if (engineList) {
     return *engineList;
   }
-  return *engineWatch;
+  return *engineHealthChecker;
 }
 
 void DataCores::addRunner(CoreHost& host, EngineRunner& engineRunner) {
--- a/src/assembly/data_cores.h
+++ b/src/assembly/data_cores.h
@@ -32,8 +32,8 @@
   DirectoryCore directory;
   RegisterCore registers;
   ConfigurationCore configuration;
-  std::unique_ptr<EngineWatchCore> engineWatch;  ///< Null without a probe.
-  std::unique_ptr<EngineListCore> engineList;    ///< Null with one.
+  std::unique_ptr<EngineHealthCheckerCore> engineHealthChecker;  ///< Null without a probe.
+  std::unique_ptr<EngineListCore> engineList;                    ///< Null with one.
   OwnerLocator locator;
   SlotClientCore slots;
   BatchClientCore batches;
--- a/src/engines/engine_health_report.cpp
+++ b/src/engines/engine_health_report.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Precedence in a merge.
-int rank(EngineState state) {
+int precedence(EngineState state) {
   switch (state) {
   case EngineState::Draining:
     return 3;
@@ -24,31 +24,31 @@
   return 0;
 }
 
-/// Merged findings about one engine.
-struct Merged {
+/// Merged results of one engine.
+struct MergedResult {
   EngineState state = EngineState::Unknown;
   std::uint32_t running = 0;
 
-  void add(const EngineFinding& finding) {
-    if (rank(finding.state) > rank(state)) {
-      state = finding.state;
+  void add(const EngineHealthCheckResult& result) {
+    if (precedence(result.state) > precedence(state)) {
+      state = result.state;
     }
-    running = std::max(running, finding.running);
+    running = std::max(running, result.running);
   }
 };
 
 /// Id and address tag.
 using EngineKey = std::pair<std::string_view, std::uint32_t>;
-using MergedById = std::map<EngineKey, Merged>;
+using MergedById = std::map<EngineKey, MergedResult>;
 
-Merged findMerged(const MergedById& merged, const EngineKey& key) {
+MergedResult findMerged(const MergedById& merged, const EngineKey& key) {
   const auto found = merged.find(key);
-  return found == merged.end() ? Merged() : found->second;
+  return found == merged.end() ? MergedResult() : found->second;
 }
 
-void addReport(const EngineReport& report, MergedById& merged) {
-  for (const EngineFinding& finding : report.findings) {
-    merged[{finding.id, finding.addressTag}].add(finding);
+void addReport(const EngineHealthReport& report, MergedById& merged) {
+  for (const EngineHealthCheckResult& result : report.results) {
+    merged[{result.id, result.addressTag}].add(result);
   }
 }
 
@@ -58,16 +58,16 @@
   return static_cast<std::uint32_t>(hash64(address));
 }
 
-void EngineReports::set(const NodeId& watcher, EngineReport report) {
-  if (report.findings.empty()) {
-    entries_.erase(watcher);
+void EngineHealthReports::set(const NodeId& checker, EngineHealthReport report) {
+  if (report.results.empty()) {
+    entries_.erase(checker);
     return;
   }
-  entries_[watcher].report = std::move(report);
+  entries_[checker].report = std::move(report);
 }
 
-bool EngineReports::setDead(const NodeId& watcher, bool dead, Time now) {
-  const auto found = entries_.find(watcher);
+bool EngineHealthReports::setDead(const NodeId& checker, bool dead, Time now) {
+  const auto found = entries_.find(checker);
   if (found == entries_.end() || found->second.dead == dead) {
     return false;
   }
@@ -76,7 +76,7 @@
   return true;
 }
 
-bool EngineReports::expire(Time now, Duration expiry) {
+bool EngineHealthReports::expire(Time now, Duration expiry) {
   bool dropped = false;
   for (auto entry = entries_.begin(); entry != entries_.end();) {
     if (entry->second.dead && now - entry->second.deadSince >= expiry) {
@@ -89,7 +89,7 @@
   return dropped;
 }
 
-EngineTable EngineReports::merge(const EngineListing& listing) const {
+EngineTable EngineHealthReports::merge(const EngineListing& listing) const {
   MergedById live;
   MergedById dead;
   for (const auto& entry : entries_) {
@@ -100,7 +100,7 @@
   table.engines.reserve(listing.engines.size());
   for (const ListedEngine& engine : listing.engines) {
     const EngineKey key(engine.id, engineAddressTag(engine.address));
-    Merged merged = findMerged(live, key);
+    MergedResult merged = findMerged(live, key);
     if (merged.state == EngineState::Unknown) {
       merged = findMerged(dead, key);
     }
--- a/src/engines/engine_health_report.h
+++ b/src/engines/engine_health_report.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the watchers of the engines publish, and how the reports of several are merged.
+/// Reports that the nodes which check engines publish, and how the reports of several are merged.
 #pragma once
 
 #include "engines/engine_listing.h"
@@ -16,57 +16,57 @@
 
 namespace shedshed {
 
-/// One watcher's finding about one engine; about 16 bytes encoded.
-struct EngineFinding {
+/// One node's result of checking one engine; about 16 bytes encoded.
+struct EngineHealthCheckResult {
   std::string id;
-  std::uint32_t addressTag = 0;  ///< Hash of the address: tells a replaced engine apart.
+  std::uint32_t addressTag = 0;  ///< Hash of the address: distinguishes a replaced engine.
   EngineState state = EngineState::Unknown;
   std::uint32_t running = 0;
   MSGPACK_DEFINE(id, addressTag, state, running);
 };
 
-/// All findings of one watcher; the value of the gossip topic `kEngineTopic`.
-struct EngineReport {
-  std::vector<EngineFinding> findings;
-  MSGPACK_DEFINE(findings);
+/// All results of one node; the value of the gossip topic `kEngineTopic`.
+struct EngineHealthReport {
+  std::vector<EngineHealthCheckResult> results;
+  MSGPACK_DEFINE(results);
 };
 
-/// Gossip topic of the `EngineReport`.
+/// Gossip topic of the `EngineHealthReport`.
 inline constexpr const char* kEngineTopic = "engines";
 
 /// Returns the tag of an engine's address.
 std::uint32_t engineAddressTag(const std::string& address);
 
-/// Collects the reports of all watchers.
-class EngineReports {
+/// Collects the reports of all checkers. Core thread only.
+class EngineHealthReports {
  public:
-  /// Replaces the report of one watcher; an empty one withdraws it.
-  void set(const NodeId& watcher, EngineReport report);
+  /// Replaces the report of one checker; an empty one withdraws it.
+  void set(const NodeId& checker, EngineHealthReport report);
 
-  /// Replaces what this node found by itself and tells nobody; counts as a live watcher's report.
-  void setOwn(EngineReport report) { own_ = std::move(report); }
+  /// Replaces the results that this node does not publish; they count as a live checker's report.
+  void setOwn(EngineHealthReport report) { own_ = std::move(report); }
 
-  /// Marks a watcher dead or live. A dead watcher's findings count only where no live one has any,
-  /// and only until they expire (`expire`).
+  /// Marks a checker confirmed dead or live. A dead checker's results count only where no live one
+  /// has any, and only until they expire (`expire`).
   /// @return true if it changed.
-  bool setDead(const NodeId& watcher, bool dead, Time now);
+  bool setDead(const NodeId& checker, bool dead, Time now);
 
-  /// Drops the findings of watchers that have been dead for longer than @p expiry.
+  /// Drops the results of checkers that have been dead for longer than @p expiry.
   /// @return true if any was dropped.
   bool expire(Time now, Duration expiry);
 
-  /// Builds the table of the listed engines: draining if any watcher says so, else ready if any
-  /// reaches it, else gone if any report says so, else unknown.
+  /// Builds the table of the listed engines: draining if any checker reports so, else ready if
+  /// any reaches it, else gone if any reports so, else unknown.
   EngineTable merge(const EngineListing& listing) const;
 
  private:
   struct Entry {
-    EngineReport report;
+    EngineHealthReport report;
     bool dead = false;
     Time deadSince{};
   };
   std::map<NodeId, Entry> entries_;
-  EngineReport own_;
+  EngineHealthReport own_;
 };
 
 }  // namespace shedshed
--- a/src/engines/engine_list_core.cpp
+++ b/src/engines/engine_list_core.cpp
@@ -10,29 +10,25 @@
 constexpr TimerId kPullTimer = 1;
 constexpr TimerId kTimeoutTimer = 2;
 
-/// Pulls after which a node goes back to the first reader in the order.
+/// Pulls after which a node returns to the first of its sources.
 constexpr std::uint32_t kPullsBetweenPreferences = 6;
 
 /// Pulls without an answer that are remembered: a slow source answers late.
-constexpr std::size_t kMostOpenPulls = 8;
+constexpr std::size_t kMaxOpenPulls = 8;
 
-/// Pulls that wait for one reading of the source at most.
-constexpr std::size_t kMostWaiting = 4096;
-
-std::uint64_t digestOfEngines(const std::vector<EngineInfo>& engines) {
-  return hash64(encodeRecord(engines)) | 1U;  // Never 0, which means "none".
-}
+/// Pulls that wait for the reading in progress at most.
+constexpr std::size_t kMaxWaitingPulls = 4096;
 
 }  // namespace
 
 EngineListCore::EngineListCore(CoreContext& context, Directory& directory, ListingSource* source,
                                EngineListOptions options)
-    : context_(context), directory_(directory), source_(source), options_(options),
-      table_(std::make_shared<const EngineTable>()) {}
+    : context_(context), directory_(directory), options_(options),
+      table_(std::make_shared<const EngineTable>()), reader_(context, source) {}
 
 void EngineListCore::start() {
   startedAt_ = context_.now();
-  request_ = context_.random()() >> 1U;
+  lastRequest_ = context_.random()() >> 1U;
   pull();
 }
 
@@ -46,8 +42,8 @@
 }
 
 void EngineListCore::timerExpired(TimerId timer) {
-  if (timer == kTimeoutTimer || neverProved()) {
-    ++next_;
+  if (timer == kTimeoutTimer || !hasListing()) {
+    ++nextSource_;
   }
   pull();
 }
@@ -75,7 +71,7 @@
 }
 
 bool EngineListCore::mustRead() const {
-  if (source_ == nullptr) {
+  if (!reader_.hasSource()) {
     return false;
   }
   const std::vector<NodeId> nodes = readers(*directory_.table());
@@ -87,8 +83,8 @@
 void EngineListCore::pull() {
   context_.stopTimer(kTimeoutTimer);
   context_.startTimer(kPullTimer,
-                      neverProved() ? options_.firstPullInterval : options_.pullInterval);
-  if (!waiting_.empty() && mustRead()) {
+                      hasListing() ? options_.pullInterval : options_.firstPullInterval);
+  if (!waitingPulls_.empty() && mustRead()) {
     readSource();
   }
   const std::vector<NodeId> nodes = sources();
@@ -96,14 +92,14 @@
     return;
   }
   if (++pulls_ % kPullsBetweenPreferences == 0) {
-    next_ = 0;
+    nextSource_ = 0;
   }
-  openPulls_[++request_] = context_.now();
-  if (openPulls_.size() > kMostOpenPulls) {
+  openPulls_[++lastRequest_] = context_.now();
+  if (openPulls_.size() > kMaxOpenPulls) {
     openPulls_.erase(openPulls_.begin());
   }
   context_.startTimer(kTimeoutTimer, options_.pullTimeout);
-  context_.send(nodes[next_ % nodes.size()], ListingPull{request_, digest_});
+  context_.send(nodes[nextSource_ % nodes.size()], ListingPull{lastRequest_, digest_});
 }
 
 void EngineListCore::onAnswer(const ListingAnswer& answer) {
@@ -116,22 +112,22 @@
   context_.stopTimer(kTimeoutTimer);
   const Duration age = std::chrono::milliseconds(answer.ageMilliseconds);
   if (!answer.known || age > options_.oldListing) {
-    ++next_;
+    ++nextSource_;
   }
   if (answer.known) {
     adopt(answer, sentAt - age);
   }
 }
 
-void EngineListCore::adopt(const ListingAnswer& answer, Time moment) {
-  if (moment <= provedAt_) {
+void EngineListCore::adopt(const ListingAnswer& answer, Time provedAt) {
+  if (provedAt <= provedAt_) {
     return;
   }
   if (answer.digest != digest_ && answer.engines.empty() && digest_ != 0 &&
-      answer.digest != digestOfEngines({})) {
-    return;  // Left out for a digest that this node does not hold any more.
+      answer.digest != listingDigest({})) {
+    return;  // Omitted for a digest that this node no longer has.
   }
-  provedAt_ = moment;
+  provedAt_ = provedAt;
   if (answer.digest != digest_) {
     digest_ = answer.digest;
     auto next = std::make_shared<EngineTable>();
@@ -142,21 +138,21 @@
       listener(*next);
     }
   }
-  if (!reading_) {
-    answerWaiting();
+  if (!reader_.reading()) {
+    answerWaitingPulls();
   }
 }
 
 void EngineListCore::onPull(const NodeId& from, const ListingPull& pull) {
-  const bool recent =
-      copyReadAt_ != Time::min() && context_.now() - copyReadAt_ <= options_.refreshAge;
+  const bool recent = reader_.cachedAt() != Time::min() &&
+                      context_.now() - reader_.cachedAt() <= options_.refreshAge;
   const bool reads = !recent && mustRead();
-  if (recent || (!reads && !neverProved())) {
+  if (recent || (!reads && hasListing())) {
     answer(from, pull);
     return;
   }
-  if (waiting_.size() < kMostWaiting) {
-    waiting_.push_back({from, pull});
+  if (waitingPulls_.size() < kMaxWaitingPulls) {
+    waitingPulls_.push_back({from, pull});
   }
   if (reads) {
     readSource();
@@ -164,54 +160,32 @@
 }
 
 void EngineListCore::answer(const NodeId& to, const ListingPull& pull) {
-  const bool fromTable = provedAt_ > copyReadAt_;
-  const Time current = std::max(provedAt_, copyReadAt_);
+  const bool fromTable = provedAt_ > reader_.cachedAt();
+  const Time current = std::max(provedAt_, reader_.cachedAt());
   ListingAnswer answer;
   answer.request = pull.request;
   answer.known = current != Time::min();
   if (answer.known) {
     answer.ageMilliseconds =
         static_cast<std::uint64_t>(toMilliseconds(context_.now() - current)) + 1;
-    answer.digest = fromTable ? digest_ : copyDigest_;
+    answer.digest = fromTable ? digest_ : reader_.cachedDigest();
     if (pull.digest != answer.digest) {
-      answer.engines = fromTable ? table()->engines : copy_;
+      answer.engines = fromTable ? table()->engines : reader_.cached();
     }
   }
   context_.send(to, answer);
 }
 
-void EngineListCore::answerWaiting() {
-  const std::vector<Waiting> waiting = std::move(waiting_);
-  waiting_.clear();
-  for (const Waiting& asker : waiting) {
-    answer(asker.from, asker.pull);
+void EngineListCore::answerWaitingPulls() {
+  const std::vector<WaitingPull> waiting = std::move(waitingPulls_);
+  waitingPulls_.clear();
+  for (const WaitingPull& entry : waiting) {
+    answer(entry.from, entry.pull);
   }
 }
 
 void EngineListCore::readSource() {
-  if (reading_) {
-    return;
-  }
-  reading_ = true;
-  const Time begun = context_.now();
-  source_->read([this, begun](Result<std::vector<EngineInfo>> engines) {
-    sourceRead(begun, std::move(engines));
-  });
-}
-
-void EngineListCore::sourceRead(Time begun, Result<std::vector<EngineInfo>> engines) {
-  reading_ = false;
-  if (engines) {
-    copy_ = std::move(engines.value());
-    std::sort(copy_.begin(), copy_.end(),
-              [](const EngineInfo& left, const EngineInfo& right) { return left.id < right.id; });
-    copyDigest_ = digestOfEngines(copy_);
-    copyReadAt_ = begun;
-    context_.counters().add("engine_list_reads_total");
-  } else {
-    context_.counters().add("engine_list_read_failures_total");
-  }
-  answerWaiting();
+  reader_.read([this] { answerWaitingPulls(); });
 }
 
 }  // namespace shedshed
--- a/src/engines/engine_table.h
+++ b/src/engines/engine_table.h
@@ -13,12 +13,13 @@
 
 namespace shedshed {
 
-/// State of an engine as published by its watchers. The numeric values travel on the wire.
+/// State of an engine as published by the nodes that check it. The numeric values travel on the
+/// wire.
 enum class EngineState : std::uint8_t {
-  Unknown = 0,  ///< Listed, no watcher has heard from it yet.
+  Unknown = 0,  ///< Listed, no node has reached it yet.
   Ready = 1,
   Draining = 2,  ///< Finishes what it runs; gets no new request.
-  Gone = 3,      ///< Watchers cannot reach it, or it left the listing.
+  Gone = 3,      ///< No node reaches it, or it is no longer listed.
 };
 
 /// One engine.
@@ -44,8 +45,9 @@
  public:
   virtual ~EngineSource() = default;
   virtual std::shared_ptr<const EngineTable> table() const = 0;
-  /// Until when the table may be used for new calls. A node that has stood still, and does not know
-  /// yet what happened meanwhile, names a moment in the past. May be called by any thread.
+  /// Until when the table may be used for new calls. A node whose process has stalled, and that
+  /// does not know yet what happened meanwhile, returns a time in the past. May be called by any
+  /// thread.
   virtual Time freshUntil() const { return Time::max(); }
   /// Calls @p listener on the core thread after each change of the table.
   virtual void addListener(std::function<void(const EngineTable&)> listener) = 0;
--- a/tests/compatibility/message_format_test.cpp
+++ b/tests/compatibility/message_format_test.cpp
@@ -156,8 +156,8 @@
   checkFormat<TokenAccount>("batch.token_account", checked);
   checkFormat<WaitingBatch>("batch.waiting_batch", checked);
   checkFormat<PartitionTokens>("batch.partition_tokens", checked);
-  checkFormat<EngineFinding>("engines.engine_finding", checked);
-  checkFormat<EngineReport>("engines.engine_report", checked);
+  checkFormat<EngineHealthCheckResult>("engines.engine_finding", checked);
+  checkFormat<EngineHealthReport>("engines.engine_report", checked);
   checkFormat<EngineInfo>("engines.engine_info", checked);
   checkFormat<BatchItemCall>("gateway.batch_item_call", checked);
   checkFormat<HeaderField>("gateway.header_field", checked);
--- a/tests/engines/engine_health_checker_core_test.cpp
+++ b/tests/engines/engine_health_checker_core_test.cpp
@@ -43,41 +43,41 @@
   int probes = 0;
 };
 
-struct WatchFleet {
-  explicit WatchFleet(int engineCount = 4) {
+struct HealthCheckFleet {
+  explicit HealthCheckFleet(int engineCount = 4) {
     for (int i = 0; i < engineCount; ++i) {
       engines.engines[address(i)] = EngineHealth{true, false, 1, 8};
     }
     configuration.set(listing(engineCount));
-    fleet.form(kNodes - 1, 1);
+    nodes.form(kNodes - 1, 1);
     for (int i = 0; i < kNodes; ++i) {
-      startWatch(i);
+      startChecker(i);
     }
-    fleet.advance(3);
+    nodes.advance(3);
   }
-  void startWatch(int index) {
-    DirectoryCore& directory = *fleet.cores.at(fleet.id(index));
+  void startChecker(int index) {
+    DirectoryCore& directory = *nodes.cores.at(nodes.id(index));
     HarnessContext& context =
-        fleet.harness.context(fleet.id(index).address, ServiceId::EngineWatch);
+        nodes.harness.context(nodes.id(index).address, ServiceId::EngineWatch);
     EngineProbe* probe = index == kControl ? nullptr : &probes[index];
-    watches[index] =
-        std::make_unique<EngineWatchCore>(context, directory, directory, configuration, probe);
-    fleet.harness.attach(context, *watches[index]);
+    checkerCores[index] = std::make_unique<EngineHealthCheckerCore>(context, directory, directory,
+                                                                    configuration, probe);
+    nodes.harness.attach(context, *checkerCores[index]);
     contexts[index] = &context;
-    watches[index]->start();
+    checkerCores[index]->start();
   }
-  /// The watch of node @p index runs no timer for @p seconds; then its overdue ones are still to
-  /// run.
-  void standStill(int index, int seconds) {
+  /// The health checker of node @p index runs no timer for @p seconds; the overdue ones run
+  /// afterwards.
+  void stall(int index, int seconds) {
     const auto timers = std::move(contexts[index]->timers);
     contexts[index]->timers.clear();
-    fleet.advance(seconds);
+    nodes.advance(seconds);
     contexts[index]->timers = timers;
   }
   void kill(int index) {
-    fleet.harness.context(fleet.id(index).address, ServiceId::EngineWatch);
-    watches.erase(index);
-    fleet.kill(index);
+    nodes.harness.context(nodes.id(index).address, ServiceId::EngineWatch);
+    checkerCores.erase(index);
+    nodes.kill(index);
   }
   static std::string address(int engine) { return "10.1.0." + std::to_string(engine) + ":80"; }
   static std::string listing(int count) {
@@ -88,11 +88,11 @@
     }
     return R"({"engines": [)" + json + "]}";
   }
-  /// Number of nodes that hold @p engine in @p state.
-  int countHolding(std::size_t engine, EngineState state) {
+  /// Number of nodes whose table has @p engine in @p state.
+  int countNodesWith(std::size_t engine, EngineState state) {
     int count = 0;
-    for (const auto& watch : watches) {
-      count += watch.second->table()->engines.at(engine).state == state ? 1 : 0;
+    for (const auto& checker : checkerCores) {
+      count += checker.second->table()->engines.at(engine).state == state ? 1 : 0;
     }
     return count;
   }
@@ -101,7 +101,7 @@
     for (auto& probe : probes) {
       probe.second.probes = 0;
     }
-    fleet.advance(1);
+    nodes.advance(1);
     std::map<int, int> counts;
     for (const auto& probe : probes) {
       counts[probe.first] = probe.second.probes;
@@ -114,25 +114,25 @@
     void probe(const std::string& address, std::function<void(EngineHealth)> done) override {
       ++probes;
       if (!blind) {
-        world->probe(address, std::move(done));
+        engines->probe(address, std::move(done));
       }
     }
-    FakeEngines* world = nullptr;
+    FakeEngines* engines = nullptr;
     bool blind = false;
     int probes = 0;
   };
 
-  TestFleet fleet;
+  TestFleet nodes;
   FixedConfiguration configuration;
   FakeEngines engines;
   std::map<int, SharedProbe> probes = makeProbes();
-  std::map<int, std::unique_ptr<EngineWatchCore>> watches;
+  std::map<int, std::unique_ptr<EngineHealthCheckerCore>> checkerCores;
   std::map<int, HarnessContext*> contexts;
 
   std::map<int, SharedProbe> makeProbes() {
     std::map<int, SharedProbe> made;
     for (int i = 0; i < kControl; ++i) {
-      made[i].world = &engines;
+      made[i].engines = &engines;
     }
     return made;
   }
@@ -140,34 +140,34 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(two_fronts_watch_an_engine_and_all_nodes_know_it) {
-  WatchFleet world(1);
-  BOOST_TEST(world.countHolding(0, EngineState::Ready) == kNodes);
-  BOOST_TEST(world.watches[kControl]->table()->engines[0].running == 1U);
-  int watchers = 0;
-  for (const auto& probes : world.probesOfOneInterval()) {
-    watchers += probes.second;
+BOOST_AUTO_TEST_CASE(two_data_nodes_check_an_engine_and_all_nodes_know_its_state) {
+  HealthCheckFleet fleet(1);
+  BOOST_TEST(fleet.countNodesWith(0, EngineState::Ready) == kNodes);
+  BOOST_TEST(fleet.checkerCores[kControl]->table()->engines[0].running == 1U);
+  int checkers = 0;
+  for (const auto& probes : fleet.probesOfOneInterval()) {
+    checkers += probes.second;
   }
-  BOOST_TEST(watchers == 2);
+  BOOST_TEST(checkers == 2);
 }
 
 BOOST_AUTO_TEST_CASE(draining_is_known_everywhere_within_two_seconds) {
-  WatchFleet world;
-  world.engines.engines[world.address(2)].draining = true;
-  world.fleet.advance(1);
-  BOOST_TEST(world.countHolding(2, EngineState::Draining) == kNodes);
-  world.engines.engines[world.address(2)].draining = false;
-  world.fleet.advance(2);
-  BOOST_TEST(world.countHolding(2, EngineState::Ready) == kNodes);
+  HealthCheckFleet fleet;
+  fleet.engines.engines[fleet.address(2)].draining = true;
+  fleet.nodes.advance(1);
+  BOOST_TEST(fleet.countNodesWith(2, EngineState::Draining) == kNodes);
+  fleet.engines.engines[fleet.address(2)].draining = false;
+  fleet.nodes.advance(2);
+  BOOST_TEST(fleet.countNodesWith(2, EngineState::Ready) == kNodes);
 }
 
 // Each report goes to all nodes, and each costs every node a rebuild of its whole table.
 BOOST_AUTO_TEST_CASE(states_that_change_together_are_reported_together) {
   constexpr int kEngines = 40;
-  WatchFleet world(kEngines);
+  HealthCheckFleet fleet(kEngines);
   int reports = 0;
-  const auto deliver = world.fleet.harness.filter;
-  world.fleet.harness.filter = [&](const Harness::Envelope& envelope) {
+  const auto deliver = fleet.nodes.harness.filter;
+  fleet.nodes.harness.filter = [&](const Harness::Envelope& envelope) {
     reports += envelope.message.service == ServiceId::Directory &&
                        envelope.message.kind == DeltaBatch::kKind
                    ? 1
@@ -175,84 +175,84 @@
     return deliver(envelope);
   };
   for (int i = 0; i < kEngines; ++i) {
-    world.engines.engines[world.address(i)].draining = true;
+    fleet.engines.engines[fleet.address(i)].draining = true;
   }
-  world.fleet.advance(2);
-  BOOST_TEST(world.countHolding(kEngines - 1, EngineState::Draining) == kNodes);
+  fleet.nodes.advance(2);
+  BOOST_TEST(fleet.countNodesWith(kEngines - 1, EngineState::Draining) == kNodes);
   BOOST_TEST(reports <= 2 * kControl * (kNodes - 1));
 }
 
 BOOST_AUTO_TEST_CASE(draining_survives_the_loss_of_every_push) {
-  WatchFleet world;
-  world.engines.engines[world.address(2)].draining = true;
-  const auto deliver = world.fleet.harness.filter;
-  world.fleet.harness.filter = [&](const Harness::Envelope& envelope) {
+  HealthCheckFleet fleet;
+  fleet.engines.engines[fleet.address(2)].draining = true;
+  const auto deliver = fleet.nodes.harness.filter;
+  fleet.nodes.harness.filter = [&](const Harness::Envelope& envelope) {
     return envelope.message.kind != DeltaBatch::kKind && deliver(envelope);
   };
-  world.fleet.advance(1);
-  BOOST_TEST(world.countHolding(2, EngineState::Draining) == 2);
-  world.fleet.harness.filter = deliver;
-  world.fleet.advance(3);
-  BOOST_TEST(world.countHolding(2, EngineState::Draining) == kNodes);
+  fleet.nodes.advance(1);
+  BOOST_TEST(fleet.countNodesWith(2, EngineState::Draining) == 2);
+  fleet.nodes.harness.filter = deliver;
+  fleet.nodes.advance(3);
+  BOOST_TEST(fleet.countNodesWith(2, EngineState::Draining) == kNodes);
 }
 
-BOOST_AUTO_TEST_CASE(an_engine_is_gone_only_when_both_watchers_miss_it) {
-  WatchFleet world(1);
-  std::vector<int> watchers;
-  for (const auto& probes : world.probesOfOneInterval()) {
+BOOST_AUTO_TEST_CASE(an_engine_is_gone_only_when_no_checker_reaches_it) {
+  HealthCheckFleet fleet(1);
+  std::vector<int> checkers;
+  for (const auto& probes : fleet.probesOfOneInterval()) {
     if (probes.second > 0) {
-      watchers.push_back(probes.first);
+      checkers.push_back(probes.first);
     }
   }
-  BOOST_REQUIRE(watchers.size() == 2U);
-  world.probes[watchers[0]].blind = true;
-  world.fleet.advance(5);
-  BOOST_TEST(world.countHolding(0, EngineState::Ready) == kNodes);
-  world.probes[watchers[1]].blind = true;
-  world.fleet.advance(4);
-  BOOST_TEST(world.countHolding(0, EngineState::Gone) == kNodes);
-  world.probes[watchers[0]].blind = false;
-  world.fleet.advance(1);
-  BOOST_TEST(world.countHolding(0, EngineState::Ready) == kNodes);
+  BOOST_REQUIRE(checkers.size() == 2U);
+  fleet.probes[checkers[0]].blind = true;
+  fleet.nodes.advance(5);
+  BOOST_TEST(fleet.countNodesWith(0, EngineState::Ready) == kNodes);
+  fleet.probes[checkers[1]].blind = true;
+  fleet.nodes.advance(4);
+  BOOST_TEST(fleet.countNodesWith(0, EngineState::Gone) == kNodes);
+  fleet.probes[checkers[0]].blind = false;
+  fleet.nodes.advance(1);
+  BOOST_TEST(fleet.countNodesWith(0, EngineState::Ready) == kNodes);
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_watcher_is_replaced_and_its_findings_expire) {
-  WatchFleet world;
-  world.kill(3);
-  world.kill(4);
+BOOST_AUTO_TEST_CASE(a_dead_checker_is_replaced_and_its_results_expire) {
+  HealthCheckFleet fleet;
+  fleet.kill(3);
+  fleet.kill(4);
   bool lost = false;
-  world.watches[0]->addListener([&](const EngineTable& table) {
+  fleet.checkerCores[0]->addListener([&](const EngineTable& table) {
     for (const EngineInfo& engine : table.engines) {
       lost = lost || engine.state != EngineState::Ready;
     }
   });
-  world.fleet.advance(12);
+  fleet.nodes.advance(12);
   BOOST_TEST(!lost);
   for (int engine = 0; engine < 4; ++engine) {
-    world.engines.engines[world.address(engine)].draining = true;
+    fleet.engines.engines[fleet.address(engine)].draining = true;
   }
-  world.fleet.advance(1);
+  fleet.nodes.advance(1);
   for (std::size_t engine = 0; engine < 4; ++engine) {
-    BOOST_TEST(world.countHolding(engine, EngineState::Draining) == kNodes - 2);
+    BOOST_TEST(fleet.countNodesWith(engine, EngineState::Draining) == kNodes - 2);
   }
 }
 
 namespace {
 
 /// The data nodes that probe engine 0 of a fleet with one engine.
-std::vector<int> watchersOf(WatchFleet& world) {
-  std::vector<int> watchers;
-  for (const auto& probes : world.probesOfOneInterval()) {
+std::vector<int> checkersOf(HealthCheckFleet& fleet) {
+  std::vector<int> checkers;
+  for (const auto& probes : fleet.probesOfOneInterval()) {
     if (probes.second > 0) {
-      watchers.push_back(probes.first);
+      checkers.push_back(probes.first);
     }
   }
-  return watchers;
+  return checkers;
 }
 
-int otherThan(const std::vector<int>& watchers) {
+int otherThan(const std::vector<int>& checkers) {
   int other = 0;
-  while (std::count(watchers.begin(), watchers.end(), other) != 0) {
+  while (std::count(checkers.begin(), checkers.end(), other) != 0) {
     ++other;
   }
   return other;
@@ -260,68 +260,68 @@
 
 }  // namespace
 
-/// The cut hides the watchers' reports; nobody on the front's side holds them dead yet (chaos 1 of
-/// the simulator).
-BOOST_AUTO_TEST_CASE(a_front_cut_off_from_the_watchers_learns_in_time_that_an_engine_drains) {
-  WatchFleet world(1);
-  const std::vector<int> watchers = watchersOf(world);
-  const int alone = otherThan(watchers);
-  world.fleet.otherSide = {world.fleet.id(alone)};
-  world.engines.engines[world.address(0)].draining = true;
-  world.fleet.advance(3);
-  BOOST_TEST((world.watches[alone]->table()->engines[0].state == EngineState::Draining));
+/// The partition hides the checkers' reports; nobody on the node's side has confirmed them dead yet
+/// (chaos 1 of the simulator).
+BOOST_AUTO_TEST_CASE(a_node_partitioned_from_the_checkers_learns_in_time_that_an_engine_drains) {
+  HealthCheckFleet fleet(1);
+  const std::vector<int> checkers = checkersOf(fleet);
+  const int alone = otherThan(checkers);
+  fleet.nodes.otherSide = {fleet.nodes.id(alone)};
+  fleet.engines.engines[fleet.address(0)].draining = true;
+  fleet.nodes.advance(3);
+  BOOST_TEST((fleet.checkerCores[alone]->table()->engines[0].state == EngineState::Draining));
 }
 
-/// What it verifies for itself is no news for others.
-BOOST_AUTO_TEST_CASE(a_verifying_front_ends_it_when_its_peers_answer_again) {
-  WatchFleet world(1);
-  const std::vector<int> watchers = watchersOf(world);
-  const int alone = otherThan(watchers);
-  world.fleet.otherSide = {world.fleet.id(alone)};
-  world.fleet.advance(3);
-  world.fleet.otherSide.clear();
-  world.fleet.advance(20);
-  BOOST_TEST(watchersOf(world) == watchers, boost::test_tools::per_element());
-  BOOST_TEST(world.countHolding(0, EngineState::Ready) == kNodes);
+/// Results of a verification are not published.
+BOOST_AUTO_TEST_CASE(a_verification_ends_when_the_peers_answer_again) {
+  HealthCheckFleet fleet(1);
+  const std::vector<int> checkers = checkersOf(fleet);
+  const int alone = otherThan(checkers);
+  fleet.nodes.otherSide = {fleet.nodes.id(alone)};
+  fleet.nodes.advance(3);
+  fleet.nodes.otherSide.clear();
+  fleet.nodes.advance(20);
+  BOOST_TEST(checkersOf(fleet) == checkers, boost::test_tools::per_element());
+  BOOST_TEST(fleet.countNodesWith(0, EngineState::Ready) == kNodes);
 }
 
-/// A node that stood still does not know how old its table is (chaos 94 of the simulator).
-BOOST_AUTO_TEST_CASE(after_a_standstill_the_table_counts_only_once_the_engines_have_answered) {
-  WatchFleet world(1);
-  EngineWatchCore& watch = *world.watches[0];
-  BOOST_TEST((world.fleet.harness.now < watch.freshUntil()));
-  world.standStill(0, 5);
-  BOOST_TEST((world.fleet.harness.now >= watch.freshUntil()));
-  world.engines.engines[world.address(0)].draining = true;
-  world.fleet.advance(1);
-  BOOST_TEST((world.fleet.harness.now < watch.freshUntil()));
-  BOOST_TEST((watch.table()->engines[0].state == EngineState::Draining));
+/// A node whose process stalled does not know how old its table is (chaos 94 of the simulator).
+BOOST_AUTO_TEST_CASE(after_a_stall_the_table_is_fresh_only_once_the_engines_have_answered) {
+  HealthCheckFleet fleet(1);
+  EngineHealthCheckerCore& checker = *fleet.checkerCores[0];
+  BOOST_TEST((fleet.nodes.harness.now < checker.freshUntil()));
+  fleet.stall(0, 5);
+  BOOST_TEST((fleet.nodes.harness.now >= checker.freshUntil()));
+  fleet.engines.engines[fleet.address(0)].draining = true;
+  fleet.nodes.advance(1);
+  BOOST_TEST((fleet.nodes.harness.now < checker.freshUntil()));
+  BOOST_TEST((checker.table()->engines[0].state == EngineState::Draining));
 }
 
 BOOST_AUTO_TEST_CASE(a_replaced_engine_inherits_no_state_and_a_bad_listing_changes_nothing) {
-  WatchFleet world(1);
-  world.configuration.set("{}");
-  world.fleet.harness.settle();
-  BOOST_TEST(world.countHolding(0, EngineState::Ready) == kNodes);
-  world.configuration.set(
+  HealthCheckFleet fleet(1);
+  fleet.configuration.set("{}");
+  fleet.nodes.harness.settle();
+  BOOST_TEST(fleet.countNodesWith(0, EngineState::Ready) == kNodes);
+  fleet.configuration.set(
       R"({"engines": [{"id": "e0", "address": "10.1.0.9:80", "model": "m", "max_running": 8}]})");
-  world.fleet.harness.settle();
-  BOOST_TEST(world.countHolding(0, EngineState::Unknown) == kNodes);
-  world.engines.engines["10.1.0.9:80"] = EngineHealth{true, true, 0, 8};
-  world.fleet.advance(2);
-  BOOST_TEST(world.countHolding(0, EngineState::Draining) == kNodes);
+  fleet.nodes.harness.settle();
+  BOOST_TEST(fleet.countNodesWith(0, EngineState::Unknown) == kNodes);
+  fleet.engines.engines["10.1.0.9:80"] = EngineHealth{true, true, 0, 8};
+  fleet.nodes.advance(2);
+  BOOST_TEST(fleet.countNodesWith(0, EngineState::Draining) == kNodes);
 }
 
-BOOST_AUTO_TEST_CASE(small_moves_of_running_wait_and_large_ones_do_not) {
-  WatchFleet world(1);
-  world.fleet.advance(10);
-  const auto running = [&] { return world.watches[kControl]->table()->engines[0].running; };
-  world.engines.engines[world.address(0)].running = 7;
-  world.fleet.advance(3);
+BOOST_AUTO_TEST_CASE(small_changes_of_the_load_wait_and_large_ones_do_not) {
+  HealthCheckFleet fleet(1);
+  fleet.nodes.advance(10);
+  const auto running = [&] { return fleet.checkerCores[kControl]->table()->engines[0].running; };
+  fleet.engines.engines[fleet.address(0)].running = 7;
+  fleet.nodes.advance(3);
   BOOST_TEST(running() == 7U);
-  world.engines.engines[world.address(0)].running = 6;
-  world.fleet.advance(2);
+  fleet.engines.engines[fleet.address(0)].running = 6;
+  fleet.nodes.advance(2);
   BOOST_TEST(running() == 7U);
-  world.fleet.advance(6);
+  fleet.nodes.advance(6);
   BOOST_TEST(running() == 6U);
 }
--- a/tests/engines/engine_list_core_test.cpp
+++ b/tests/engines/engine_list_core_test.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/// Answers at once, unless it is told to fail or to be silent.
+/// Answers at once, unless the test lets it fail or not answer.
 class FakeListing : public ListingSource {
  public:
   void read(std::function<void(Result<std::vector<EngineInfo>>)> done) override {
     ++reads;
-    if (silent) {
+    if (unresponsive) {
       return;
     }
     if (fails) {
@@ -22,7 +22,7 @@
   }
   std::vector<EngineInfo> engines;
   bool fails = false;
-  bool silent = false;
+  bool unresponsive = false;
   int reads = 0;
 };
 
@@ -39,7 +39,7 @@
 constexpr int kRegisters = 3;
 constexpr int kNodes = 6;
 
-/// Nodes 0 to 2 read listings of their own, nodes 3 to 5 only ask.
+/// Nodes 0 to 2 read listings of their own, nodes 3 to 5 only pull.
 struct ListFleet {
   ListFleet() {
     for (int index = 0; index < kNodes; ++index) {
@@ -90,7 +90,7 @@
     readers += entry.second.reads > 0 ? 1 : 0;
   }
   BOOST_TEST(readers == 1);
-  // About two readings a second, however many nodes ask.
+  // About two readings a second, however many nodes pull.
   BOOST_TEST(reads() - before <= 25);
 }
 
@@ -114,9 +114,9 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(a_reader_that_is_silent_is_passed_over, ListFleet) {
+BOOST_FIXTURE_TEST_CASE(a_reader_that_does_not_answer_is_passed_over, ListFleet) {
   for (auto& entry : listings) {
-    entry.second.silent = entry.second.reads > 0;
+    entry.second.unresponsive = entry.second.reads > 0;
   }
   setAll({engineOf("e1", EngineState::Draining), engineOf("e2")});
   fleet.harness.advance(std::chrono::milliseconds(2800));
@@ -129,7 +129,7 @@
 
 /// After the loss of all processes the nodes start without a directory, the readers a little later;
 /// until the first list a node refuses all calls.
-BOOST_AUTO_TEST_CASE(a_node_that_starts_with_the_whole_fleet_has_the_list_soon) {
+BOOST_AUTO_TEST_CASE(a_node_that_starts_with_the_complete_fleet_has_the_list_soon) {
   int longest = 0;
   for (int wait = 0; wait <= 600; wait += 20) {
     TestFleet fleet;
