--- a/src/assembly/control_cores.h
+++ b/src/assembly/control_cores.h
@@ -5,8 +5,8 @@
 #include "assembly/node_options.h"
 #include "batch/batch_owner_core.h"
 #include "batch/waiting_token_ledger.h"
+#include "engines/engine_health_checker_core.h"
 #include "engines/engine_list_core.h"
-#include "engines/engine_watch_core.h"
 #include "kernel/core_host.h"
 #include "membership/directory_core.h"
 #include "partition/partition_core.h"
@@ -44,9 +44,9 @@
   DirectoryCore directory;
   RegisterCore registers;
   ConfigurationCore configuration;
-  std::unique_ptr<EngineWatchCore> engineWatch;  ///< Null with a listing source.
-  std::unique_ptr<EngineListCore> engineList;    ///< Null without one.
-  std::unique_ptr<StoreCores> store;             ///< Null on register nodes.
+  std::unique_ptr<EngineHealthCheckerCore> engineHealthChecker;  ///< Null with a listing source.
+  std::unique_ptr<EngineListCore> engineList;                    ///< Null without one.
+  std::unique_ptr<StoreCores> store;                             ///< Null on register nodes.
 };
 
 }  // namespace shedshed
--- a/src/assembly/data_cores.h
+++ b/src/assembly/data_cores.h
@@ -5,8 +5,8 @@
 #include "assembly/node_options.h"
 #include "batch/batch_client_core.h"
 #include "batch/batch_runner_core.h"
+#include "engines/engine_health_checker_core.h"
 #include "engines/engine_list_core.h"
-#include "engines/engine_watch_core.h"
 #include "kernel/core_host.h"
 #include "membership/directory_core.h"
 #include "partition/owner_locator.h"
@@ -32,8 +32,8 @@
   DirectoryCore directory;
   RegisterCore registers;
   ConfigurationCore configuration;
-  std::unique_ptr<EngineWatchCore> engineWatch;  ///< Null without a probe.
-  std::unique_ptr<EngineListCore> engineList;    ///< Null with one.
+  std::unique_ptr<EngineHealthCheckerCore> engineHealthChecker;  ///< Null without a probe.
+  std::unique_ptr<EngineListCore> engineList;                    ///< Null with one.
   OwnerLocator locator;
   SlotClientCore slots;
   BatchClientCore batches;
--- a/src/slots/lending_core.h
+++ b/src/slots/lending_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// The singleton that sets how much idle engine room is lent to batch items.
+/// The singleton that sets how much idle engine capacity is lent to batch items.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -16,43 +16,47 @@
 
 namespace shedshed {
 
-/// Interval at which the lent room is computed and announced.
+/// Interval at which the lent capacity is computed and announced.
 inline constexpr Duration kLendingTick = std::chrono::milliseconds(250);
-/// A live store whose report is older than this makes the lent room 0: its live slots are unknown.
+/// A live store whose report is older than this makes the lent capacity 0: its live slots are
+/// unknown.
 inline constexpr Duration kUsageReportLifetime = std::chrono::seconds(2);
-/// The lent room grows by at most this share of the engines' room (at least 1) in one tick.
+/// The lent capacity grows by at most this share of the engines' capacity (at least 1) in one tick.
 inline constexpr double kLendingGrowthPerTick = 0.025;
 /// The reserve covers the live calls that arrive within this time.
 inline constexpr Duration kReserveHorizon = std::chrono::seconds(1);
 /// Share of the arrival rate in force that is kept per tick after live arrivals fall.
 inline constexpr double kArrivalDecay = 0.9;
 
-/// How freely room is lent. Right for a fleet are a growth by which the room is back well before
-/// the results of a batch are due, and a horizon of about the time that a live call holds its slot.
+/// How freely capacity is lent. Choose a growth that restores the lent capacity well before the
+/// results of a batch are due, and a horizon of about the time that a live call holds its slot.
 struct LendingOptions {
   double growthPerTick = kLendingGrowthPerTick;
   Duration reserveHorizon = kReserveHorizon;
 };
 
 /// Runs on every store; acts on the owner of the partition of the name "lending", under that
-/// partition's epoch. Room that is lent but not announced again ends by itself, so a cut-off
+/// partition's epoch. Lent capacity that is not announced again expires, so a partitioned
 /// singleton cannot lend for long.
 ///
-/// N = room − live slots in use − reserve. It falls at once and grows slowly.
+/// N = engine capacity − live slots in use − reserve. It falls at once and grows slowly.
+///
+/// Nothing is durable: a successor starts with no capacity lent and lets it grow again, and the
+/// limits of its higher epoch replace those of its predecessor.
 class LendingCore : public Core {
  public:
   /// Keeps references to all; they must outlive it.
   LendingCore(CoreContext& context, PartitionStore& store, const PoolRateSource& rates,
               const EngineSource& engines, const Directory& directory, LendingOptions options = {});
 
-  /// The partition whose owner acts.
+  /// The partition whose owner is the lending singleton.
   static PartitionId partition();
 
   void start() override;
   void receive(const NodeId& from, const Message& message) override;
   void timerExpired(TimerId timer) override;
 
-  /// The values of the last tick; empty on a node that does not act.
+  /// The values of the last tick; empty on a node that is not the singleton.
   const std::map<std::string, LendingExplanation>& explain() const { return lent_; }
 
  private:
@@ -62,13 +66,13 @@
     double arrivalsPerSecond = 0;  ///< Rises at once, falls by `kArrivalDecay`.
   };
 
-  void adoptUsage(const NodeId& from, const SlotUsageReport& report);
-  void compute();
-  LendingExplanation computeModel(const std::string& model, bool complete) const;
+  void recordUsage(const NodeId& from, const SlotUsageReport& report);
+  void updateLimits();
+  LendingExplanation computeLimit(const std::string& model, bool complete) const;
   bool usageIsComplete() const;
   std::uint32_t liveSlots() const;
   double arrivalsPerSecond() const;
-  void announce();
+  void announceLimits();
   void sendLimits(std::uint64_t epoch);
 
   CoreContext& context_;
--- a/tests/compatibility/message_format_test.cpp
+++ b/tests/compatibility/message_format_test.cpp
@@ -7,8 +7,8 @@
 #include "batch/waiting_token_messages.h"
 #include "compatibility/format_file.h"
 #include "compatibility/sample_value.h"
+#include "engines/engine_health_report.h"
 #include "engines/engine_list_core.h"
-#include "engines/engine_report.h"
 #include "engines/engine_table.h"
 #include "gateway/batch_dialect.h"
 #include "gateway/opaque_call.h"
@@ -136,8 +136,8 @@
   checkMessage<RenewSlots>(checked);
   checkMessage<RenewSlotsReply>(checked);
   checkMessage<RecoveryNotice>(checked);
-  checkMessage<HeldSlotsQuery>(checked);
-  checkMessage<PoolHoldReport>(checked);
+  checkMessage<GrantedSlotsQuery>(checked);
+  checkMessage<HoldTimeReport>(checked);
   checkMessage<LendingLimit>(checked);
   checkMessage<SlotUsageReport>(checked);
   checkFormat<BatchStatus>("batch.batch_status", checked);
@@ -156,8 +156,8 @@
   checkFormat<TokenAccount>("batch.token_account", checked);
   checkFormat<WaitingBatch>("batch.waiting_batch", checked);
   checkFormat<PartitionTokens>("batch.partition_tokens", checked);
-  checkFormat<EngineFinding>("engines.engine_finding", checked);
-  checkFormat<EngineReport>("engines.engine_report", checked);
+  checkFormat<EngineHealthCheckResult>("engines.engine_finding", checked);
+  checkFormat<EngineHealthReport>("engines.engine_report", checked);
   checkFormat<EngineInfo>("engines.engine_info", checked);
   checkFormat<BatchItemCall>("gateway.batch_item_call", checked);
   checkFormat<HeaderField>("gateway.header_field", checked);
@@ -195,7 +195,7 @@
   checkFormat<OwnerToken>("slots.owner_token", checked);
   checkFormat<SlotClaim>("slots.slot_claim", checked);
   checkFormat<RenewedSlot>("slots.renewed_slot", checked);
-  checkFormat<PoolHold>("slots.pool_hold", checked);
+  checkFormat<PoolHoldTime>("slots.pool_hold", checked);
   checkFormat<SlotRow>("slots.slot_row", checked);
   for (const auto& entry : formats().entries()) {
     BOOST_TEST(checked.count(entry.first) == 1U, "nothing reads " << entry.first);
@@ -226,11 +226,11 @@
   BOOST_TEST(number(EngineState::Gone) == 3);
   BOOST_TEST(number(SlotClass::Live) == 1);
   BOOST_TEST(number(SlotClass::BatchItem) == 2);
-  BOOST_TEST(number(SlotOutcome::Held) == 1);
+  BOOST_TEST(number(SlotOutcome::Granted) == 1);
   BOOST_TEST(number(SlotOutcome::Full) == 2);
   BOOST_TEST(number(SlotOutcome::NotOwner) == 3);
   BOOST_TEST(number(SlotOutcome::NotReady) == 4);
-  BOOST_TEST(number(SlotOutcome::Over) == 5);
+  BOOST_TEST(number(SlotOutcome::Overcommitted) == 5);
   BOOST_TEST(number(SlotOutcome::Released) == 6);
   BOOST_TEST(number(AcceptorVerdict::Granted) == 1);
   BOOST_TEST(number(AcceptorVerdict::Outranked) == 2);
