--- a/sim/batch_load.cpp
+++ b/sim/batch_load.cpp
@@ -34,13 +34,13 @@
   job->clientKey = "batch-" + std::to_string(++lastJob_);
   job->submission.tenant = tenantName(static_cast<int>(world_.pick(kTenants)));
   job->submission.clientKey = job->clientKey;
-  job->submission.repeatableItems = world_.chance() < knobs_.repeatable;
+  job->submission.idempotentItems = world_.chance() < knobs_.repeatable;
   const std::size_t items = 1 + world_.pick(knobs_.maxItems);
   for (std::size_t i = 0; i < items; ++i) {
     const std::string name = job->clientKey + "-" + std::to_string(i);
     const std::string body =
         R"({"model":")" + std::string(kModel) + R"(","prompt":")" + name + "\"}";
-    fleet_.invariants().runs.expect(body, job->submission.repeatableItems);
+    fleet_.invariants().runs.expect(body, job->submission.idempotentItems);
     job->submission.items.push_back(body);
   }
   return job;
--- a/sim/batch_log.cpp
+++ b/sim/batch_log.cpp
@@ -26,7 +26,7 @@
   if (batch.id.empty()) {
     batch.tenant = submission.tenant;
     batch.id = status.id;
-    batch.repeatable = submission.repeatableItems;
+    batch.repeatable = submission.idempotentItems;
     batch.bodies = submission.items;
     batch.acceptedAt = world_.now();
   }
--- a/src/assembly/control_cores.cpp
+++ b/src/assembly/control_cores.cpp
@@ -43,15 +43,15 @@
               options.lending),
       batches(host.context(ServiceId::BatchOwner), partitions, configuration, directory,
               batchOptions(options)),
-      waitingTokens(host.context(ServiceId::WaitingTokens), partitions, configuration, directory,
-                    options.safeguards.batches) {
+      queuedTokens(host.context(ServiceId::WaitingTokens), partitions, configuration, directory,
+                   options.safeguards.batches) {
   partitions.setListener(TableKind::Slots, slots);
   partitions.setListener(TableKind::Batches, batches);
   host.attach(ServiceId::Partition, partitions);
   host.attach(ServiceId::SlotOwner, slots);
   host.attach(ServiceId::Lending, lending);
   host.attach(ServiceId::BatchOwner, batches);
-  host.attach(ServiceId::WaitingTokens, waitingTokens);
+  host.attach(ServiceId::WaitingTokens, queuedTokens);
 }
 
 ControlCores::ControlCores(CoreHost& host, const NodeOptions& options, ListingSource* listing)
--- a/src/assembly/control_cores.h
+++ b/src/assembly/control_cores.h
@@ -4,7 +4,7 @@
 
 #include "assembly/node_options.h"
 #include "batch/batch_owner_core.h"
-#include "batch/waiting_token_ledger.h"
+#include "batch/queued_token_quota.h"
 #include "engines/engine_list_core.h"
 #include "engines/engine_watch_core.h"
 #include "kernel/core_host.h"
@@ -30,7 +30,7 @@
   SlotOwnerCore slots;
   LendingCore lending;
   BatchOwnerCore batches;
-  WaitingTokenLedger waitingTokens;
+  QueuedTokenQuota queuedTokens;
 };
 
 /// Builds the cores and attaches them to the host, which must outlive them.
--- a/src/assembly/data_cores.cpp
+++ b/src/assembly/data_cores.cpp
@@ -33,7 +33,7 @@
   runner.retryPause = options.batches.retryPause;
   runner.itemsPerBatch = options.batches.itemsPerBatch;
   runner.itemsInAll = options.batches.itemsInAll;
-  runner.maxRuns = options.batches.mostRuns;
+  runner.maxRunsPerItem = options.batches.mostRuns;
   return runner;
 }
 
--- a/src/batch/batch_client.h
+++ b/src/batch/batch_client.h
@@ -29,7 +29,7 @@
 struct BatchSubmission {
   std::string tenant;
   std::string clientKey;           ///< The caller's own key; a resend returns the same batch.
-  bool repeatableItems = false;    ///< Items may be run again after a lost runner.
+  bool idempotentItems = false;    ///< Items may be run again after a lost runner.
   std::vector<std::string> items;  ///< Bodies, in order.
   /// Names of the items, in the same order; empty if they have none. At most `kMaxNamedItems`.
   std::vector<std::string> names;
--- a/src/batch/batch_client_core.cpp
+++ b/src/batch/batch_client_core.cpp
@@ -73,7 +73,7 @@
     finish(timer, timeoutError(request));
     return;
   }
-  locator_.failed(partitionOfBatch(request.batchId), request.asked);
+  locator_.failed(partitionOfBatch(request.batchId), request.lastTarget);
   ++request.attempt;
   request.redirects = 0;
   sendRequest(timer, request);
@@ -87,8 +87,9 @@
   }
   const auto& query = std::get<BatchQuery>(request.content);
   const bool changes = static_cast<BatchQueryKind>(query.kind) == BatchQueryKind::Cancel;
-  return changes && request.copies != 0 ? makeError(ErrorCode::OutcomeUnknown, {}, Ran::Unknown)
-                                        : makeError(ErrorCode::StoreUnavailable);
+  return changes && request.transmissions != 0
+             ? makeError(ErrorCode::OutcomeUnknown, {}, Ran::Unknown)
+             : makeError(ErrorCode::StoreUnavailable);
 }
 
 std::string BatchClientCore::newBatchId(const BatchSubmission& submission) {
@@ -238,18 +239,18 @@
 
 void BatchClientCore::sendRequest(std::uint64_t number, Request& request) {
   context_.startTimer(number, options_.retryAfter);
-  request.asked = locator_.candidate(partitionOfBatch(request.batchId), request.attempt);
-  if (request.asked.empty()) {
+  request.lastTarget = locator_.candidate(partitionOfBatch(request.batchId), request.attempt);
+  if (request.lastTarget.empty()) {
     return;
   }
-  ++request.copies;
+  ++request.transmissions;
   if (Upload* upload = std::get_if<Upload>(&request.content)) {
     sendChunk(number, request, *upload);
     return;
   }
   BatchQuery& query = std::get<BatchQuery>(request.content);
   query.request = number;
-  context_.send(request.asked, query);
+  context_.send(request.lastTarget, query);
 }
 
 void BatchClientCore::sendChunk(std::uint64_t number, Request& request, Upload& upload) {
@@ -258,9 +259,9 @@
   SubmitChunk chunk;
   chunk.request = number;
   chunk.batchId = request.batchId;
-  chunk.copy = request.copies;
+  chunk.transmission = request.transmissions;
   chunk.tenant = upload.submission.tenant;
-  chunk.repeatable = upload.submission.repeatableItems;
+  chunk.idempotent = upload.submission.idempotentItems;
   chunk.itemCount = upload.submission.items.size();
   chunk.digest = upload.digest;
   chunk.chunk = upload.next;
@@ -280,9 +281,9 @@
   }
   if (chunk.last) {
     upload.commitSent = true;
-    upload.openCommits.insert(chunk.copy);
+    upload.openCommits.insert(chunk.transmission);
   }
-  context_.send(request.asked, chunk);
+  context_.send(request.lastTarget, chunk);
 }
 
 void BatchClientCore::onReply(const NodeId& from, BatchReply reply) {
@@ -324,10 +325,10 @@
   const PartitionId partition = partitionOfBatch(request.batchId);
   Upload* upload = std::get_if<Upload>(&request.content);
   if (upload != nullptr) {
-    upload->openCommits.erase(reply.copy);
+    upload->openCommits.erase(reply.transmission);
   }
   if (code == ErrorCode::NotOwner) {
-    if (from != request.asked) {
+    if (from != request.lastTarget) {
       return;
     }
     if (reply.owner.empty() || reply.owner == from) {
--- a/src/batch/batch_client_core.h
+++ b/src/batch/batch_client_core.h
@@ -71,9 +71,9 @@
     std::string batchId;
     std::variant<BatchQuery, Upload> content;
     std::uint32_t attempt = 0;
-    std::uint32_t copies = 0;     ///< Sent in all.
-    std::uint32_t redirects = 0;  ///< Followed since the last timer event.
-    NodeId asked;                 ///< Node that the last copy went to.
+    std::uint32_t transmissions = 0;  ///< Sent in all.
+    std::uint32_t redirects = 0;      ///< Followed since the last timer event.
+    NodeId lastTarget;                ///< Node that the last copy went to.
     Time lastProgress{};
     std::function<void(Result<BatchReply>)> done;
   };
--- a/src/batch/batch_messages.h
+++ b/src/batch/batch_messages.h
@@ -27,18 +27,18 @@
   std::uint64_t request = 0;
   std::string batchId;
   std::string tenant;
-  bool repeatable = false;
+  bool idempotent = false;
   std::uint64_t itemCount = 0;  ///< Of the whole submission.
   std::string digest;           ///< Of the whole submission.
   std::uint64_t chunk = 0;
   bool last = false;
-  std::uint32_t copy = 0;  ///< Tells the copies of one request apart; echoed.
+  std::uint32_t transmission = 0;  ///< Tells the copies of one request apart; echoed.
   std::vector<std::string> items;
   std::vector<std::string> names;     ///< Of the items of this chunk, or empty.
   std::string route;                  ///< Route that took the batch, or empty.
   std::vector<std::uint64_t> tokens;  ///< Of the items of this chunk, or empty.
-  MSGPACK_DEFINE(request, batchId, tenant, repeatable, itemCount, digest, chunk, last, copy, items,
-                 names, route, tokens);
+  MSGPACK_DEFINE(request, batchId, tenant, idempotent, itemCount, digest, chunk, last, transmission,
+                 items, names, route, tokens);
 };
 
 enum class BatchQueryKind : std::uint8_t {
@@ -68,7 +68,7 @@
   static constexpr ServiceId kService = ServiceId::BatchClient;
   static constexpr std::uint16_t kKind = 1;
   std::uint64_t request = 0;
-  std::uint32_t copy = 0;  ///< Of the `SubmitChunk` answered.
+  std::uint32_t transmission = 0;  ///< Of the `SubmitChunk` answered.
   std::uint16_t code = kWireOk;
   std::string detail;
   NodeId owner;                 ///< Hint, with `NotOwner`.
@@ -77,7 +77,7 @@
   BatchStatus status;
   ResultPage page;
   std::vector<UnfinishedItem> unfinished;
-  MSGPACK_DEFINE(request, copy, code, detail, owner, committed, nextChunk, status, page,
+  MSGPACK_DEFINE(request, transmission, code, detail, owner, committed, nextChunk, status, page,
                  unfinished);
 };
 
@@ -90,19 +90,19 @@
 };
 
 /// A start that a runner still holds: asked for, running, or not acknowledged as reported.
-struct HeldAttempt {
+struct AttemptInFlight {
   std::uint64_t position = 0;
   std::uint64_t attempt = 0;
   MSGPACK_DEFINE(position, attempt);
 };
 
-/// A run that is alive at the runner. An attempt below `nextAttempt` that is not in `held` is over
-/// there for good, so that an old heartbeat stays true.
+/// A run that is alive at the runner. An attempt below `nextAttempt` that is not in
+/// `attemptsInFlight` is over there for good, so that an old heartbeat stays true.
 struct RunReport {
   RunName run;
   std::uint64_t nextAttempt = 0;
-  std::vector<HeldAttempt> held;
-  MSGPACK_DEFINE(run, nextAttempt, held);
+  std::vector<AttemptInFlight> attemptsInFlight;
+  MSGPACK_DEFINE(run, nextAttempt, attemptsInFlight);
 };
 
 /// Runner to owner: these runs are alive here.
@@ -136,7 +136,7 @@
 
 /// Runner to owner: the attempt is over and the item may run again: no byte of it has gone to an
 /// engine, or the batch's items may be repeated.
-struct UnstartItem {
+struct RevertStart {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 13;
   RunName run;
@@ -160,7 +160,7 @@
 };
 
 /// Runner to owner: gives the run back; none of its items is running.
-struct HandBackRun {
+struct ReturnRun {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 15;
   RunName run;
@@ -174,11 +174,11 @@
   std::string batchId;
   std::uint64_t runEpoch = 0;
   std::string tenant;
-  bool repeatable = false;
+  bool idempotent = false;
   std::uint64_t itemCount = 0;
   bool hasDueTime = false;
   std::int64_t dueInMilliseconds = 0;  ///< Time until all results are due; may be negative.
-  MSGPACK_DEFINE(batchId, runEpoch, tenant, repeatable, itemCount, hasDueTime, dueInMilliseconds);
+  MSGPACK_DEFINE(batchId, runEpoch, tenant, idempotent, itemCount, hasDueTime, dueInMilliseconds);
 };
 
 /// What the owner says of one run in a heartbeat's answer.
@@ -235,7 +235,7 @@
   MSGPACK_DEFINE(batchId, runEpoch, position, attempt, verdict);
 };
 
-/// Owner to runner: answers `FinishItem` and `UnstartItem`.
+/// Owner to runner: answers `FinishItem` and `RevertStart`.
 struct FinishReply {
   static constexpr ServiceId kService = ServiceId::BatchRunner;
   static constexpr std::uint16_t kKind = 5;
--- a/src/batch/batch_owner_core.cpp
+++ b/src/batch/batch_owner_core.cpp
@@ -35,16 +35,16 @@
       dispatchMessage<FetchItems>(message,
                                   [&](const FetchItems& fetch) { onFetch(from, fetch); }) ||
       dispatchMessage<StartItem>(message, [&](const StartItem& start) { onStart(from, start); }) ||
-      dispatchMessage<UnstartItem>(message,
-                                   [&](const UnstartItem& unstart) { onUnstart(from, unstart); }) ||
+      dispatchMessage<RevertStart>(
+          message, [&](const RevertStart& revert) { onRevertStart(from, revert); }) ||
       dispatchMessage<FinishItem>(message,
                                   [&](FinishItem finish) { onFinish(from, std::move(finish)); }) ||
-      dispatchMessage<HandBackRun>(
-          message, [&](const HandBackRun& handBack) { onHandBack(from, handBack); }) ||
-      dispatchMessage<ReserveTokensReply>(
-          message, [&](const ReserveTokensReply& reply) { onReservation(from, reply); }) ||
-      dispatchMessage<WaitingTokensRequest>(
-          message, [&](const WaitingTokensRequest& request) { onTokensRequest(from, request); });
+      dispatchMessage<ReturnRun>(message,
+                                 [&](const ReturnRun& returned) { onReturnRun(from, returned); }) ||
+      dispatchMessage<ReserveQueuedTokensReply>(
+          message, [&](const ReserveQueuedTokensReply& reply) { onReservation(from, reply); }) ||
+      dispatchMessage<QueuedTokensRequest>(
+          message, [&](const QueuedTokensRequest& request) { onTokensRequest(from, request); });
 }
 
 void BatchOwnerCore::timerExpired(TimerId timer) {
@@ -54,7 +54,7 @@
     context_.startTimer(kTickTimer, options_.tick);
     break;
   case kReservationTimer:
-    superviseReservations();
+    retryReservations();
     break;
   case kTokenReportTimer:
     reportTokens();
@@ -69,7 +69,7 @@
   Owned& owned = owned_[partition];
   owned = Owned();
   owned.epoch = epoch;
-  loadGarbage(partition, owned);
+  loadPendingDeletions(partition, owned);
   store_.forEach(partition, kMetaPrefix, [&](std::string_view key, const std::string& value) {
     loadBatch(partition, owned, idOfKey(key), value);
     return true;
@@ -80,13 +80,13 @@
   owned_.erase(partition);
 }
 
-void BatchOwnerCore::loadGarbage(const PartitionId& partition, Owned& owned) {
+void BatchOwnerCore::loadPendingDeletions(const PartitionId& partition, Owned& owned) {
   // An interrupted submission is erased: its sender starts again at the first chunk.
   for (const char* prefix : {kUploadPrefix, kExpiredPrefix}) {
     store_.forEach(partition, prefix, [&](std::string_view key, const std::string& value) {
-      const Result<GarbageRecord> record = decodeRecord<GarbageRecord>(value);
+      const Result<PendingDeletionRecord> record = decodeRecord<PendingDeletionRecord>(value);
       if (record) {
-        owned.garbage[idOfKey(key)].record = record.value();
+        owned.pendingDeletions[idOfKey(key)].record = record.value();
       }
       return true;
     });
@@ -105,7 +105,7 @@
       owned.batches.emplace(batchId, BatchState(batchId, std::move(meta).value())).first->second;
   // The merged table is on a majority before the ownership begins.
   batch.committed = true;
-  batch.runHeard = context_.now();
+  batch.lastHeartbeat = context_.now();
   batch.acceptedAt = context_.now();
   if (const auto final = store_.get(partition, finalKey(batchId))) {
     const Result<BatchStatus> status = decodeRecord<BatchStatus>(*final);
@@ -184,13 +184,14 @@
   return found == owned->batches.end() ? nullptr : &found->second;
 }
 
-void BatchOwnerCore::writeSurely(const std::string& batchId, std::vector<TableEntry> entries,
-                                 std::function<void()> done) {
-  writeSurely(partitionOfBatch(batchId), std::move(entries), std::move(done));
+void BatchOwnerCore::writeUntilDurable(const std::string& batchId, std::vector<TableEntry> entries,
+                                       std::function<void()> done) {
+  writeUntilDurable(partitionOfBatch(batchId), std::move(entries), std::move(done));
 }
 
-void BatchOwnerCore::writeSurely(const PartitionId& partition, std::vector<TableEntry> entries,
-                                 std::function<void()> done) {
+void BatchOwnerCore::writeUntilDurable(const PartitionId& partition,
+                                       std::vector<TableEntry> entries,
+                                       std::function<void()> done) {
   const auto found = owned_.find(partition);
   if (found == owned_.end()) {
     return;
@@ -228,7 +229,7 @@
     std::vector<RetryWrite> retries = std::move(found->second.retries);
     found->second.retries.clear();
     for (RetryWrite& retry : retries) {
-      writeSurely(partition, std::move(retry.entries), std::move(retry.done));
+      writeUntilDurable(partition, std::move(retry.entries), std::move(retry.done));
     }
     expire(partition, found->second);
     for (auto& entry : found->second.batches) {
--- a/src/batch/batch_owner_core.h
+++ b/src/batch/batch_owner_core.h
@@ -6,7 +6,7 @@
 #include "batch/batch_safeguards.h"
 #include "batch/batch_settings.h"
 #include "batch/batch_state.h"
-#include "batch/waiting_token_messages.h"
+#include "batch/queued_token_messages.h"
 #include "kernel/core.h"
 #include "membership/directory.h"
 #include "partition/owner_locator.h"
@@ -29,7 +29,7 @@
   /// A submission without progress for this long is erased.
   Duration uploadTimeout = std::chrono::seconds(60);
   /// How long a refused submission is remembered, so that a late copy of it is refused as well.
-  Duration refusalMemory = std::chrono::minutes(5);
+  Duration rejectionRetention = std::chrono::minutes(5);
   /// A run whose runner was not heard for this long goes to another node.
   Duration runTimeout = std::chrono::seconds(6);
   /// Interval of the owner's housekeeping.
@@ -89,9 +89,9 @@
   static constexpr TimerId kTokenReportTimer = 3;
 
   /// The request that an answer belongs to, and which copy of it.
-  struct RequestName {
+  struct RequestId {
     std::uint64_t number = 0;
-    std::uint32_t copy = 0;
+    std::uint32_t transmission = 0;
   };
   /// An open request for the waiting tokens of a submission whose chunks have all arrived.
   struct Reservation {
@@ -113,13 +113,13 @@
     std::optional<Reservation> reservation;
   };
   /// A submission that was refused for good.
-  struct Refusal {
+  struct Rejection {
     Time at{};
     ErrorCode code = ErrorCode::StorageFull;
   };
   /// Rows being erased in steps.
-  struct Garbage {
-    GarbageRecord record;
+  struct PendingDeletion {
+    PendingDeletionRecord record;
     std::uint64_t erasedChunks = 0;
     std::uint64_t erasedItems = 0;
     bool writing = false;
@@ -132,10 +132,10 @@
     std::uint64_t epoch = 0;
     std::map<std::string, BatchState> batches;
     std::map<std::string, Upload> uploads;
-    std::map<std::string, Garbage> garbage;
+    std::map<std::string, PendingDeletion> pendingDeletions;
     std::vector<RetryWrite> retries;
     /// Submissions that were refused for good, and when: a copy that arrives late must not commit.
-    std::map<std::pair<NodeId, std::uint64_t>, Refusal> refused;
+    std::map<std::pair<NodeId, std::uint64_t>, Rejection> rejected;
     std::uint64_t bodyBytes = 0;
   };
 
@@ -149,13 +149,13 @@
   void loadBatch(const PartitionId& partition, Owned& owned, const std::string& batchId,
                  const std::string& metaRow);
   void loadItems(const PartitionId& partition, BatchState& batch);
-  void loadGarbage(const PartitionId& partition, Owned& owned);
+  void loadPendingDeletions(const PartitionId& partition, Owned& owned);
   /// Writes until it succeeds or the ownership ends; @p done runs only on success, with the same
   /// ownership. Right for writes that must not be half known: a failed one may have survived.
-  void writeSurely(const std::string& batchId, std::vector<TableEntry> entries,
-                   std::function<void()> done);
-  void writeSurely(const PartitionId& partition, std::vector<TableEntry> entries,
-                   std::function<void()> done);
+  void writeUntilDurable(const std::string& batchId, std::vector<TableEntry> entries,
+                         std::function<void()> done);
+  void writeUntilDurable(const PartitionId& partition, std::vector<TableEntry> entries,
+                         std::function<void()> done);
   void tick();
 
   // Submissions (batch_owner_submit.cpp).
@@ -169,27 +169,27 @@
   void commitChunk(const NodeId& from, SubmitChunk chunk, Owned& owned, Upload& upload);
   void committed(const std::string& batchId);
   void abandonUpload(const std::string& batchId, Owned& owned);
-  void refuseForGood(const NodeId& from, RequestName request, ErrorCode code, Owned& owned);
+  void rejectPermanently(const NodeId& from, RequestId request, ErrorCode code, Owned& owned);
 
   // Waiting tokens (batch_owner_tokens.cpp).
   bool needsReservation(const SubmitChunk& chunk) const;
   /// Asks the ledger whether the batch fits; it is committed or refused by the answer.
   void reserve(const NodeId& from, SubmitChunk chunk, Upload& upload);
   void sendReservation(const PartitionId& partition, Upload& upload);
-  NodeId ledger() const;
-  static WaitingBatch reservedBatch(const Upload& upload);
+  NodeId quotaOwner() const;
+  static QueuedBatch reservedBatch(const Upload& upload);
   static void joinReservation(const NodeId& from, const SubmitChunk& chunk,
                               Reservation& reservation);
-  void onReservation(const NodeId& from, const ReserveTokensReply& reply);
+  void onReservation(const NodeId& from, const ReserveQueuedTokensReply& reply);
   /// Learns where the ledger is from an answer of a node that is not. True if that is news.
-  bool redirectToLedger(const NodeId& from, const NodeId& ledger);
+  bool redirectToQuota(const NodeId& from, const NodeId& owner);
   void commitReserved(Owned& owned, Upload& upload);
-  void refuseReserved(Owned& owned, const std::string& batchId, ErrorCode code);
+  void rejectReserved(Owned& owned, const std::string& batchId, ErrorCode code);
   /// Repeats the open reservations and gives up old ones.
-  void superviseReservations();
-  PartitionTokens waitingTokens(const PartitionId& partition, const Owned& owned) const;
+  void retryReservations();
+  PartitionTokens queuedTokens(const PartitionId& partition, const Owned& owned) const;
   void reportTokens();
-  void onTokensRequest(const NodeId& from, const WaitingTokensRequest& request);
+  void onTokensRequest(const NodeId& from, const QueuedTokensRequest& request);
 
   // Reads and cancels (batch_owner_query.cpp).
   void onQuery(const NodeId& from, BatchQuery query);
@@ -204,15 +204,15 @@
   void cancelBatch(const std::string& batchId, std::function<void()> done);
   Result<BatchStatus> committedStatus(const std::string& batchId);
   void reply(const NodeId& to, BatchReply reply);
-  void refuse(const NodeId& to, RequestName request, ErrorCode code, std::string detail = {});
-  void redirect(const NodeId& to, RequestName request, const std::string& batchId);
+  void reject(const NodeId& to, RequestId request, ErrorCode code, std::string detail = {});
+  void redirect(const NodeId& to, RequestId request, const std::string& batchId);
 
   // Runs (batch_owner_runs.cpp).
   void onHeartbeat(const NodeId& from, const RunHeartbeat& heartbeat);
   RunAnswer answerRun(const NodeId& from, const RunName& run);
   /// Takes back the items that this run started and no longer holds.
-  void takeBackForgotten(const RunReport& report);
-  void onHandBack(const NodeId& from, const HandBackRun& handBack);
+  void revertDroppedAttempts(const RunReport& report);
+  void onReturnRun(const NodeId& from, const ReturnRun& returned);
   void onFetch(const NodeId& from, const FetchItems& fetch);
   /// True if @p run is the one in force. A runner process that took the place of the run's own
   /// (same node, other incarnation) ends the run.
@@ -231,11 +231,11 @@
 
   // Items (batch_owner_items.cpp).
   void onStart(const NodeId& from, const StartItem& start);
-  void onUnstart(const NodeId& from, const UnstartItem& unstart);
+  void onRevertStart(const NodeId& from, const RevertStart& revert);
   void onFinish(const NodeId& from, FinishItem finish);
   void startWritten(const NodeId& from, const StartItem& start);
-  void takeBack(BatchState& batch, std::uint64_t position, std::uint64_t attempt, bool mayHaveRun,
-                std::function<void()> done);
+  void revertAttempt(BatchState& batch, std::uint64_t position, std::uint64_t attempt,
+                     bool mayHaveRun, std::function<void()> done);
   /// The row of an item that waits to be started: none if it never ran.
   static std::optional<ItemRecord> pendingRecord(bool mayHaveRun);
   /// Postpones @p event until the item's outstanding write is durable; false if there is none.
@@ -248,7 +248,7 @@
   /// Gives a final result the next rank.
   static void rankResult(BatchState& batch, std::optional<ItemRecord>& record);
   /// Writes the results that lost their ranks in a takeover under new ones.
-  void rankAnew(BatchState& batch);
+  void reassignRanks(BatchState& batch);
   /// Ends the outstanding write of an item; returns the events that waited for it.
   static std::vector<std::function<void()>> takeWaiters(BatchState& batch, std::uint64_t position);
   void sendFinishReply(const NodeId& to, const RunName& run, std::uint64_t position,
@@ -261,8 +261,9 @@
   /// Takes the batch away in one step; @p erased is called when that is durable.
   void eraseBatch(const PartitionId& partition, Owned& owned, const std::string& batchId,
                   std::function<void()> erased = {});
-  void eraseStep(const PartitionId& partition, const std::string& batchId, Garbage& garbage);
-  void garbageErased(const PartitionId& partition, const std::string& batchId);
+  void eraseStep(const PartitionId& partition, const std::string& batchId,
+                 PendingDeletion& pendingDeletions);
+  void deletionFinished(const PartitionId& partition, const std::string& batchId);
 
   CoreContext& context_;
   PartitionStore& store_;
@@ -271,7 +272,7 @@
   OwnerLocator locator_;  ///< Finds the ledger of waiting tokens.
   BatchOwnerOptions options_;
   std::map<PartitionId, Owned> owned_;
-  std::uint32_t ledgerAttempt_ = 0;    ///< Tries without an answer of the ledger.
+  std::uint32_t quotaAttempt_ = 0;     ///< Tries without an answer of the ledger.
   std::uint64_t lastTokenNumber_ = 0;  ///< Of the messages to the ledger of waiting tokens.
 };
 
--- a/src/batch/batch_owner_items.cpp
+++ b/src/batch/batch_owner_items.cpp
@@ -47,11 +47,11 @@
 
 void BatchOwnerCore::rankResult(BatchState& batch, std::optional<ItemRecord>& record) {
   if (record && isFinal(record->state) && batch.listsByCompletion()) {
-    record->rank = batch.takeRank();
+    record->rank = batch.nextRank();
   }
 }
 
-void BatchOwnerCore::rankAnew(BatchState& batch) {
+void BatchOwnerCore::reassignRanks(BatchState& batch) {
   const PartitionId partition = partitionOf(TableKind::Batches, batch.id());
   std::vector<std::uint64_t> positions = std::move(batch.unranked);
   batch.unranked.clear();
@@ -85,7 +85,7 @@
     // The bodies are in the row now; the state needs only the head of the record.
     record->body.clear();
   }
-  writeSurely(
+  writeUntilDurable(
       batch.id(), {std::move(entry)},
       [this, batchId = batch.id(), position, record = std::move(record), done = std::move(done)] {
         BatchState* written = find(batchId);
@@ -93,7 +93,7 @@
           return;
         }
         applyItem(*written, position, record);
-        written->countListed();
+        written->advanceListed();
         // The write is over before anyone is told: `done` may begin the next one.
         std::vector<std::function<void()>> waiters = takeWaiters(*written, position);
         done();
@@ -144,8 +144,9 @@
     }
     return;
   }
-  const auto takenBack = batch->takenBack.find(start.position);
-  const bool late = takenBack != batch->takenBack.end() && start.attempt <= takenBack->second;
+  const auto revertedAttempts = batch->revertedAttempts.find(start.position);
+  const bool late = revertedAttempts != batch->revertedAttempts.end() &&
+                    start.attempt <= revertedAttempts->second;
   const ItemState state = batch->state(start.position);
   const bool startable = state == ItemState::Pending ||
                          (state == ItemState::Cancelled && !options_.safeguards.cancelStopsStarts);
@@ -179,13 +180,13 @@
     return;
   }
   // Nobody was told that it started, so nobody runs it: it may go back whatever the batch allows.
-  takeBack(*batch, start.position, start.attempt, false,
-           [this, from, start] { sendStartReply(from, start, ItemVerdict::Refused); });
+  revertAttempt(*batch, start.position, start.attempt, false,
+                [this, from, start] { sendStartReply(from, start, ItemVerdict::Refused); });
 }
 
-void BatchOwnerCore::takeBack(BatchState& batch, std::uint64_t position, std::uint64_t attempt,
-                              bool mayHaveRun, std::function<void()> done) {
-  std::uint64_t& highest = batch.takenBack[position];
+void BatchOwnerCore::revertAttempt(BatchState& batch, std::uint64_t position, std::uint64_t attempt,
+                                   bool mayHaveRun, std::function<void()> done) {
+  std::uint64_t& highest = batch.revertedAttempts[position];
   highest = std::max(highest, attempt);
   writeItem(batch, position, pendingRecord(mayHaveRun || batch.mayHaveRun(position)),
             std::move(done));
@@ -201,33 +202,33 @@
   return record;
 }
 
-void BatchOwnerCore::onUnstart(const NodeId& from, const UnstartItem& unstart) {
-  BatchState* batch = find(unstart.run.batchId);
-  if (batch == nullptr || !batch->committed || unstart.position >= batch->meta().itemCount) {
+void BatchOwnerCore::onRevertStart(const NodeId& from, const RevertStart& revert) {
+  BatchState* batch = find(revert.run.batchId);
+  if (batch == nullptr || !batch->committed || revert.position >= batch->meta().itemCount) {
     return;
   }
-  const auto answer = [this, from, unstart] {
-    sendFinishReply(from, unstart.run, unstart.position, unstart.attempt);
+  const auto answer = [this, from, revert] {
+    sendFinishReply(from, revert.run, revert.position, revert.attempt);
   };
   if (batch->finished()) {
     answer();
     return;
   }
-  if (waitsForWrite(*batch, unstart.position,
-                    [this, from, unstart] { onUnstart(from, unstart); })) {
+  if (waitsForWrite(*batch, revert.position,
+                    [this, from, revert] { onRevertStart(from, revert); })) {
     return;
   }
-  const auto started = batch->started().find(unstart.position);
+  const auto started = batch->started().find(revert.position);
   if (started != batch->started().end() &&
-      sameAttempt(started->second, unstart.run, unstart.attempt)) {
-    takeBack(*batch, unstart.position, unstart.attempt, unstart.mayHaveRun, answer);
+      sameAttempt(started->second, revert.run, revert.attempt)) {
+    revertAttempt(*batch, revert.position, revert.attempt, revert.mayHaveRun, answer);
     return;
   }
-  if (runIsCurrent(*batch, from, unstart.run)) {
-    std::uint64_t& highest = batch->takenBack[unstart.position];
-    highest = std::max(highest, unstart.attempt);
+  if (runIsCurrent(*batch, from, revert.run)) {
+    std::uint64_t& highest = batch->revertedAttempts[revert.position];
+    highest = std::max(highest, revert.attempt);
   }
-  whenOwnershipIsProved(unstart.run.batchId, answer);
+  whenOwnershipIsProved(revert.run.batchId, answer);
 }
 
 void BatchOwnerCore::onFinish(const NodeId& from, FinishItem finish) {
@@ -296,7 +297,7 @@
   for (std::uint64_t chunk = 0; chunk < chunks; ++chunk) {
     entries.push_back({bodyKey(batch.id(), chunk), std::nullopt});
   }
-  writeSurely(batch.id(), std::move(entries), [this, batchId = batch.id(), status] {
+  writeUntilDurable(batch.id(), std::move(entries), [this, batchId = batch.id(), status] {
     BatchState* finished = find(batchId);
     if (finished == nullptr) {
       return;
--- a/src/batch/batch_owner_query.cpp
+++ b/src/batch/batch_owner_query.cpp
@@ -9,20 +9,20 @@
   context_.send(to, reply);
 }
 
-void BatchOwnerCore::refuse(const NodeId& to, RequestName request, ErrorCode code,
+void BatchOwnerCore::reject(const NodeId& to, RequestId request, ErrorCode code,
                             std::string detail) {
   BatchReply answer;
   answer.request = request.number;
-  answer.copy = request.copy;
+  answer.transmission = request.transmission;
   answer.code = wireCode(code);
   answer.detail = std::move(detail);
   reply(to, std::move(answer));
 }
 
-void BatchOwnerCore::redirect(const NodeId& to, RequestName request, const std::string& batchId) {
+void BatchOwnerCore::redirect(const NodeId& to, RequestId request, const std::string& batchId) {
   BatchReply answer;
   answer.request = request.number;
-  answer.copy = request.copy;
+  answer.transmission = request.transmission;
   answer.code = wireCode(ErrorCode::NotOwner);
   answer.owner = store_.ownerHint(partitionOf(TableKind::Batches, batchId));
   reply(to, std::move(answer));
@@ -253,7 +253,7 @@
   }
   batch->cancelRequested = true;
   // Pending items need no row of their own: in a cancelled batch an absent row means cancelled.
-  writeSurely(batchId, {{cancelKey(batchId), std::string("1")}}, [this, batchId] {
+  writeUntilDurable(batchId, {{cancelKey(batchId), std::string("1")}}, [this, batchId] {
     BatchState* cancelled = find(batchId);
     if (cancelled == nullptr) {
       return;
--- a/src/batch/batch_owner_retention.cpp
+++ b/src/batch/batch_owner_retention.cpp
@@ -26,17 +26,18 @@
   for (const std::string& batchId : batches) {
     eraseBatch(partition, owned, batchId);
   }
-  for (auto it = owned.refused.begin(); it != owned.refused.end();) {
-    it = now - it->second.at >= options_.refusalMemory ? owned.refused.erase(it) : std::next(it);
+  for (auto it = owned.rejected.begin(); it != owned.rejected.end();) {
+    it = now - it->second.at >= options_.rejectionRetention ? owned.rejected.erase(it)
+                                                            : std::next(it);
   }
   std::vector<std::string> erasable;
-  for (const auto& entry : owned.garbage) {
+  for (const auto& entry : owned.pendingDeletions) {
     if (!entry.second.writing) {
       erasable.push_back(entry.first);
     }
   }
   for (const std::string& batchId : erasable) {
-    eraseStep(partition, batchId, owned.garbage[batchId]);
+    eraseStep(partition, batchId, owned.pendingDeletions[batchId]);
   }
 }
 
@@ -47,12 +48,12 @@
     return;
   }
   const BatchMeta& meta = found->second.meta();
-  const GarbageRecord record{meta.chunkPositions.size(), meta.itemCount};
+  const PendingDeletionRecord record{meta.chunkPositions.size(), meta.itemCount};
   owned.bodyBytes -= meta.bodyBytes;
   owned.batches.erase(found);
-  Garbage& garbage = owned.garbage[batchId];
-  garbage.record = record;
-  garbage.writing = true;
+  PendingDeletion& pendingDeletions = owned.pendingDeletions[batchId];
+  pendingDeletions.record = record;
+  pendingDeletions.writing = true;
   // One atomic step takes the batch away as a whole: nobody ever reads a part of it.
   std::vector<TableEntry> entries;
   entries.push_back({expiredKey(batchId), encodeRecord(record)});
@@ -60,41 +61,42 @@
                                  finalKey(batchId), uploadKey(batchId)}) {
     entries.push_back({key, std::nullopt});
   }
-  writeSurely(partition, std::move(entries),
-              [this, partition, batchId, erased = std::move(erased)] {
-                auto& current = owned_.find(partition)->second.garbage;
-                const auto rows = current.find(batchId);
-                if (rows != current.end()) {
-                  rows->second.writing = false;
-                }
-                if (erased) {
-                  erased();
-                }
-              });
+  writeUntilDurable(partition, std::move(entries),
+                    [this, partition, batchId, erased = std::move(erased)] {
+                      auto& current = owned_.find(partition)->second.pendingDeletions;
+                      const auto rows = current.find(batchId);
+                      if (rows != current.end()) {
+                        rows->second.writing = false;
+                      }
+                      if (erased) {
+                        erased();
+                      }
+                    });
 }
 
 void BatchOwnerCore::eraseStep(const PartitionId& partition, const std::string& batchId,
-                               Garbage& garbage) {
+                               PendingDeletion& pendingDeletions) {
   std::vector<TableEntry> entries;
-  const GarbageRecord& record = garbage.record;
-  while (garbage.erasedChunks < record.chunks && entries.size() < options_.erasePerWrite) {
-    entries.push_back({bodyKey(batchId, garbage.erasedChunks++), std::nullopt});
+  const PendingDeletionRecord& record = pendingDeletions.record;
+  while (pendingDeletions.erasedChunks < record.chunks && entries.size() < options_.erasePerWrite) {
+    entries.push_back({bodyKey(batchId, pendingDeletions.erasedChunks++), std::nullopt});
   }
-  while (garbage.erasedItems < record.items && entries.size() < options_.erasePerWrite) {
-    entries.push_back({itemKey(batchId, garbage.erasedItems++), std::nullopt});
+  while (pendingDeletions.erasedItems < record.items && entries.size() < options_.erasePerWrite) {
+    entries.push_back({itemKey(batchId, pendingDeletions.erasedItems++), std::nullopt});
   }
-  const bool last = garbage.erasedChunks == record.chunks && garbage.erasedItems == record.items;
+  const bool last = pendingDeletions.erasedChunks == record.chunks &&
+                    pendingDeletions.erasedItems == record.items;
   if (last) {
     entries.push_back({uploadKey(batchId), std::nullopt});
     entries.push_back({expiredKey(batchId), std::nullopt});
   }
-  garbage.writing = true;
-  writeSurely(partition, std::move(entries), [this, partition, batchId, last] {
+  pendingDeletions.writing = true;
+  writeUntilDurable(partition, std::move(entries), [this, partition, batchId, last] {
     if (last) {
-      garbageErased(partition, batchId);
+      deletionFinished(partition, batchId);
       return;
     }
-    auto& current = owned_.find(partition)->second.garbage;
+    auto& current = owned_.find(partition)->second.pendingDeletions;
     const auto found = current.find(batchId);
     if (found != current.end()) {
       found->second.writing = false;
@@ -102,8 +104,8 @@
   });
 }
 
-void BatchOwnerCore::garbageErased(const PartitionId& partition, const std::string& batchId) {
-  owned_.find(partition)->second.garbage.erase(batchId);
+void BatchOwnerCore::deletionFinished(const PartitionId& partition, const std::string& batchId) {
+  owned_.find(partition)->second.pendingDeletions.erase(batchId);
 }
 
 }  // namespace shedshed
--- a/src/batch/batch_owner_runs.cpp
+++ b/src/batch/batch_owner_runs.cpp
@@ -21,7 +21,7 @@
     return;
   }
   if (!batch.unranked.empty()) {
-    rankAnew(batch);
+    reassignRanks(batch);
   }
   finishIfDone(batch);
   const bool assigning = batch.run.epoch != 0 && !batch.runDurable;
@@ -35,12 +35,12 @@
   }
   const NodeInfo* runner = directory_.table()->find(NodeId{batch.run.runner});
   const bool dead = runner != nullptr && runner->state == NodeState::Dead;
-  const Duration silence = context_.now() - batch.runHeard;
+  const Duration silence = context_.now() - batch.lastHeartbeat;
   if (dead || silence >= options_.runTimeout) {
     endRun(batch, batch.run.runner);
     return;
   }
-  if (!batch.runSeen || silence >= kAnnounceAfterSilence) {
+  if (!batch.runAcknowledged || silence >= kAnnounceAfterSilence) {
     announceRun(batch);
   }
 }
@@ -78,15 +78,15 @@
   batch.run.epoch += 1;
   batch.run.runner = runner.address;
   batch.runDurable = false;
-  batch.runSeen = false;
+  batch.runAcknowledged = false;
   batch.runnerProcess = 0;
-  batch.takenBack.clear();
+  batch.revertedAttempts.clear();
   context_.counters().add("batch_runs_assigned_total");
   // What the lost run had started is resolved in the write that fences it.
   writeResolutions(batch, {{runKey(batch.id()), encodeRecord(batch.run)}},
                    resolutionsBefore(batch, batch.run.epoch), [this](BatchState& assigned) {
                      assigned.runDurable = true;
-                     assigned.runHeard = context_.now();
+                     assigned.lastHeartbeat = context_.now();
                      announceRun(assigned);
                    });
 }
@@ -96,7 +96,7 @@
   assign.batchId = batch.id();
   assign.runEpoch = batch.run.epoch;
   assign.tenant = batch.meta().tenant;
-  assign.repeatable = batch.meta().repeatable;
+  assign.idempotent = batch.meta().idempotent;
   assign.itemCount = batch.meta().itemCount;
   const Duration objective = settings_.runObjective(batch.meta().route);
   assign.hasDueTime = objective > Duration{0};
@@ -107,7 +107,7 @@
 BatchOwnerCore::Resolutions BatchOwnerCore::resolutionsBefore(const BatchState& batch,
                                                               std::uint64_t epoch) const {
   Resolutions resolutions;
-  const bool repeat = batch.meta().repeatable || !options_.safeguards.unknownAfterLostRun;
+  const bool repeat = batch.meta().idempotent || !options_.safeguards.unknownAfterLostRun;
   for (const auto& [position, started] : batch.started()) {
     if (started.runEpoch >= epoch || batch.writing.count(position) != 0) {
       continue;
@@ -137,7 +137,7 @@
     entries.push_back(std::move(entry));
     batch.writing[position];
   }
-  writeSurely(
+  writeUntilDurable(
       batch.id(), std::move(entries),
       [this, batchId = batch.id(), resolutions = std::move(resolutions), done = std::move(done)] {
         BatchState* resolved = find(batchId);
@@ -147,7 +147,7 @@
         for (const auto& [position, record] : resolutions) {
           applyItem(*resolved, position, record);
         }
-        resolved->countListed();
+        resolved->advanceListed();
         std::vector<std::function<void()>> waiters;
         for (const auto& entry : resolutions) {
           for (auto& waiter : takeWaiters(*resolved, entry.first)) {
@@ -198,8 +198,8 @@
   if (batch == nullptr || batch->finished() || !runIsCurrent(*batch, from, run)) {
     return answer;
   }
-  batch->runSeen = true;
-  batch->runHeard = context_.now();
+  batch->runAcknowledged = true;
+  batch->lastHeartbeat = context_.now();
   const bool stopped = batch->cancelRequested && options_.safeguards.cancelStopsStarts;
   answer.verdict = static_cast<std::uint8_t>(stopped ? RunVerdict::Stopped : RunVerdict::Active);
   return answer;
@@ -215,7 +215,7 @@
       continue;
     }
     if (answer.verdict != static_cast<std::uint8_t>(RunVerdict::Ended)) {
-      takeBackForgotten(report);
+      revertDroppedAttempts(report);
     }
     // A fenced owner that has not learnt of its loss must neither end a run that its successor
     // counts on nor keep the runner with itself. Proofs of all partitions share one message to
@@ -232,37 +232,37 @@
   }
 }
 
-void BatchOwnerCore::takeBackForgotten(const RunReport& report) {
+void BatchOwnerCore::revertDroppedAttempts(const RunReport& report) {
   BatchState* batch = find(report.run.batchId);
   if (batch == nullptr || batch->finished()) {
     return;
   }
-  std::map<std::uint64_t, std::uint64_t> held;
-  for (const HeldAttempt& attempt : report.held) {
-    held[attempt.position] = attempt.attempt;
+  std::map<std::uint64_t, std::uint64_t> inFlight;
+  for (const AttemptInFlight& attempt : report.attemptsInFlight) {
+    inFlight[attempt.position] = attempt.attempt;
   }
-  std::map<std::uint64_t, std::uint64_t> forgotten;
+  std::map<std::uint64_t, std::uint64_t> dropped;
   for (const auto& [position, started] : batch->started()) {
-    const auto found = held.find(position);
-    const bool isHeld = found != held.end() && found->second == started.attempt;
+    const auto found = inFlight.find(position);
+    const bool isInFlight = found != inFlight.end() && found->second == started.attempt;
     const bool ours =
         started.runEpoch == report.run.runEpoch && started.incarnation == report.run.incarnation;
-    if (ours && !isHeld && started.attempt < report.nextAttempt &&
+    if (ours && !isInFlight && started.attempt < report.nextAttempt &&
         batch->writing.count(position) == 0) {
-      forgotten[position] = started.attempt;
+      dropped[position] = started.attempt;
     }
   }
   // A late copy of a start came true after the runner had dropped that attempt. It never ran: a
   // runner keeps every attempt that it ran until the owner has its result.
-  for (const auto& [position, attempt] : forgotten) {
-    takeBack(*batch, position, attempt, false, [] {});
+  for (const auto& [position, attempt] : dropped) {
+    revertAttempt(*batch, position, attempt, false, [] {});
   }
 }
 
-void BatchOwnerCore::onHandBack(const NodeId& from, const HandBackRun& handBack) {
-  BatchState* batch = find(handBack.run.batchId);
+void BatchOwnerCore::onReturnRun(const NodeId& from, const ReturnRun& returned) {
+  BatchState* batch = find(returned.run.batchId);
   if (batch != nullptr && batch->committed && !batch->finished() &&
-      runIsCurrent(*batch, from, handBack.run)) {
+      runIsCurrent(*batch, from, returned.run)) {
     endRun(*batch, from.address);
   }
 }
--- a/src/batch/batch_owner_submit.cpp
+++ b/src/batch/batch_owner_submit.cpp
@@ -18,7 +18,7 @@
 }
 
 bool sameContent(const BatchMeta& meta, const SubmitChunk& chunk) {
-  return meta.tenant == chunk.tenant && meta.repeatable == chunk.repeatable &&
+  return meta.tenant == chunk.tenant && meta.idempotent == chunk.idempotent &&
          meta.itemCount == chunk.itemCount && meta.digest == chunk.digest;
 }
 
@@ -27,21 +27,21 @@
 void BatchOwnerCore::onSubmit(const NodeId& from, SubmitChunk chunk) {
   Owned* owned = ownedOf(chunk.batchId);
   if (owned == nullptr) {
-    redirect(from, {chunk.request, chunk.copy}, chunk.batchId);
+    redirect(from, {chunk.request, chunk.transmission}, chunk.batchId);
     return;
   }
   if (BatchState* batch = find(chunk.batchId)) {
     answerCommitted(from, chunk, *batch, true);
     return;
   }
-  const auto refused = owned->refused.find({from, chunk.request});
-  if (refused != owned->refused.end()) {
-    refuse(from, {chunk.request, chunk.copy}, refused->second.code);
+  const auto rejected = owned->rejected.find({from, chunk.request});
+  if (rejected != owned->rejected.end()) {
+    reject(from, {chunk.request, chunk.transmission}, rejected->second.code);
     return;
   }
-  if (owned->garbage.count(chunk.batchId) != 0) {
+  if (owned->pendingDeletions.count(chunk.batchId) != 0) {
     // Rows of an earlier batch or submission under this id are still being erased.
-    refuse(from, {chunk.request, chunk.copy}, ErrorCode::NotReady);
+    reject(from, {chunk.request, chunk.transmission}, ErrorCode::NotReady);
     return;
   }
   Upload* upload = uploadFor(from, chunk, *owned);
@@ -60,7 +60,7 @@
     return;
   }
   if (!admits(*owned, chunk, *upload)) {
-    refuseForGood(from, {chunk.request, chunk.copy}, ErrorCode::StorageFull, *owned);
+    rejectPermanently(from, {chunk.request, chunk.transmission}, ErrorCode::StorageFull, *owned);
     abandonUpload(chunk.batchId, *owned);
     return;
   }
@@ -85,7 +85,7 @@
     return;
   }
   if (!sameContent(batch.meta(), chunk)) {
-    refuse(from, {chunk.request, chunk.copy}, ErrorCode::AlreadyExists);
+    reject(from, {chunk.request, chunk.transmission}, ErrorCode::AlreadyExists);
     return;
   }
   BatchReply answer;
@@ -104,13 +104,13 @@
     if (!sameContent(found->second.meta, chunk)) {
       // Another submission under the same client key has not committed yet: neither is refused
       // for good before one of them has.
-      refuse(from, {chunk.request, chunk.copy}, ErrorCode::NotReady);
+      reject(from, {chunk.request, chunk.transmission}, ErrorCode::NotReady);
       return nullptr;
     }
     return &found->second;
   }
   if (chunk.itemCount > settings_.effective(chunk.tenant).maxBatchItems) {
-    refuse(from, {chunk.request, chunk.copy}, ErrorCode::TooLarge,
+    reject(from, {chunk.request, chunk.transmission}, ErrorCode::TooLarge,
            "items: more than max_batch_items");
     return nullptr;
   }
@@ -122,7 +122,7 @@
   }
   Upload& upload = owned.uploads[chunk.batchId];
   upload.meta.tenant = chunk.tenant;
-  upload.meta.repeatable = chunk.repeatable;
+  upload.meta.idempotent = chunk.idempotent;
   upload.meta.itemCount = chunk.itemCount;
   upload.meta.digest = chunk.digest;
   upload.meta.route = chunk.route;
@@ -153,11 +153,11 @@
   upload.lastProgress = context_.now();
   std::vector<TableEntry> entries;
   // The marker covers this chunk before the chunk can exist, so that no row is ever orphaned.
-  entries.push_back({uploadKey(chunk.batchId), encodeRecord(GarbageRecord{index + 1, 0})});
+  entries.push_back({uploadKey(chunk.batchId), encodeRecord(PendingDeletionRecord{index + 1, 0})});
   entries.push_back(
       {bodyKey(chunk.batchId, index), encodeRecord(BodyChunk{std::move(chunk.items)})});
   const std::uint64_t epoch = owned.epoch;
-  const RequestName request{chunk.request, chunk.copy};
+  const RequestId request{chunk.request, chunk.transmission};
   const std::string batchId = chunk.batchId;
   store_.write(partition, std::move(entries),
                [this, from, partition, epoch, request, batchId, index](const Status& status) {
@@ -166,7 +166,7 @@
                    return;
                  }
                  if (!status) {
-                   refuseForGood(from, request, status.error().code, *current);
+                   rejectPermanently(from, request, status.error().code, *current);
                    abandonUpload(batchId, *current);
                    return;
                  }
@@ -193,7 +193,7 @@
       upload.meta.names.empty() || (upload.meta.names.size() == items && items <= kMaxNamedItems);
   if (items != chunk.itemCount || items == 0 || !named ||
       itemsDigest(upload.hashes) != chunk.digest) {
-    refuse(from, {chunk.request, chunk.copy}, ErrorCode::InvalidArgument,
+    reject(from, {chunk.request, chunk.transmission}, ErrorCode::InvalidArgument,
            "items do not match the digest");
     abandonUpload(chunk.batchId, owned);
     return;
@@ -210,7 +210,7 @@
   owned.bodyBytes += meta.bodyBytes;
   BatchState& batch =
       owned.batches.emplace(batchId, BatchState(batchId, std::move(meta))).first->second;
-  batch.runHeard = context_.now();
+  batch.lastHeartbeat = context_.now();
   batch.acceptedAt = context_.now();
   chunk.items.clear();
   answerCommitted(from, chunk, batch, false);
@@ -233,9 +233,9 @@
                  // is durable: until then nobody can say that it will not run.
                  eraseBatch(partition, *current, chunk.batchId,
                             [this, from, partition, epoch, code,
-                             request = RequestName{chunk.request, chunk.copy}] {
+                             request = RequestId{chunk.request, chunk.transmission}] {
                               if (Owned* erasing = ownedOf(partition, epoch)) {
-                                refuseForGood(from, request, code, *erasing);
+                                rejectPermanently(from, request, code, *erasing);
                               }
                             });
                });
@@ -256,10 +256,10 @@
   superviseRun(*batch);
 }
 
-void BatchOwnerCore::refuseForGood(const NodeId& from, RequestName request, ErrorCode code,
-                                   Owned& owned) {
-  owned.refused[{from, request.number}] = {context_.now(), code};
-  refuse(from, request, code);
+void BatchOwnerCore::rejectPermanently(const NodeId& from, RequestId request, ErrorCode code,
+                                       Owned& owned) {
+  owned.rejected[{from, request.number}] = {context_.now(), code};
+  reject(from, request, code);
 }
 
 void BatchOwnerCore::abandonUpload(const std::string& batchId, Owned& owned) {
@@ -272,7 +272,7 @@
   if (chunks == 0) {
     return;
   }
-  owned.garbage[batchId].record = GarbageRecord{chunks, 0};
+  owned.pendingDeletions[batchId].record = PendingDeletionRecord{chunks, 0};
 }
 
 }  // namespace shedshed
--- a/src/batch/batch_owner_tokens.cpp
+++ b/src/batch/batch_owner_tokens.cpp
@@ -1,6 +1,6 @@
 /// Waiting tokens: reservations before a batch is accepted, reports of what waits.
 #include "batch/batch_owner_core.h"
-#include "batch/waiting_token_ledger.h"
+#include "batch/queued_token_quota.h"
 
 namespace shedshed {
 namespace {
@@ -8,7 +8,7 @@
 /// An unanswered reservation is asked for again after this time.
 constexpr Duration kReservationRetry = std::chrono::milliseconds(200);
 /// A submission whose reservation takes longer is refused: its sender may come back.
-constexpr Duration kReservationPatience = std::chrono::milliseconds(1200);
+constexpr Duration kReservationTimeout = std::chrono::milliseconds(1200);
 /// Interval of the reports to the ledger.
 constexpr Duration kTokenReportInterval = std::chrono::milliseconds(250);
 
@@ -23,7 +23,7 @@
 }  // namespace
 
 bool BatchOwnerCore::needsReservation(const SubmitChunk& chunk) const {
-  return settings_.waitingTokenLimit(chunk.route) != 0;
+  return settings_.queuedTokenLimit(chunk.route) != 0;
 }
 
 void BatchOwnerCore::reserve(const NodeId& from, SubmitChunk chunk, Upload& upload) {
@@ -38,25 +38,25 @@
   context_.startTimer(kReservationTimer, kReservationRetry);
 }
 
-NodeId BatchOwnerCore::ledger() const {
-  return locator_.candidate(WaitingTokenLedger::partition(), ledgerAttempt_);
+NodeId BatchOwnerCore::quotaOwner() const {
+  return locator_.candidate(QueuedTokenQuota::partition(), quotaAttempt_);
 }
 
-bool BatchOwnerCore::redirectToLedger(const NodeId& from, const NodeId& ledger) {
-  if (ledger.empty() || ledger == from || ledger == this->ledger()) {
+bool BatchOwnerCore::redirectToQuota(const NodeId& from, const NodeId& owner) {
+  if (owner.empty() || owner == from || owner == this->quotaOwner()) {
     return false;
   }
-  locator_.redirected(WaitingTokenLedger::partition(), ledger);
-  ledgerAttempt_ = 0;
+  locator_.redirected(QueuedTokenQuota::partition(), owner);
+  quotaAttempt_ = 0;
   return true;
 }
 
 void BatchOwnerCore::sendReservation(const PartitionId& partition, Upload& upload) {
-  const NodeId to = ledger();
+  const NodeId to = quotaOwner();
   if (to.empty()) {
     return;
   }
-  ReserveTokens request;
+  ReserveQueuedTokens request;
   request.number = ++lastTokenNumber_;
   upload.reservation->lastNumber = request.number;
   request.partition = partition;
@@ -65,7 +65,7 @@
   context_.send(to, request);
 }
 
-WaitingBatch BatchOwnerCore::reservedBatch(const Upload& upload) {
+QueuedBatch BatchOwnerCore::reservedBatch(const Upload& upload) {
   const Reservation& reservation = *upload.reservation;
   const TokenAccount account{upload.meta.tenant, upload.meta.route};
   return {reservation.chunk.batchId, account, reservation.tokens};
@@ -79,8 +79,8 @@
   reservation.others.emplace_back(from, std::move(copy));
 }
 
-void BatchOwnerCore::onReservation(const NodeId& from, const ReserveTokensReply& reply) {
-  const bool moved = redirectToLedger(from, reply.ledger);
+void BatchOwnerCore::onReservation(const NodeId& from, const ReserveQueuedTokensReply& reply) {
+  const bool moved = redirectToQuota(from, reply.quotaOwner);
   Owned* owned = ownedOf(reply.batchId);
   if (owned == nullptr) {
     return;
@@ -97,11 +97,11 @@
     }
     return;  // Else asked again by the timer.
   }
-  ledgerAttempt_ = 0;
+  quotaAttempt_ = 0;
   if (reply.outcome == ReserveOutcome::Granted) {
     commitReserved(*owned, found->second);
   } else {
-    refuseReserved(*owned, reply.batchId, ErrorCode::PoolFull);
+    rejectReserved(*owned, reply.batchId, ErrorCode::PoolFull);
   }
 }
 
@@ -115,31 +115,32 @@
     if (batch != nullptr) {
       answerCommitted(from, chunk, *batch, true);
     } else {
-      refuse(from, {chunk.request, chunk.copy}, ErrorCode::NotReady);
+      reject(from, {chunk.request, chunk.transmission}, ErrorCode::NotReady);
     }
   }
 }
 
-void BatchOwnerCore::refuseReserved(Owned& owned, const std::string& batchId, ErrorCode code) {
+void BatchOwnerCore::rejectReserved(Owned& owned, const std::string& batchId, ErrorCode code) {
   const Reservation reservation = std::move(*owned.uploads.at(batchId).reservation);
-  context_.counters().add("batches_refused_for_tokens_total");
+  context_.counters().add("batches_rejected_for_queued_tokens_total");
   abandonUpload(batchId, owned);
-  refuseForGood(reservation.from, {reservation.chunk.request, reservation.chunk.copy}, code, owned);
+  rejectPermanently(reservation.from, {reservation.chunk.request, reservation.chunk.transmission},
+                    code, owned);
   for (const auto& [from, chunk] : reservation.others) {
-    refuseForGood(from, {chunk.request, chunk.copy}, code, owned);
+    rejectPermanently(from, {chunk.request, chunk.transmission}, code, owned);
   }
 }
 
-void BatchOwnerCore::superviseReservations() {
+void BatchOwnerCore::retryReservations() {
   bool open = false;
-  ++ledgerAttempt_;  // An answer takes far less than the time that has passed.
+  ++quotaAttempt_;  // An answer takes far less than the time that has passed.
   for (auto& [partition, owned] : owned_) {
     std::vector<std::string> late;
     for (auto& [batchId, upload] : owned.uploads) {
       if (!upload.reservation) {
         continue;
       }
-      if (context_.now() - upload.reservation->askedAt >= kReservationPatience) {
+      if (context_.now() - upload.reservation->askedAt >= kReservationTimeout) {
         late.push_back(batchId);
         continue;
       }
@@ -147,7 +148,7 @@
       sendReservation(partition, upload);
     }
     for (const std::string& batchId : late) {
-      refuseReserved(owned, batchId, ErrorCode::StoreUnavailable);
+      rejectReserved(owned, batchId, ErrorCode::StoreUnavailable);
     }
   }
   if (open) {
@@ -155,13 +156,13 @@
   }
 }
 
-PartitionTokens BatchOwnerCore::waitingTokens(const PartitionId& partition,
-                                              const Owned& owned) const {
+PartitionTokens BatchOwnerCore::queuedTokens(const PartitionId& partition,
+                                             const Owned& owned) const {
   PartitionTokens tokens;
   tokens.partition = partition;
   tokens.epoch = owned.epoch;
   for (const auto& [batchId, batch] : owned.batches) {
-    const std::uint64_t waiting = batch.cancelRequested ? 0 : batch.waitingTokens();
+    const std::uint64_t waiting = batch.cancelRequested ? 0 : batch.queuedTokens();
     if (waiting != 0) {
       tokens.batches.push_back({batchId, {batch.meta().tenant, batch.meta().route}, waiting});
     }
@@ -176,14 +177,14 @@
 
 void BatchOwnerCore::reportTokens() {
   context_.startTimer(kTokenReportTimer, kTokenReportInterval);
-  const NodeId to = ledger();
-  if (!settings_.limitsWaitingTokens() || to.empty()) {
+  const NodeId to = quotaOwner();
+  if (!settings_.limitsQueuedTokens() || to.empty()) {
     return;
   }
-  WaitingTokensReport report;
+  QueuedTokensReport report;
   for (const auto& [partition, owned] : owned_) {
     if (store_.owns(partition)) {
-      report.partitions.push_back(waitingTokens(partition, owned));
+      report.partitions.push_back(queuedTokens(partition, owned));
     }
   }
   if (!report.partitions.empty()) {
@@ -192,27 +193,27 @@
   }
 }
 
-void BatchOwnerCore::onTokensRequest(const NodeId& from, const WaitingTokensRequest& request) {
-  locator_.redirected(WaitingTokenLedger::partition(), from);
-  ledgerAttempt_ = 0;
+void BatchOwnerCore::onTokensRequest(const NodeId& from, const QueuedTokensRequest& request) {
+  locator_.redirected(QueuedTokenQuota::partition(), from);
+  quotaAttempt_ = 0;
   for (const PartitionId& partition : request.partitions) {
     const auto found = owned_.find(partition);
     if (found == owned_.end() || !store_.owns(partition)) {
       continue;
     }
     const std::uint64_t epoch = found->second.epoch;
-    store_.confirmOwnership(partition, [this, from, partition, epoch,
-                                        ledgerEpoch = request.ledgerEpoch](Status status) {
-      const Owned* owned = status ? ownedOf(partition, epoch) : nullptr;
-      if (owned == nullptr) {
-        return;
-      }
-      WaitingTokensReport report;
-      report.number = ++lastTokenNumber_;
-      report.ledgerEpoch = ledgerEpoch;
-      report.partitions.push_back(waitingTokens(partition, *owned));
-      context_.send(from, report);
-    });
+    store_.confirmOwnership(
+        partition, [this, from, partition, epoch, quotaEpoch = request.quotaEpoch](Status status) {
+          const Owned* owned = status ? ownedOf(partition, epoch) : nullptr;
+          if (owned == nullptr) {
+            return;
+          }
+          QueuedTokensReport report;
+          report.number = ++lastTokenNumber_;
+          report.quotaEpoch = quotaEpoch;
+          report.partitions.push_back(queuedTokens(partition, *owned));
+          context_.send(from, report);
+        });
   }
 }
 
--- a/src/batch/batch_records.h
+++ b/src/batch/batch_records.h
@@ -19,7 +19,7 @@
 /// last chunk, after all the others are durable, and never changes.
 struct BatchMeta {
   std::string tenant;
-  bool repeatable = false;
+  bool idempotent = false;
   std::uint64_t itemCount = 0;
   std::string digest;                         ///< `itemsDigest` of the whole submission.
   std::vector<std::uint64_t> chunkPositions;  ///< Position of the first item of each chunk.
@@ -27,7 +27,7 @@
   std::vector<std::string> names;     ///< Of all items in order, or empty.
   std::string route;                  ///< Route that took the batch, or empty.
   std::vector<std::uint64_t> tokens;  ///< Of all items in order, or empty.
-  MSGPACK_DEFINE(tenant, repeatable, itemCount, digest, chunkPositions, bodyBytes, names, route,
+  MSGPACK_DEFINE(tenant, idempotent, itemCount, digest, chunkPositions, bodyBytes, names, route,
                  tokens);
 };
 
@@ -38,7 +38,7 @@
 };
 
 /// Marks an uncommitted submission or a batch being erased: rows that nobody may read.
-struct GarbageRecord {
+struct PendingDeletionRecord {
   std::uint64_t chunks = 0;  ///< Body rows below this index may exist.
   std::uint64_t items = 0;   ///< Item rows below this position may exist.
   MSGPACK_DEFINE(chunks, items);
@@ -53,7 +53,7 @@
 
 /// An item that was started at least once. A pending item that never ran has no row, and neither
 /// has a cancelled one: in a cancelled batch the absence of a row means `Cancelled`. A row in the
-/// state `Pending` is that of a repeatable item that may have run and waits to run again; in a
+/// state `Pending` is that of an idempotent item that may have run and waits to run again; in a
 /// cancelled batch its result is `Unknown`.
 struct ItemRecord {
   ItemState state = ItemState::Started;
--- a/src/batch/batch_runner_core.cpp
+++ b/src/batch/batch_runner_core.cpp
@@ -12,7 +12,7 @@
 constexpr Duration kFetchTimeout = std::chrono::seconds(1);
 
 /// Pages of waiting items that a run keeps at most.
-constexpr std::size_t kMostQueuedPages = 4;
+constexpr std::size_t kMaxQueuedPages = 4;
 
 }  // namespace
 
@@ -50,7 +50,7 @@
   draining_ = true;
   for (auto& entry : runs_) {
     entry.second.queue.clear();
-    entry.second.deferred.clear();
+    entry.second.requeued.clear();
   }
 }
 
@@ -127,7 +127,7 @@
     run.heartbeatSent = now;
     RunReport report{nameOf(key), nextAttempt_, {}};
     for (const auto& [position, item] : run.items) {
-      report.held.push_back({position, item.attempt});
+      report.attemptsInFlight.push_back({position, item.attempt});
     }
     perOwner[owner].runs.push_back(std::move(report));
   }
@@ -163,7 +163,7 @@
     run->heartbeatOpen = false;
     // Counted from before the request was sent, on this node's own clock.
     run->leaseEnd = std::max(run->leaseEnd, sent + options_.lease);
-    pump(key);
+    startWaitingItems(key);
     break;
   case RunVerdict::Stopped:
     run->heartbeatOpen = false;
@@ -187,12 +187,12 @@
 
 void BatchRunnerCore::stopStarting(const RunKey& key, Run& run) {
   run.queue.clear();
-  run.deferred.clear();
+  run.requeued.clear();
   for (auto& [position, item] : run.items) {
     // A start whose answer is still out may or may not be durable: the owner must hear that this
     // attempt will not run.
     if (item.phase == Phase::Starting) {
-      unstartItem(key, run, position, false);
+      revertStart(key, run, position, false);
     }
   }
 }
@@ -214,14 +214,14 @@
     // One pass is over; what went back to pending is found by the next one, after a pause.
     run->nextPass = context_.now() + options_.retryPause;
   }
-  pump(key);
+  startWaitingItems(key);
 }
 
 void BatchRunnerCore::fetch(const RunKey& key, Run& run) {
   const bool waiting = run.fetchSent && context_.now() - *run.fetchSent < kFetchTimeout;
   const bool passIsOver = run.fetchFrom == 0 && context_.now() < run.nextPass;
   // Items whose model's pool is full stay in the queue; a few pages are looked through for others.
-  const bool full = run.queue.size() >= kMostQueuedPages * pageSize();
+  const bool full = run.queue.size() >= kMaxQueuedPages * pageSize();
   if (waiting || passIsOver || full) {
     return;
   }
@@ -233,14 +233,14 @@
   context_.send(owner, FetchItems{nameOf(key), run.fetchFrom, pageSize()});
 }
 
-void BatchRunnerCore::handBackIfDrained(const RunKey& key, Run& run) {
+void BatchRunnerCore::returnIfDrained(const RunKey& key, Run& run) {
   if (!draining_ || run.ended || !run.items.empty()) {
     return;
   }
   // Repeated with each tick until a heartbeat's answer ends the run.
   const NodeId owner = ownerOf(run);
   if (!owner.empty()) {
-    context_.send(owner, HandBackRun{nameOf(key)});
+    context_.send(owner, ReturnRun{nameOf(key)});
   }
 }
 
@@ -267,9 +267,9 @@
     for (auto& [position, item] : run->items) {
       resendItem(key, *run, position, item);
     }
-    handBackIfDrained(key, *run);
-    recallDeferred(*run);
-    pump(key);
+    returnIfDrained(key, *run);
+    recallRequeued(*run);
+    startWaitingItems(key);
     forgetIfDone(key);
   }
 }
--- a/src/batch/batch_runner_core.h
+++ b/src/batch/batch_runner_core.h
@@ -32,8 +32,8 @@
   Duration resend = std::chrono::seconds(1);
   /// Pause after an engine refused an item without running it, and between two passes.
   Duration retryPause = std::chrono::seconds(2);
-  /// Runs of one repeatable item by this runner before its outcome is given up as unknown.
-  std::uint32_t maxRuns = 3;
+  /// Runs of one idempotent item by this runner before its outcome is given up as unknown.
+  std::uint32_t maxRunsPerItem = 3;
 };
 
 /// Runs batches that their owners assign to this node.
@@ -77,9 +77,9 @@
     std::string body;
     std::optional<std::uint64_t> grant;  ///< Slots held.
     std::string suggestedEngine;
-    Time startAsked{};
+    Time startRequestedAt{};
     Time lastSent{};
-    std::optional<Message> report;  ///< `FinishItem` or `UnstartItem`, until acknowledged.
+    std::optional<Message> report;  ///< `FinishItem` or `RevertStart`, until acknowledged.
   };
 
   /// An item that waits for its turn.
@@ -101,7 +101,7 @@
     bool stopped = false;              ///< Cancelled.
     bool ended = false;                ///< Fenced or finished: only reports what ran.
     std::deque<WaitingItem> queue;     ///< In the order of the batch.
-    std::deque<WaitingItem> deferred;  ///< Refused ones, until their time has come.
+    std::deque<WaitingItem> requeued;  ///< Refused ones, until their time has come.
     std::map<std::uint64_t, Item> items;
     std::map<std::uint64_t, std::uint32_t> runsOfItem;
     std::uint64_t fetchFrom = 0;
@@ -116,7 +116,7 @@
   void applyAnswer(const NodeId& from, Time sent, const RunAnswer& answer);
   void stopStarting(const RunKey& key, Run& run);
   void sendHeartbeats();
-  void handBackIfDrained(const RunKey& key, Run& run);
+  void returnIfDrained(const RunKey& key, Run& run);
   void onItems(const ItemsPage& page);
   void fetch(const RunKey& key, Run& run);
   void tick();
@@ -129,21 +129,21 @@
   bool mayStart(const Run& run) const;
 
   // Items (batch_runner_items.cpp).
-  void pump(const RunKey& key);
+  void startWaitingItems(const RunKey& key);
   void beginItem(const RunKey& key, Run& run, WaitingItem next);
   std::optional<WaitingItem> takeNext(Run& run);
-  bool hasRoom(const Run& run) const;
+  bool hasCapacity(const Run& run) const;
   bool isKnown(const Run& run, std::uint64_t position) const;
-  void recallDeferred(Run& run);
-  void defer(Run& run, std::uint64_t position, Item& item);
+  void recallRequeued(Run& run);
+  void requeue(Run& run, std::uint64_t position, Item& item);
   void acquireSlots(const RunKey& key, Run& run, std::uint64_t position);
   void onSlots(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
                const Result<SlotGrant>& grant);
   /// Items that wait for slots or hold them.
-  static std::uint32_t wantedSlots(const Run& run);
+  static std::uint32_t requestedSlots(const Run& run);
   void onShare(const RunKey& key, const std::string& model, const RunShare& share);
   void retryRefused();
-  void askStart(const RunKey& key, Run& run, std::uint64_t position);
+  void requestStart(const RunKey& key, Run& run, std::uint64_t position);
   void onStartReply(const StartReply& reply);
   void callEngine(const RunKey& key, Run& run, std::uint64_t position);
   void onAnswer(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
@@ -151,7 +151,7 @@
   void onEngineError(const RunKey& key, Run& run, std::uint64_t position, const Error& error);
   void finishItem(const RunKey& key, Run& run, std::uint64_t position, ItemState state,
                   std::string body, ErrorCode code);
-  void unstartItem(const RunKey& key, Run& run, std::uint64_t position, bool mayHaveRun);
+  void revertStart(const RunKey& key, Run& run, std::uint64_t position, bool mayHaveRun);
   void report(Run& run, Item& item, Message message);
   void resendItem(const RunKey& key, Run& run, std::uint64_t position, Item& item);
   void onFinishReply(const FinishReply& reply);
@@ -168,7 +168,7 @@
   std::uint64_t nextHeartbeat_ = 1;
   std::map<std::uint64_t, Time> heartbeatsSent_;
   Time lastHeartbeat_{};
-  std::uint32_t underWay_ = 0;  ///< Items that acquire, start or run.
+  std::uint32_t itemsInFlight_ = 0;  ///< Items that acquire, start or run.
   bool draining_ = false;
   std::map<RunKey, Run> runs_;
 };
--- a/src/batch/batch_runner_items.cpp
+++ b/src/batch/batch_runner_items.cpp
@@ -21,10 +21,10 @@
 
 }  // namespace
 
-void BatchRunnerCore::pump(const RunKey& key) {
+void BatchRunnerCore::startWaitingItems(const RunKey& key) {
   while (true) {
     Run* run = find(key);
-    if (run == nullptr || !mayStart(*run) || !hasRoom(*run)) {
+    if (run == nullptr || !mayStart(*run) || !hasCapacity(*run)) {
       return;
     }
     std::optional<WaitingItem> next = takeNext(*run);
@@ -36,20 +36,20 @@
   }
 }
 
-bool BatchRunnerCore::hasRoom(const Run& run) const {
+bool BatchRunnerCore::hasCapacity(const Run& run) const {
   const auto active = std::count_if(run.items.begin(), run.items.end(), [](const auto& entry) {
     return entry.second.phase != Phase::Reporting;
   });
   // Unacknowledged results count as well: a lost owner must not let them pile up.
-  return active < options_.itemsPerBatch && underWay_ < options_.itemsInAll &&
-         run.items.size() + run.deferred.size() < pageSize();
+  return active < options_.itemsPerBatch && itemsInFlight_ < options_.itemsInAll &&
+         run.items.size() + run.requeued.size() < pageSize();
 }
 
 /// The first waiting item whose model admits one more. One without a model needs no slots.
 std::optional<BatchRunnerCore::WaitingItem> BatchRunnerCore::takeNext(Run& run) {
   const Time now = context_.now();
   const auto admitted = [&run, now](const WaitingItem& item) {
-    return item.model.empty() || run.admissions[item.model].mayAsk(now);
+    return item.model.empty() || run.admissions[item.model].mayRequest(now);
   };
   const auto found = std::find_if(run.queue.begin(), run.queue.end(), admitted);
   if (found == run.queue.end()) {
@@ -63,19 +63,19 @@
 bool BatchRunnerCore::isKnown(const Run& run, std::uint64_t position) const {
   const auto same = [position](const WaitingItem& item) { return item.position == position; };
   return run.items.count(position) != 0 || std::any_of(run.queue.begin(), run.queue.end(), same) ||
-         std::any_of(run.deferred.begin(), run.deferred.end(), same);
+         std::any_of(run.requeued.begin(), run.requeued.end(), same);
 }
 
 /// Items whose delay is over go first.
-void BatchRunnerCore::recallDeferred(Run& run) {
+void BatchRunnerCore::recallRequeued(Run& run) {
   const Time now = context_.now();
-  for (auto item = run.deferred.begin(); item != run.deferred.end();) {
+  for (auto item = run.requeued.begin(); item != run.requeued.end();) {
     if (now < item->notBefore) {
       ++item;
       continue;
     }
     run.queue.push_front(std::move(*item));
-    item = run.deferred.erase(item);
+    item = run.requeued.erase(item);
   }
 }
 
@@ -84,10 +84,10 @@
   item.attempt = nextAttempt_++;
   item.body = std::move(next.body);
   item.model = std::move(next.model);
-  ++underWay_;
+  ++itemsInFlight_;
   if (item.model.empty()) {
     // Its one result is a failure; it needs no engine and so no slots.
-    askStart(key, run, next.position);
+    requestStart(key, run, next.position);
     return;
   }
   acquireSlots(key, run, next.position);
@@ -108,14 +108,14 @@
   request.limits.push_back(limit);
   if (run.assignment.hasDueTime) {
     request.demand = RunDemand{key.first + "/" + std::to_string(key.second),
-                               run.due - context_.now(), wantedSlots(run)};
+                               run.due - context_.now(), requestedSlots(run)};
     request.onShare = [this, key, model = item.model](const RunShare& share) {
       onShare(key, model, share);
     };
   }
   ItemAdmission& admission = run.admissions[item.model];
   admission.setGrowthInterval(settings.requeueDelay / kWindowStepsPerRequeue);
-  admission.asked();
+  admission.requested();
   slots_.acquire(std::move(request),
                  [this, key, position, attempt = item.attempt](const Result<SlotGrant>& grant) {
                    onSlots(key, position, attempt, grant);
@@ -126,7 +126,7 @@
                               const Result<SlotGrant>& grant) {
   Run* run = find(key);
   const auto found = run == nullptr ? decltype(run->items.end()){} : run->items.find(position);
-  // An item that acquires keeps its run from being forgotten, so both are still there.
+  // An item that acquires keeps its run from being dropped, so both are still there.
   if (run == nullptr || found == run->items.end() || found->second.attempt != attempt) {
     if (grant) {
       slots_.release(grant.value().grantId);
@@ -139,45 +139,45 @@
     item.grant = grant.value().grantId;
     item.suggestedEngine = grant.value().suggestedEngine();
     if (mayStart(*run)) {
-      askStart(key, *run, position);
-      pump(key);
+      requestStart(key, *run, position);
+      startWaitingItems(key);
       return;
     }
     releaseSlots(*run, item);
   } else {
-    defer(*run, position, item);
+    requeue(*run, position, item);
   }
   run->items.erase(found);
-  --underWay_;
+  --itemsInFlight_;
   if (run->stopped || run->ended || draining_) {
     run->queue.clear();
-    run->deferred.clear();
+    run->requeued.clear();
   }
   forgetIfDone(key);
 }
 
 /// The refused item comes back after the re-queue delay, varied by up to half of it, so that the
 /// items of a burst do not come back together.
-void BatchRunnerCore::defer(Run& run, std::uint64_t position, Item& item) {
+void BatchRunnerCore::requeue(Run& run, std::uint64_t position, Item& item) {
   ItemAdmission& admission = run.admissions[item.model];
-  const Duration requeue = settings_.effective(run.assignment.tenant).requeueDelay;
-  const Duration delay = admission.hasShare() ? admission.retryDelay(requeue) : requeue;
+  const Duration requeueDelay = settings_.effective(run.assignment.tenant).requeueDelay;
+  const Duration delay = admission.hasShare() ? admission.retryDelay(requeueDelay) : requeueDelay;
   const Duration jitter(
       std::uniform_int_distribution<Duration::rep>(0, delay.count() / 2)(context_.random()));
-  admission.refused(context_.now(), delay + jitter);
+  admission.rejected(context_.now(), delay + jitter);
   if (admission.hasShare()) {
     context_.startTimer(kRetryTimer, delay + jitter);
   }
-  run.deferred.push_back(
+  run.requeued.push_back(
       {position, item.model, std::move(item.body), context_.now() + delay + jitter});
   context_.counters().add("batch_slot_refusals_total");
 }
 
-std::uint32_t BatchRunnerCore::wantedSlots(const Run& run) {
+std::uint32_t BatchRunnerCore::requestedSlots(const Run& run) {
   const auto active = std::count_if(run.items.begin(), run.items.end(), [](const auto& entry) {
     return entry.second.phase != Phase::Reporting;
   });
-  return static_cast<std::uint32_t>(run.queue.size() + run.deferred.size()) +
+  return static_cast<std::uint32_t>(run.queue.size() + run.requeued.size()) +
          static_cast<std::uint32_t>(active);
 }
 
@@ -190,19 +190,19 @@
 void BatchRunnerCore::retryRefused() {
   std::vector<RunKey> keys;
   for (auto& [key, run] : runs_) {
-    recallDeferred(run);
+    recallRequeued(run);
     keys.push_back(key);
   }
   for (const RunKey& key : keys) {
-    pump(key);
+    startWaitingItems(key);
   }
 }
 
-void BatchRunnerCore::askStart(const RunKey& key, Run& run, std::uint64_t position) {
+void BatchRunnerCore::requestStart(const RunKey& key, Run& run, std::uint64_t position) {
   Item& item = run.items[position];
   item.phase = Phase::Starting;
-  item.startAsked = context_.now();
-  item.lastSent = item.startAsked;
+  item.startRequestedAt = context_.now();
+  item.lastSent = item.startRequestedAt;
   const NodeId owner = ownerOf(run);
   if (!owner.empty()) {
     context_.send(owner, StartItem{nameOf(key), position, item.attempt});
@@ -222,7 +222,7 @@
     if (accepted) {
       const NodeId owner = locator_.candidate(partitionOf(TableKind::Batches, reply.batchId), 0);
       if (!owner.empty()) {
-        context_.send(owner, UnstartItem{nameOf(key), reply.position, reply.attempt});
+        context_.send(owner, RevertStart{nameOf(key), reply.position, reply.attempt});
       }
     }
     return;
@@ -233,14 +233,14 @@
   if (!accepted) {
     releaseSlots(*run, found->second);
     run->items.erase(found);
-    --underWay_;
-    pump(key);
+    --itemsInFlight_;
+    startWaitingItems(key);
     forgetIfDone(key);
     return;
   }
-  const bool fresh = context_.now() - found->second.startAsked <= options_.maxStartAge;
+  const bool fresh = context_.now() - found->second.startRequestedAt <= options_.maxStartAge;
   if (!fresh || !mayStart(*run)) {
-    unstartItem(key, *run, reply.position, false);
+    revertStart(key, *run, reply.position, false);
     return;
   }
   callEngine(key, *run, reply.position);
@@ -290,7 +290,7 @@
   } else {
     finishItem(key, *run, position, ItemState::Failed, {}, ErrorCode::EngineFailed);
   }
-  pump(key);
+  startWaitingItems(key);
 }
 
 void BatchRunnerCore::onEngineError(const RunKey& key, Run& run, std::uint64_t position,
@@ -302,11 +302,11 @@
   if (error.ran == Ran::No) {
     run.admissions[run.items[position].model].pause(context_.now() + options_.retryPause);
     --run.runsOfItem[position];
-    unstartItem(key, run, position, false);
+    revertStart(key, run, position, false);
     return;
   }
-  if (run.assignment.repeatable && run.runsOfItem[position] < options_.maxRuns) {
-    unstartItem(key, run, position, true);
+  if (run.assignment.idempotent && run.runsOfItem[position] < options_.maxRunsPerItem) {
+    revertStart(key, run, position, true);
     return;
   }
   finishItem(key, run, position, ItemState::Unknown, {}, ErrorCode::OutcomeUnknown);
@@ -328,10 +328,10 @@
   report(run, item, encodeMessage(finish));
 }
 
-void BatchRunnerCore::unstartItem(const RunKey& key, Run& run, std::uint64_t position,
+void BatchRunnerCore::revertStart(const RunKey& key, Run& run, std::uint64_t position,
                                   bool mayHaveRun) {
   Item& item = run.items[position];
-  report(run, item, encodeMessage(UnstartItem{nameOf(key), position, item.attempt, mayHaveRun}));
+  report(run, item, encodeMessage(RevertStart{nameOf(key), position, item.attempt, mayHaveRun}));
 }
 
 void BatchRunnerCore::report(Run& run, Item& item, Message message) {
@@ -340,7 +340,7 @@
   item.body.clear();
   item.report = std::move(message);
   item.lastSent = context_.now();
-  --underWay_;
+  --itemsInFlight_;
   const NodeId owner = ownerOf(run);
   if (!owner.empty()) {
     context_.send(owner, *item.report);
@@ -348,9 +348,10 @@
 }
 
 void BatchRunnerCore::resendItem(const RunKey& key, Run& run, std::uint64_t position, Item& item) {
-  if (item.phase == Phase::Starting && context_.now() - item.startAsked > options_.maxStartAge) {
+  if (item.phase == Phase::Starting &&
+      context_.now() - item.startRequestedAt > options_.maxStartAge) {
     // Do not hold slots for an owner that is silent.
-    unstartItem(key, run, position, false);
+    revertStart(key, run, position, false);
     return;
   }
   const bool open = item.phase == Phase::Starting || item.phase == Phase::Reporting;
@@ -385,7 +386,7 @@
     return;
   }
   run->items.erase(found);
-  pump(key);
+  startWaitingItems(key);
   forgetIfDone(key);
 }
 
--- a/src/batch/batch_settings.cpp
+++ b/src/batch/batch_settings.cpp
@@ -23,12 +23,12 @@
   return found == nullptr ? Duration{0} : found->runObjective;
 }
 
-std::uint64_t BatchSettings::waitingTokenLimit(const std::string& route) const {
+std::uint64_t BatchSettings::queuedTokenLimit(const std::string& route) const {
   const RouteSettings* found = tree_.routes().find(route);
   return found == nullptr ? 0 : found->maxQueuedTokens;
 }
 
-bool BatchSettings::limitsWaitingTokens() const {
+bool BatchSettings::limitsQueuedTokens() const {
   const auto& routes = tree_.routes().routes();
   return std::any_of(routes.begin(), routes.end(),
                      [](const auto& entry) { return entry.second.maxQueuedTokens != 0; });
--- a/src/batch/batch_settings.h
+++ b/src/batch/batch_settings.h
@@ -27,9 +27,9 @@
   Duration runObjective(const std::string& route) const;
 
   /// Most tokens of one tenant that may wait on @p route; 0 if there is no bound.
-  std::uint64_t waitingTokenLimit(const std::string& route) const;
+  std::uint64_t queuedTokenLimit(const std::string& route) const;
   /// True if any route bounds the waiting tokens.
-  bool limitsWaitingTokens() const;
+  bool limitsQueuedTokens() const;
 
  private:
   SettingsTree tree_;
--- a/src/batch/batch_state.cpp
+++ b/src/batch/batch_state.cpp
@@ -12,7 +12,7 @@
   counts_.itemCount = meta_.itemCount;
   counts_.pending = meta_.itemCount;
   for (std::uint64_t position = 0; position < meta_.itemCount; ++position) {
-    waitingTokens_ += tokensOf(position);
+    queuedTokens_ += tokensOf(position);
   }
 }
 
@@ -58,7 +58,7 @@
 void BatchState::setFinal(std::uint64_t position, ItemState state) {
   const auto before = static_cast<ItemState>(states_[position]);
   if (!isFinal(before) && isFinal(state)) {
-    waitingTokens_ -= tokensOf(position);
+    queuedTokens_ -= tokensOf(position);
   }
   --count(before);
   ++count(state);
@@ -102,14 +102,14 @@
   return status;
 }
 
-void BatchState::countListed() {
+void BatchState::advanceListed() {
   while (ranks_.count(listed_ + 1) != 0) {
     ++listed_;
   }
 }
 
 std::vector<std::uint64_t> BatchState::dropRanksBehindGap() {
-  countListed();
+  advanceListed();
   std::vector<std::uint64_t> dropped;
   for (auto entry = ranks_.upper_bound(listed_); entry != ranks_.end();) {
     dropped.push_back(entry->second);
--- a/src/batch/batch_state.h
+++ b/src/batch/batch_state.h
@@ -52,13 +52,13 @@
   /// True if results are listed in the order of completion: the items have names.
   bool listsByCompletion() const { return !meta_.names.empty(); }
   /// Returns the rank for the next result. Ranks are written in this order.
-  std::uint64_t takeRank() { return nextRank_++; }
+  std::uint64_t nextRank() { return nextRank_++; }
   /// The result of the item at @p position is durable under @p rank.
   void setRank(std::uint64_t rank, std::uint64_t position) { ranks_[rank] = position; }
   /// Number of results that may be read: those with a rank and without a gap before it.
   std::uint64_t listed() const { return listed_; }
   /// Counts the results that may be read anew after ranks have been set.
-  void countListed();
+  void advanceListed();
   /// The item of the result at place @p index, which must be below `listed`.
   std::uint64_t positionAt(std::uint64_t index) const { return ranks_.at(index + 1); }
   /// After a takeover: takes the ranks behind a gap back, and returns their items. Nobody has read
@@ -71,7 +71,7 @@
   std::uint64_t chunkEnd(std::uint64_t chunk) const;
 
   /// Tokens of the items without a final state; 0 once the batch is finished.
-  std::uint64_t waitingTokens() const { return finished_ ? 0 : waitingTokens_; }
+  std::uint64_t queuedTokens() const { return finished_ ? 0 : queuedTokens_; }
 
   Time acceptedAt{};             ///< On this owner's clock; after a takeover the time of that.
   bool committed = false;        ///< The commit record is on a majority.
@@ -81,16 +81,16 @@
   std::vector<std::uint64_t> unranked;
   RunRecord run;
   bool runDurable = false;          ///< `run` is on a majority and may be announced.
-  bool runSeen = false;             ///< A heartbeat named the run.
+  bool runAcknowledged = false;     ///< A heartbeat named the run.
   std::uint64_t runnerProcess = 0;  ///< Incarnation of the run's runner; 0 if not known.
-  Time runHeard{};                  ///< When the runner was last heard, or the run began.
+  Time lastHeartbeat{};             ///< When the runner was last heard, or the run began.
   Time finishedAt{};                ///< On this owner's clock.
   std::vector<std::function<void()>> commitWaiters;
   std::vector<std::function<void()>> cancelWaiters;
   /// Items with a write on its way, and who waits for it.
   std::map<std::uint64_t, std::vector<std::function<void()>>> writing;
   /// Highest attempt taken back per item by the run in force: a late start must not undo it.
-  std::map<std::uint64_t, std::uint64_t> takenBack;
+  std::map<std::uint64_t, std::uint64_t> revertedAttempts;
 
  private:
   std::uint64_t& count(ItemState state);
@@ -100,7 +100,7 @@
   std::string id_;
   BatchMeta meta_;
   std::vector<std::uint8_t> states_;
-  std::uint64_t waitingTokens_ = 0;
+  std::uint64_t queuedTokens_ = 0;
   BatchStatus counts_;
   bool cancelled_ = false;
   bool finished_ = false;
--- a/src/batch/item_admission.cpp
+++ b/src/batch/item_admission.cpp
@@ -4,7 +4,7 @@
 
 namespace shedshed {
 
-bool ItemAdmission::mayAsk(Time now) const {
+bool ItemAdmission::mayRequest(Time now) const {
   if (now < pausedUntil_ || acquiring_ >= acquireLimit_) {
     return false;
   }
@@ -22,7 +22,7 @@
   acquireLimit_ = std::min(2 * acquireLimit_, most);
 }
 
-void ItemAdmission::refused(Time now, Duration pause) {
+void ItemAdmission::rejected(Time now, Duration pause) {
   --acquiring_;
   if (share_) {
     ++refusals_;
--- a/src/batch/item_admission.h
+++ b/src/batch/item_admission.h
@@ -35,16 +35,16 @@
   void setGrowthInterval(Duration interval) { growthInterval_ = interval; }
 
   /// True if one more item may ask for slots.
-  bool mayAsk(Time now) const;
+  bool mayRequest(Time now) const;
 
-  /// An item asks for slots; one of `granted` and `refused` follows.
-  void asked() { ++acquiring_; }
+  /// An item asks for slots; one of `granted` and `rejected` follows.
+  void requested() { ++acquiring_; }
 
   /// Slots were granted; `released` follows. @p most bounds the requests at once.
   void granted(std::uint32_t most);
 
   /// Slots were refused. @p pause counts if no slot is in use.
-  void refused(Time now, Duration pause);
+  void rejected(Time now, Duration pause);
 
   /// Granted slots were given back.
   void released();
--- a/src/batch/waiting_token_messages.h
+++ b/src/batch/queued_token_messages.h
@@ -31,7 +31,7 @@
 };
 
 /// The waiting tokens of one batch.
-struct WaitingBatch {
+struct QueuedBatch {
   std::string batchId;
   TokenAccount account;
   std::uint64_t tokens = 0;
@@ -43,18 +43,18 @@
 struct PartitionTokens {
   PartitionId partition;
   std::uint64_t epoch = 0;
-  std::vector<WaitingBatch> batches;
+  std::vector<QueuedBatch> batches;
   MSGPACK_DEFINE(partition, epoch, batches);
 };
 
 /// Owner of a batch → ledger: may this batch be accepted?
-struct ReserveTokens {
+struct ReserveQueuedTokens {
   static constexpr ServiceId kService = ServiceId::WaitingTokens;
   static constexpr std::uint16_t kKind = 1;
   std::uint64_t number = 0;  ///< Numbers all messages of one process to the ledger.
   PartitionId partition;     ///< Of the batch.
   std::uint64_t epoch = 0;   ///< At which the sender owns that partition.
-  WaitingBatch batch;
+  QueuedBatch batch;
   MSGPACK_DEFINE(number, partition, epoch, batch);
 };
 
@@ -66,36 +66,36 @@
 
 /// Ledger → owner of a batch; also the answer to a report that does not reach the ledger, with an
 /// empty batch id.
-struct ReserveTokensReply {
+struct ReserveQueuedTokensReply {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 20;
   std::uint64_t number = 0;  ///< Of the request.
   PartitionId partition;
   std::string batchId;
   ReserveOutcome outcome = ReserveOutcome::NotReady;
-  NodeId ledger;  ///< With `NotReady`: the node that the sender believes to be the ledger.
-  MSGPACK_DEFINE(number, partition, batchId, outcome, ledger);
+  NodeId quotaOwner;  ///< With `NotReady`: the node that the sender believes to be the ledger.
+  MSGPACK_DEFINE(number, partition, batchId, outcome, quotaOwner);
 };
 
 /// Owner of batches → ledger: what waits in the partitions that the sender owns.
-struct WaitingTokensReport {
+struct QueuedTokensReport {
   static constexpr ServiceId kService = ServiceId::WaitingTokens;
   static constexpr std::uint16_t kKind = 2;
   std::uint64_t number = 0;
-  /// Epoch of the `WaitingTokensRequest` that this answers, with the ownership proved after it
+  /// Epoch of the `QueuedTokensRequest` that this answers, with the ownership proved after it
   /// arrived; 0 in other reports.
-  std::uint64_t ledgerEpoch = 0;
+  std::uint64_t quotaEpoch = 0;
   std::vector<PartitionTokens> partitions;
-  MSGPACK_DEFINE(number, ledgerEpoch, partitions);
+  MSGPACK_DEFINE(number, quotaEpoch, partitions);
 };
 
 /// A new ledger → all live stores: what waits in the partitions that you own?
-struct WaitingTokensRequest {
+struct QueuedTokensRequest {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 21;
-  std::uint64_t ledgerEpoch = 0;
+  std::uint64_t quotaEpoch = 0;
   std::vector<PartitionId> partitions;  ///< Those not heard of yet.
-  MSGPACK_DEFINE(ledgerEpoch, partitions);
+  MSGPACK_DEFINE(quotaEpoch, partitions);
 };
 
 }  // namespace shedshed
--- a/src/batch/waiting_token_ledger.h
+++ b/src/batch/queued_token_quota.h
@@ -4,7 +4,7 @@
 
 #include "batch/batch_safeguards.h"
 #include "batch/batch_settings.h"
-#include "batch/waiting_token_table.h"
+#include "batch/queued_token_table.h"
 #include "kernel/core.h"
 #include "membership/directory.h"
 #include "partition/partition_store.h"
@@ -14,7 +14,7 @@
 namespace shedshed {
 
 /// Interval at which a new ledger asks again for what it does not know yet.
-inline constexpr Duration kLedgerTick = std::chrono::milliseconds(100);
+inline constexpr Duration kQuotaRebuildRetry = std::chrono::milliseconds(100);
 
 /// Runs on every store; acts on the owner of the partition of the name "waiting-tokens", under that
 /// partition's epoch.
@@ -27,12 +27,11 @@
 /// - An old ledger proves its ownership after it has counted a batch and before it says so. A grant
 ///   that was proved before the new ledger took over was asked for before that, so that the batch
 ///   is in the answer of its owner.
-class WaitingTokenLedger : public Core {
+class QueuedTokenQuota : public Core {
  public:
   /// Keeps references to all; they must outlive it.
-  WaitingTokenLedger(CoreContext& context, PartitionStore& store,
-                     ConfigurationSource& configuration, const Directory& directory,
-                     BatchSafeguards safeguards = {});
+  QueuedTokenQuota(CoreContext& context, PartitionStore& store, ConfigurationSource& configuration,
+                   const Directory& directory, BatchSafeguards safeguards = {});
 
   /// The partition whose owner acts.
   static PartitionId partition();
@@ -44,26 +43,28 @@
   /// True if this node acts and knows all partitions.
   bool isReady() const;
   /// The tokens counted for @p account.
-  std::uint64_t waiting(const TokenAccount& account) const { return table_.waiting(account); }
+  std::uint64_t queuedTokens(const TokenAccount& account) const {
+    return table_.queuedTokens(account);
+  }
 
  private:
-  void onReserve(const NodeId& from, const ReserveTokens& request);
-  void onReport(const NodeId& from, const WaitingTokensReport& report);
+  void onReserve(const NodeId& from, const ReserveQueuedTokens& request);
+  void onReport(const NodeId& from, const QueuedTokensReport& report);
   /// Begins anew if this node has become the ledger since. False if it is not the ledger.
   bool acts();
-  void askStores();
-  void reply(const NodeId& to, const ReserveTokens& request, ReserveOutcome outcome);
+  void queryOwners();
+  void reply(const NodeId& to, const ReserveQueuedTokens& request, ReserveOutcome outcome);
 
   CoreContext& context_;
   PartitionStore& store_;
   BatchSettings settings_;
   const Directory& directory_;
   BatchSafeguards safeguards_;
-  WaitingTokenTable table_;
+  QueuedTokenTable table_;
   std::uint64_t epoch_ = 0;
-  Time askedSince_{};
-  bool logged_ = false;            ///< That the rebuild is slow.
-  std::set<PartitionId> unknown_;  ///< Partitions whose owner has not answered in this epoch.
+  Time rebuildStartedAt_{};
+  bool logged_ = false;               ///< That the rebuild is slow.
+  std::set<PartitionId> unreported_;  ///< Partitions whose owner has not answered in this epoch.
 };
 
 }  // namespace shedshed
--- a/src/batch/waiting_token_table.cpp
+++ b/src/batch/queued_token_table.cpp
@@ -1,17 +1,17 @@
-#include "batch/waiting_token_table.h"
+#include "batch/queued_token_table.h"
 
 #include <utility>
 
 namespace shedshed {
 
-bool WaitingTokenTable::adopt(const PartitionTokens& report, std::uint64_t number) {
+bool QueuedTokenTable::adopt(const PartitionTokens& report, std::uint64_t number) {
   Partition& partition = partitions_[report.partition];
   const bool sameOwner = report.epoch == partition.epoch;
   if (report.epoch < partition.epoch || (sameOwner && number <= partition.lastReport)) {
     return false;
   }
   std::map<std::string, Entry> batches;
-  for (const WaitingBatch& batch : report.batches) {
+  for (const QueuedBatch& batch : report.batches) {
     batches[batch.batchId] = {batch, number};
   }
   for (auto& [batchId, entry] : partition.batches) {
@@ -27,14 +27,15 @@
   return true;
 }
 
-ReserveOutcome WaitingTokenTable::reserve(const ReserveTokens& request, std::uint64_t limit) {
+ReserveOutcome QueuedTokenTable::reserve(const ReserveQueuedTokens& request, std::uint64_t limit) {
   Partition& partition = partitions_[request.partition];
   if (request.epoch < partition.epoch) {
     return ReserveOutcome::NotReady;
   }
   // A batch that is counted already, since it was asked for before, does not count against itself.
   partition.batches.erase(request.batch.batchId);
-  const bool fits = limit == 0 || waiting(request.batch.account) + request.batch.tokens <= limit;
+  const bool fits =
+      limit == 0 || queuedTokens(request.batch.account) + request.batch.tokens <= limit;
   if (!fits) {
     return ReserveOutcome::Full;
   }
@@ -47,11 +48,11 @@
   return ReserveOutcome::Granted;
 }
 
-std::uint64_t WaitingTokenTable::waiting(const TokenAccount& account) const {
+std::uint64_t QueuedTokenTable::queuedTokens(const TokenAccount& account) const {
   std::uint64_t total = 0;
   for (const auto& partition : partitions_) {
     for (const auto& entry : partition.second.batches) {
-      const WaitingBatch& batch = entry.second.batch;
+      const QueuedBatch& batch = entry.second.batch;
       total += batch.account == account ? batch.tokens : 0;
     }
   }
--- a/src/batch/waiting_token_table.h
+++ b/src/batch/queued_token_table.h
@@ -2,7 +2,7 @@
 /// The tokens that wait in all accepted batches of the fleet, by partition.
 #pragma once
 
-#include "batch/waiting_token_messages.h"
+#include "batch/queued_token_messages.h"
 
 #include <map>
 
@@ -10,7 +10,7 @@
 
 /// What the ledger knows. Reports replace what was known of a partition; reservations that are
 /// younger than the report stay.
-class WaitingTokenTable {
+class QueuedTokenTable {
  public:
   /// Forgets everything.
   void clear() { partitions_.clear(); }
@@ -23,14 +23,14 @@
   /// Counts the batch of @p request if it then fits under @p limit (0: no limit), and not at all if
   /// it does not: its owner takes only the answer to its latest request for a grant.
   /// @return `NotReady` if the sender's epoch is older than one heard of
-  ReserveOutcome reserve(const ReserveTokens& request, std::uint64_t limit);
+  ReserveOutcome reserve(const ReserveQueuedTokens& request, std::uint64_t limit);
 
   /// The tokens counted for @p account.
-  std::uint64_t waiting(const TokenAccount& account) const;
+  std::uint64_t queuedTokens(const TokenAccount& account) const;
 
  private:
   struct Entry {
-    WaitingBatch batch;
+    QueuedBatch batch;
     std::uint64_t number = 0;  ///< Of the report or the reservation that counted it last.
   };
   struct Partition {
--- a/src/gateway/batch_filter.cpp
+++ b/src/gateway/batch_filter.cpp
@@ -86,7 +86,7 @@
   BatchSubmission submission;
   submission.tenant = tenant ? tenant.value() : std::string();
   submission.clientKey = call.call.requestId;
-  submission.repeatableItems = true;
+  submission.idempotentItems = true;
   submission.route = call.route->name;
   for (BatchItemCall& item : items.value()) {
     item.route = call.route->name;
--- a/src/serving/batch_calls.cpp
+++ b/src/serving/batch_calls.cpp
@@ -56,7 +56,7 @@
 
 Status readNdjson(const CallContext& call, BatchSubmission& submission) {
   submission.clientKey = call.request.clientKey;
-  submission.repeatableItems = call.request.repeatable;
+  submission.idempotentItems = call.request.repeatable;
   std::string_view rest = call.request.body;
   while (!rest.empty()) {
     const std::size_t end = std::min(rest.find('\n'), rest.size());
@@ -88,7 +88,7 @@
   if (repeatable != nullptr && !cJSON_IsBool(repeatable)) {
     return makeError(ErrorCode::InvalidArgument, "repeatable: true or false is required");
   }
-  submission.repeatableItems = cJSON_IsTrue(repeatable) != 0;
+  submission.idempotentItems = cJSON_IsTrue(repeatable) != 0;
   const cJSON* items = jsonMember(document.value().root(), "items");
   if (!cJSON_IsArray(items)) {
     return makeError(ErrorCode::InvalidArgument, "items: an array is required");
--- a/tests/batch/batch_world.h
+++ b/tests/batch/batch_world.h
@@ -275,7 +275,7 @@
     BatchSubmission submission;
     submission.tenant = "acme";
     submission.clientKey = clientKey;
-    submission.repeatableItems = repeatable;
+    submission.idempotentItems = repeatable;
     for (std::size_t index = 0; index < count; ++index) {
       submission.items.push_back("{\"model\":\"m\",\"n\":\"" + tag + std::to_string(index) + "\"}");
     }
--- a/tests/batch/item_admission_test.cpp
+++ b/tests/batch/item_admission_test.cpp
@@ -14,8 +14,8 @@
 /// Asks and is granted while the window admits, up to @p most.
 std::uint32_t fill(ItemAdmission& admission, Time now, std::uint32_t most) {
   std::uint32_t granted = 0;
-  while (granted < most && admission.mayAsk(now)) {
-    admission.asked();
+  while (granted < most && admission.mayRequest(now)) {
+    admission.requested();
     admission.granted(kMost);
     ++granted;
   }
@@ -23,8 +23,8 @@
 }
 
 void refuse(ItemAdmission& admission, Time now) {
-  admission.asked();
-  admission.refused(now, 10s);
+  admission.requested();
+  admission.rejected(now, 10s);
 }
 
 }  // namespace
@@ -34,13 +34,13 @@
 BOOST_AUTO_TEST_CASE(requestsAtOnceDoubleWithTheGrants) {
   ItemAdmission admission;
   const Time now{};
-  admission.asked();
-  BOOST_TEST(!admission.mayAsk(now));
+  admission.requested();
+  BOOST_TEST(!admission.mayRequest(now));
   admission.granted(kMost);
-  admission.asked();
-  BOOST_TEST(admission.mayAsk(now));
-  admission.asked();
-  BOOST_TEST(!admission.mayAsk(now));
+  admission.requested();
+  BOOST_TEST(admission.mayRequest(now));
+  admission.requested();
+  BOOST_TEST(!admission.mayRequest(now));
 }
 
 BOOST_AUTO_TEST_CASE(aRefusalKeepsAShareAndTheWindowGrowsByOneASecond) {
@@ -49,7 +49,7 @@
   BOOST_TEST(fill(admission, now, 8) == 8U);
   refuse(admission, now);
   for (int i = 0; i < 3; ++i) {
-    BOOST_TEST(!admission.mayAsk(now));
+    BOOST_TEST(!admission.mayRequest(now));
     admission.released();
   }
   BOOST_TEST(fill(admission, now, kMost) == 1U);
@@ -62,8 +62,8 @@
   ItemAdmission admission;
   const Time now{};
   refuse(admission, now);
-  BOOST_TEST(!admission.mayAsk(now + 10s - 1ms));
-  BOOST_TEST(admission.mayAsk(now + 10s));
+  BOOST_TEST(!admission.mayRequest(now + 10s - 1ms));
+  BOOST_TEST(admission.mayRequest(now + 10s));
 }
 
 BOOST_AUTO_TEST_CASE(theLastSlotIsLeftToOthersForAMoment) {
@@ -72,8 +72,8 @@
   BOOST_TEST(fill(admission, now, 1) == 1U);
   refuse(admission, now);
   admission.released();
-  BOOST_TEST(!admission.mayAsk(now + 999ms));
-  BOOST_TEST(admission.mayAsk(now + 1s));
+  BOOST_TEST(!admission.mayRequest(now + 999ms));
+  BOOST_TEST(admission.mayRequest(now + 1s));
 }
 
 BOOST_AUTO_TEST_CASE(aShareBoundsTheRequestsInPlaceOfTheWindow) {
@@ -90,10 +90,10 @@
   ItemAdmission admission;
   const Time now{};
   admission.setShare(0, 0, now);
-  BOOST_TEST(!admission.mayAsk(now));
-  BOOST_TEST(admission.mayAsk(now + kShareProbeInterval));
-  admission.asked();
-  BOOST_TEST(!admission.mayAsk(now + kShareProbeInterval));
+  BOOST_TEST(!admission.mayRequest(now));
+  BOOST_TEST(admission.mayRequest(now + kShareProbeInterval));
+  admission.requested();
+  BOOST_TEST(!admission.mayRequest(now + kShareProbeInterval));
 }
 
 BOOST_AUTO_TEST_CASE(aRunTakesAPartOfTheSlotsThatNobodyHolds) {
@@ -106,12 +106,12 @@
   ItemAdmission admission;
   admission.setShare(9, 0, Time{});
   BOOST_TEST((admission.retryDelay(10s) == kShareRetry));
-  admission.asked();
-  admission.refused(Time{}, 1ms);
+  admission.requested();
+  admission.rejected(Time{}, 1ms);
   BOOST_TEST((admission.retryDelay(10s) == 2 * kShareRetry));
   for (int refusal = 0; refusal < 40; ++refusal) {
-    admission.asked();
-    admission.refused(Time{}, 1ms);
+    admission.requested();
+    admission.rejected(Time{}, 1ms);
   }
   BOOST_TEST((admission.retryDelay(333ms) == 2 * kShareRetry));
   BOOST_TEST((admission.retryDelay(10ms) == Duration(10ms)));
--- a/tests/batch/waiting_tokens_model_test.cpp
+++ b/tests/batch/queued_token_quota_model_test.cpp
@@ -1,7 +1,7 @@
-// The bound of waiting tokens under moving owners, a moving ledger, and lost, late and doubled
+// The bound of queued tokens under moving owners, a moving quota owner, and lost, late and doubled
 // messages: seeded schedules over three stores.
 #include "batch/batch_owner_core.h"
-#include "batch/waiting_token_ledger.h"
+#include "batch/queued_token_quota.h"
 #include "batch_world.h"
 
 namespace shedshed::test {
@@ -134,18 +134,18 @@
       directory_.set(name, NodeRole::Store, NodeState::Alive);
       stores_.push_back(std::make_unique<ModelStore>(truth_, index));
       auto& ownerContext = harness_.context(name, ServiceId::BatchOwner);
-      auto& ledgerContext = harness_.context(name, ServiceId::WaitingTokens);
+      auto& quotaContext = harness_.context(name, ServiceId::WaitingTokens);
       owners_.push_back(std::make_unique<BatchOwnerCore>(ownerContext, *stores_.back(),
                                                          configuration_, directory_, options));
-      ledgers_.push_back(std::make_unique<WaitingTokenLedger>(
-          ledgerContext, *stores_.back(), configuration_, directory_, safeguards));
+      quotas_.push_back(std::make_unique<QueuedTokenQuota>(quotaContext, *stores_.back(),
+                                                           configuration_, directory_, safeguards));
       harness_.attach(ownerContext, *owners_.back());
-      harness_.attach(ledgerContext, *ledgers_.back());
+      harness_.attach(quotaContext, *quotas_.back());
     }
     for (std::uint32_t index = 0; index < kPartitionCount; ++index) {
       truth_.partitions[PartitionId{TableKind::Batches, index}];
     }
-    truth_.partitions[WaitingTokenLedger::partition()];
+    truth_.partitions[QueuedTokenQuota::partition()];
     for (auto& owner : owners_) {
       owner->start();
     }
@@ -159,7 +159,7 @@
     std::uint64_t most = 0;
     for (int step = 0; step < kSteps; ++step) {
       act();
-      most = std::max(most, waiting());
+      most = std::max(most, queuedTokens());
     }
     return most;
   }
@@ -248,7 +248,7 @@
     }
     const std::size_t to = below(kStores);
     if (below(3) == 0) {
-      stores_[to]->take(WaitingTokenLedger::partition());
+      stores_[to]->take(QueuedTokenQuota::partition());
       return;
     }
     if (!sent_.empty()) {
@@ -277,7 +277,7 @@
     }
     harness_.deliverAt(index, below(15) == 0);
   }
-  std::uint64_t waiting() {
+  std::uint64_t queuedTokens() {
     std::uint64_t total = 0;
     for (const SubmitChunk& chunk : sent_) {
       const PartitionId partition = partitionOf(TableKind::Batches, chunk.batchId);
@@ -297,7 +297,7 @@
   Truth truth_;
   std::vector<std::unique_ptr<ModelStore>> stores_;
   std::vector<std::unique_ptr<BatchOwnerCore>> owners_;
-  std::vector<std::unique_ptr<WaitingTokenLedger>> ledgers_;
+  std::vector<std::unique_ptr<QueuedTokenQuota>> quotas_;
   std::vector<SubmitChunk> sent_;
   std::set<std::string> accepted_;
   std::set<std::string> ended_;
@@ -316,8 +316,9 @@
   return {worst, accepted};
 }
 
-/// Asks a ledger that was replaced and has not learnt of it. @return true if it grants
-bool replacedLedgerGrants(const BatchSafeguards& safeguards) {
+/// Sends a reservation to a replaced quota owner that has not learnt of its loss. @return true if
+/// it grants
+bool replacedQuotaOwnerGrants(const BatchSafeguards& safeguards) {
   Harness harness;
   FakeDirectory directory;
   FakeConfiguration configuration;
@@ -325,37 +326,37 @@
   ModelStore first(truth, 0);
   ModelStore second(truth, 1);
   HarnessContext& context = harness.context("s0", ServiceId::WaitingTokens);
-  WaitingTokenLedger ledger(context, first, configuration, directory, safeguards);
-  harness.attach(context, ledger);
-  first.take(WaitingTokenLedger::partition());
-  WaitingTokensReport report;
+  QueuedTokenQuota quota(context, first, configuration, directory, safeguards);
+  harness.attach(context, quota);
+  first.take(QueuedTokenQuota::partition());
+  QueuedTokensReport report;
   report.number = 1;
-  report.ledgerEpoch = first.epoch(WaitingTokenLedger::partition());
+  report.quotaEpoch = first.epoch(QueuedTokenQuota::partition());
   for (std::uint32_t index = 0; index < kPartitionCount; ++index) {
     report.partitions.push_back({PartitionId{TableKind::Batches, index}, 1, {}});
   }
-  ledger.receive(NodeId{"s1"}, encodeMessage(report));
-  BOOST_REQUIRE(ledger.isReady());
-  second.take(WaitingTokenLedger::partition());
-  ReserveTokens request;
+  quota.receive(NodeId{"s1"}, encodeMessage(report));
+  BOOST_REQUIRE(quota.isReady());
+  second.take(QueuedTokenQuota::partition());
+  ReserveQueuedTokens request;
   request.number = 2;
   request.partition = PartitionId{TableKind::Batches, 0};
   request.epoch = 1;
   request.batch = {"b", {"", "r"}, 10};
-  ledger.receive(NodeId{"s1"}, encodeMessage(request));
+  quota.receive(NodeId{"s1"}, encodeMessage(request));
   while (!first.pending.empty()) {
     const auto done = std::move(first.pending.front());
     first.pending.pop_front();
     done();
   }
   return std::any_of(harness.queue.begin(), harness.queue.end(), [](const auto& envelope) {
-    return envelope.message.kind == ReserveTokensReply::kKind;
+    return envelope.message.kind == ReserveQueuedTokensReply::kKind;
   });
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(waiting_tokens_model)
+BOOST_AUTO_TEST_SUITE(queued_token_quota_model)
 
 BOOST_AUTO_TEST_CASE(noScheduleExceedsTheLimit) {
   const auto [worst, accepted] = runSeeds({});
@@ -363,14 +364,14 @@
   BOOST_TEST(accepted > 300U);
 }
 
-BOOST_AUTO_TEST_CASE(mutation_aNewLedgerThatAsksNobodyExceedsTheLimit) {
+BOOST_AUTO_TEST_CASE(mutation_aNewQuotaOwnerThatSkipsTheRebuildExceedsTheLimit) {
   BatchSafeguards safeguards;
-  safeguards.askOwnersOfTokens = false;
+  safeguards.rebuildQuotaFromOwners = false;
   BOOST_TEST(runSeeds(safeguards).first > kLimit);
 }
 
 /// After a loss of all power a store's directory may hold others dead for seconds.
-BOOST_AUTO_TEST_CASE(aNewLedgerAsksStoresThatAreHeldDead) {
+BOOST_AUTO_TEST_CASE(aNewQuotaOwnerAlsoQueriesStoresThatAreConfirmedDead) {
   Harness harness;
   FakeDirectory directory;
   FakeConfiguration configuration;
@@ -379,25 +380,25 @@
   directory.set("s0", NodeRole::Store, NodeState::Alive);
   directory.set("s1", NodeRole::Store, NodeState::Dead);
   HarnessContext& context = harness.context("s0", ServiceId::WaitingTokens);
-  WaitingTokenLedger ledger(context, store, configuration, directory);
-  harness.attach(context, ledger);
-  store.take(WaitingTokenLedger::partition());
-  ledger.receive(NodeId{"s0"}, encodeMessage(WaitingTokensReport{}));
-  const bool asked =
+  QueuedTokenQuota quota(context, store, configuration, directory);
+  harness.attach(context, quota);
+  store.take(QueuedTokenQuota::partition());
+  quota.receive(NodeId{"s0"}, encodeMessage(QueuedTokensReport{}));
+  const bool queried =
       std::any_of(harness.queue.begin(), harness.queue.end(), [](const auto& envelope) {
-        return envelope.to == NodeId{"s1"} && envelope.message.kind == WaitingTokensRequest::kKind;
+        return envelope.to == NodeId{"s1"} && envelope.message.kind == QueuedTokensRequest::kKind;
       });
-  BOOST_TEST(asked);
+  BOOST_TEST(queried);
 }
 
-BOOST_AUTO_TEST_CASE(aReplacedLedgerGrantsNothing) {
-  BOOST_TEST(!replacedLedgerGrants({}));
+BOOST_AUTO_TEST_CASE(aReplacedQuotaOwnerGrantsNothing) {
+  BOOST_TEST(!replacedQuotaOwnerGrants({}));
 }
 
-BOOST_AUTO_TEST_CASE(mutation_aReplacedLedgerThatProvesNothingGrants) {
+BOOST_AUTO_TEST_CASE(mutation_aReplacedQuotaOwnerWithoutProofGrants) {
   BatchSafeguards safeguards;
-  safeguards.proveTokenGrants = false;
-  BOOST_TEST(replacedLedgerGrants(safeguards));
+  safeguards.proveQuotaOwnership = false;
+  BOOST_TEST(replacedQuotaOwnerGrants(safeguards));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/batch/waiting_tokens_test.cpp
+++ b/tests/batch/queued_token_quota_test.cpp
@@ -1,5 +1,5 @@
-// Tokens of accepted batches that wait on a route stay below the route's bound.
-#include "batch/waiting_token_ledger.h"
+// The queued tokens of a route stay below the route's bound.
+#include "batch/queued_token_quota.h"
 #include "batch_world.h"
 
 namespace shedshed::test {
@@ -9,7 +9,7 @@
     R"({"services":{"s":{}},"routes":{"r":{"host":"h","path_prefix":"/","kind":"batch",)"
     R"("timeout_ms":1000,"service":"s","max_queued_tokens":100}}})";
 
-/// A world whose settings bound the route "r" to 100 tokens, with a ledger on each store.
+/// A world whose settings bound the route "r" to 100 tokens, with a quota on each store.
 struct TokenWorld {
   TokenWorld() {
     world.configuration.values[kSettingsRegister] = RegisterValue{1, kSettings};
@@ -19,9 +19,9 @@
       world.harness.attach(ownerContext, world.stores[name]->core);
       world.stores[name]->core.start();
       auto& context = world.harness.context(name, ServiceId::WaitingTokens);
-      ledgers[name] = std::make_unique<WaitingTokenLedger>(context, world.stores[name]->table,
-                                                           world.configuration, world.directory);
-      world.harness.attach(context, *ledgers[name]);
+      quotas[name] = std::make_unique<QueuedTokenQuota>(context, world.stores[name]->table,
+                                                        world.configuration, world.directory);
+      world.harness.attach(context, *quotas[name]);
     }
     world.stores["s1"]->table.begin(1);
     world.stores["s2"]->table.hint = NodeId{"s1"};
@@ -45,14 +45,14 @@
   }
 
   World world;
-  std::map<std::string, std::unique_ptr<WaitingTokenLedger>> ledgers;
+  std::map<std::string, std::unique_ptr<QueuedTokenQuota>> quotas;
 };
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(waiting_tokens)
+BOOST_AUTO_TEST_SUITE(queued_token_quota)
 
-BOOST_AUTO_TEST_CASE(aBatchThatDoesNotFitIsRefusedAndAResendIsNot) {
+BOOST_AUTO_TEST_CASE(aBatchThatDoesNotFitIsRejectedAndAResendIsNot) {
   TokenWorld fleet;
   BOOST_TEST(fleet.accepts(TokenWorld::batch("first", 40)));
   BOOST_TEST((fleet.refusalOf(TokenWorld::batch("second", 11)) == ErrorCode::PoolFull));
@@ -60,7 +60,7 @@
   BOOST_TEST(fleet.accepts(TokenWorld::batch("third", 10)));
 }
 
-BOOST_AUTO_TEST_CASE(finishedItemsMakeRoom) {
+BOOST_AUTO_TEST_CASE(finishedItemsFreeTheirTokens) {
   TokenWorld fleet;
   BOOST_TEST(fleet.accepts(TokenWorld::batch("first", 40)));
   fleet.world.harness.advance(1s);
@@ -69,7 +69,7 @@
   BOOST_TEST(fleet.accepts(TokenWorld::batch("second", 30)));
 }
 
-BOOST_AUTO_TEST_CASE(anEndedBatchMakesRoom) {
+BOOST_AUTO_TEST_CASE(aCancelledBatchFreesItsTokens) {
   TokenWorld fleet;
   BOOST_TEST(fleet.accepts(TokenWorld::batch("first", 50)));
   BOOST_TEST(fleet.world.cancel(batchIdOfClientKey("acme", "first")).has_value());
@@ -77,16 +77,16 @@
   BOOST_TEST(fleet.accepts(TokenWorld::batch("second", 50)));
 }
 
-BOOST_AUTO_TEST_CASE(aNewLedgerKnowsWhatWaits) {
+BOOST_AUTO_TEST_CASE(aNewQuotaOwnerRecoversWhatIsQueued) {
   TokenWorld fleet;
   BOOST_TEST(fleet.accepts(TokenWorld::batch("first", 40)));
   fleet.world.failover(false);
   BOOST_TEST((fleet.refusalOf(TokenWorld::batch("second", 11)) == ErrorCode::PoolFull));
   BOOST_TEST(fleet.accepts(TokenWorld::batch("third", 10)));
-  BOOST_TEST(fleet.ledgers["s2"]->isReady());
+  BOOST_TEST(fleet.quotas["s2"]->isReady());
 }
 
-BOOST_AUTO_TEST_CASE(withoutALedgerTheBatchIsRefusedAndNotRun) {
+BOOST_AUTO_TEST_CASE(withoutAQuotaOwnerTheBatchIsRejectedAndNotRun) {
   TokenWorld fleet;
   fleet.world.harness.filter = [](const Harness::Envelope& envelope) {
     return envelope.message.service != ServiceId::WaitingTokens;
@@ -97,7 +97,7 @@
   BOOST_TEST(fleet.world.engines.runs.empty());
 }
 
-BOOST_AUTO_TEST_CASE(aBatchOverTheWholeLimitIsNeverAccepted) {
+BOOST_AUTO_TEST_CASE(aBatchAboveTheLimitIsNeverAccepted) {
   TokenWorld fleet;
   BOOST_TEST((fleet.refusalOf(TokenWorld::batch("huge", 1ULL << 40U)) == ErrorCode::PoolFull));
 }
--- a/tests/compatibility/message_format_test.cpp
+++ b/tests/compatibility/message_format_test.cpp
@@ -4,7 +4,7 @@
 #include "batch/batch_client.h"
 #include "batch/batch_messages.h"
 #include "batch/batch_records.h"
-#include "batch/waiting_token_messages.h"
+#include "batch/queued_token_messages.h"
 #include "compatibility/format_file.h"
 #include "compatibility/sample_value.h"
 #include "engines/engine_list_core.h"
@@ -80,18 +80,18 @@
   checkMessage<RunHeartbeat>(checked);
   checkMessage<FetchItems>(checked);
   checkMessage<StartItem>(checked);
-  checkMessage<UnstartItem>(checked);
+  checkMessage<RevertStart>(checked);
   checkMessage<FinishItem>(checked);
-  checkMessage<HandBackRun>(checked);
+  checkMessage<ReturnRun>(checked);
   checkMessage<AssignRun>(checked);
   checkMessage<RunHeartbeatReply>(checked);
   checkMessage<ItemsPage>(checked);
   checkMessage<StartReply>(checked);
   checkMessage<FinishReply>(checked);
-  checkMessage<ReserveTokens>(checked);
-  checkMessage<ReserveTokensReply>(checked);
-  checkMessage<WaitingTokensReport>(checked);
-  checkMessage<WaitingTokensRequest>(checked);
+  checkMessage<ReserveQueuedTokens>(checked);
+  checkMessage<ReserveQueuedTokensReply>(checked);
+  checkMessage<QueuedTokensReport>(checked);
+  checkMessage<QueuedTokensRequest>(checked);
   checkMessage<ListingPull>(checked);
   checkMessage<ListingAnswer>(checked);
   checkMessage<CompareRequest>(checked);
@@ -145,16 +145,16 @@
   checkFormat<ResultPage>("batch.result_page", checked);
   checkFormat<UnfinishedItem>("batch.unfinished_item", checked);
   checkFormat<RunName>("batch.run_name", checked);
-  checkFormat<HeldAttempt>("batch.held_attempt", checked);
+  checkFormat<AttemptInFlight>("batch.held_attempt", checked);
   checkFormat<RunReport>("batch.run_report", checked);
   checkFormat<RunAnswer>("batch.run_answer", checked);
   checkFormat<BatchMeta>("batch.batch_meta", checked);
   checkFormat<BodyChunk>("batch.body_chunk", checked);
-  checkFormat<GarbageRecord>("batch.garbage_record", checked);
+  checkFormat<PendingDeletionRecord>("batch.garbage_record", checked);
   checkFormat<RunRecord>("batch.run_record", checked);
   checkFormat<ItemRecord>("batch.item_record", checked);
   checkFormat<TokenAccount>("batch.token_account", checked);
-  checkFormat<WaitingBatch>("batch.waiting_batch", checked);
+  checkFormat<QueuedBatch>("batch.waiting_batch", checked);
   checkFormat<PartitionTokens>("batch.partition_tokens", checked);
   checkFormat<EngineFinding>("engines.engine_finding", checked);
   checkFormat<EngineReport>("engines.engine_report", checked);
--- a/tests/serving/callers_loopback_test.cpp
+++ b/tests/serving/callers_loopback_test.cpp
@@ -246,7 +246,7 @@
   const CallerAnswer made = caller.read();
   BOOST_TEST(made.status == 201);
   BOOST_TEST(made.has(R"("id":"b1","items":2,"pending":2)"));
-  BOOST_TEST(batches.last.repeatableItems);
+  BOOST_TEST(batches.last.idempotentItems);
   BOOST_TEST(batches.last.tenant == "acme");
   BOOST_TEST(batches.last.items.at(1) == R"({"model":"n"})");
   const std::string ndjson = "Content-Type: application/x-ndjson\r\nX-Client-Key: k2\r\n";
