--- a/src/batch/batch_client_core.cpp
+++ b/src/batch/batch_client_core.cpp
@@ -8,10 +8,6 @@
 namespace shedshed {
 namespace {
 
-PartitionId partitionOfBatch(const std::string& batchId) {
-  return partitionOf(TableKind::Batches, batchId);
-}
-
 /// Redirects followed at once between two timer events; two stores that each name the other must
 /// not make a storm.
 constexpr std::uint32_t kMaxRedirects = 3;
--- a/src/batch/batch_records.cpp
+++ b/src/batch/batch_records.cpp
@@ -56,6 +56,14 @@
   return itemPrefix(batchId) + padded(position);
 }
 
+PartitionId partitionOfBatch(const std::string& batchId) {
+  return partitionOf(TableKind::Batches, batchId);
+}
+
+std::string batchIdOfKey(std::string_view key) {
+  return std::string(key.substr(key.rfind('/') + 1));
+}
+
 std::uint64_t positionOfItemKey(std::string_view key) {
   std::uint64_t position = 0;
   const std::string_view digits = key.substr(key.rfind('/') + 1);
--- a/src/batch/batch_records.h
+++ b/src/batch/batch_records.h
@@ -6,6 +6,7 @@
 #pragma once
 
 #include "batch/batch_client.h"
+#include "partition/partition_store.h"
 
 #include <cstdint>
 #include <msgpack.hpp>
@@ -88,6 +89,12 @@
 std::string itemPrefix(const std::string& batchId);
 std::string itemKey(const std::string& batchId, std::uint64_t position);
 
+/// Returns the partition that holds the rows of @p batchId.
+PartitionId partitionOfBatch(const std::string& batchId);
+
+/// Returns the batch id that ends the key of a row of the batch itself.
+std::string batchIdOfKey(std::string_view key);
+
 /// Returns the position that ends an item's key.
 std::uint64_t positionOfItemKey(std::string_view key);
 
--- a/src/batch/batch_state.cpp
+++ b/src/batch/batch_state.cpp
@@ -69,6 +69,22 @@
   }
 }
 
+void BatchState::apply(std::uint64_t position, const std::optional<ItemRecord>& record) {
+  if (record && record->mayHaveRun) {
+    setMayHaveRun(position);
+  }
+  if (!record) {
+    setPending(position);
+  } else if (record->state == ItemState::Started) {
+    setStarted(position, {record->runEpoch, record->incarnation, record->attempt});
+  } else {
+    setFinal(position, record->state);
+  }
+  if (record && record->rank != 0) {
+    setRank(record->rank, position);
+  }
+}
+
 std::uint64_t BatchState::pendingThatMayHaveRun() const {
   return static_cast<std::uint64_t>(
       std::count_if(mayHaveRun_.begin(), mayHaveRun_.end(), [this](std::uint64_t position) {
--- a/src/batch/batch_state.h
+++ b/src/batch/batch_state.h
@@ -7,6 +7,7 @@
 
 #include <functional>
 #include <map>
+#include <optional>
 #include <set>
 #include <vector>
 
@@ -37,6 +38,8 @@
   void setMayHaveRun(std::uint64_t position) { mayHaveRun_.insert(position); }
   bool mayHaveRun(std::uint64_t position) const { return mayHaveRun_.count(position) != 0; }
   void setFinal(std::uint64_t position, ItemState state);
+  /// Applies the durable row of an item; none means that it is pending and never ran.
+  void apply(std::uint64_t position, const std::optional<ItemRecord>& record);
   void setCancelled() { cancelled_ = true; }
   bool cancelled() const { return cancelled_; }
 
--- /dev/null
+++ b/src/batch/batch_uploads.h
@@ -0,0 +1,120 @@
+/// @file
+/// Submissions of batches: chunks, then the commit record.
+#pragma once
+
+#include "batch/batch_owner_options.h"
+#include "batch/batch_responder.h"
+#include "batch/batch_retention.h"
+#include "batch/batch_settings.h"
+#include "batch/batch_table.h"
+#include "batch/queued_token_reservations.h"
+#include "batch/run_supervisor.h"
+
+#include <map>
+#include <optional>
+#include <utility>
+#include <vector>
+
+namespace shedshed {
+
+/// Takes submissions until they are committed or rejected.
+///
+/// - A marker row is durable with the first chunk and covers each chunk before that chunk exists,
+///   so that a crash in the middle leaves no row that nobody would erase.
+/// - A batch exists once its commit record, written after all of its chunks, is on a majority; the
+///   submission is acknowledged only then. The batch id is chosen by the sender or follows from
+///   the client key, so that a resend finds the same batch.
+/// - A commit that failed may have survived on a replica. It is rejected only once its erasure is
+///   durable: until then nobody can say that the batch will not run.
+/// - A rejection is remembered for a time: a duplicate that arrives late must not commit.
+/// Core thread only.
+class BatchUploads : public ReservationListener {
+ public:
+  /// Keeps references; they must outlive it.
+  BatchUploads(CoreContext& context, PartitionStore& store, const BatchSettings& settings,
+               const BatchOwnerOptions& options, BatchTable& table, BatchRetention& retention,
+               QueuedTokenReservations& reservations, RunSupervisor& runs,
+               BatchResponder& responder)
+      : context_(context), store_(store), settings_(settings), options_(options), table_(table),
+        retention_(retention), reservations_(reservations), runs_(runs), responder_(responder) {}
+
+  /// The ownership of @p partition begins or ends: its submissions are forgotten, and their senders
+  /// start again at the first chunk.
+  void begin(const PartitionId& partition) { partitions_[partition] = Partition(); }
+  void drop(const PartitionId& partition) { partitions_.erase(partition); }
+
+  void onSubmit(const NodeId& from, SubmitChunk chunk);
+
+  /// Periodic work: abandons submissions without progress, forgets old rejections.
+  void expire(const PartitionId& partition);
+
+  void reservationGranted(const PartitionId& partition, const std::string& batchId) override;
+  void reservationRejected(const PartitionId& partition, const std::string& batchId,
+                           ErrorCode code) override;
+
+ private:
+  /// The chunk that commits, while its tokens are being reserved.
+  struct PendingCommit {
+    NodeId from;
+    SubmitChunk chunk;
+    /// Duplicates of the chunk, without their items: all get the same answer.
+    std::vector<std::pair<NodeId, SubmitChunk>> duplicates;
+  };
+  /// An uncommitted submission.
+  struct Upload {
+    BatchMeta meta;            ///< `chunkPositions` and `bodyBytes` grow with the chunks.
+    std::string hashes;        ///< Hash of each item so far.
+    std::uint64_t stored = 0;  ///< Items handed to the store.
+    std::uint64_t durableChunks = 0;
+    Time lastProgress{};
+    std::optional<PendingCommit> pendingCommit;
+  };
+  /// A submission that was rejected permanently.
+  struct Rejection {
+    Time at{};
+    ErrorCode code = ErrorCode::StorageFull;
+  };
+  struct Partition {
+    std::map<std::string, Upload> uploads;  ///< By batch id.
+    /// By sender and number of the request.
+    std::map<std::pair<NodeId, std::uint64_t>, Rejection> rejected;
+  };
+
+  /// Answers a chunk that needs no upload: the batch exists, or cannot be accepted now.
+  bool answeredAtOnce(const NodeId& from, const SubmitChunk& chunk, const Partition& partition);
+  /// @p resent tells the caller that the batch had been accepted before this submission.
+  void answerCommitted(const NodeId& from, const SubmitChunk& chunk, BatchState& batch,
+                       bool resent);
+  /// Returns the upload of the chunk, a new one for a first chunk; null if it was answered.
+  Upload* uploadFor(const NodeId& from, const SubmitChunk& chunk, Partition& partition);
+  /// True if the bodies of the chunk fit into the partition.
+  bool admits(const Partition& partition, const SubmitChunk& chunk, const Upload& upload) const;
+  /// Extends the upload by the facts of the chunk, and by its bytes.
+  static void append(Upload& upload, const SubmitChunk& chunk);
+  void storeChunk(const NodeId& from, SubmitChunk chunk, Upload& upload);
+  void chunkWritten(const NodeId& from, RequestId request, const std::string& batchId,
+                    std::uint64_t index, const Status& status);
+  void reserve(const NodeId& from, SubmitChunk chunk, Upload& upload);
+  void commitChunk(const NodeId& from, SubmitChunk chunk, Upload& upload);
+  /// Writes the commit record of an upload that is complete and matches its digest.
+  void writeCommit(const NodeId& from, SubmitChunk chunk, BatchMeta meta);
+  void commitWritten(const NodeId& from, RequestId request, const std::string& batchId,
+                     std::uint64_t epoch, const Status& status);
+  void committed(const std::string& batchId);
+  void abandonUpload(const std::string& batchId, Partition& partition);
+  void rejectPermanently(const NodeId& from, RequestId request, ErrorCode code,
+                         Partition& partition);
+
+  CoreContext& context_;
+  PartitionStore& store_;
+  const BatchSettings& settings_;
+  const BatchOwnerOptions& options_;
+  BatchTable& table_;
+  BatchRetention& retention_;
+  QueuedTokenReservations& reservations_;
+  RunSupervisor& runs_;
+  BatchResponder& responder_;
+  std::map<PartitionId, Partition> partitions_;
+};
+
+}  // namespace shedshed
--- /dev/null
+++ b/src/batch/item_lifecycle.cpp
@@ -0,0 +1,198 @@
+#include "batch/item_lifecycle.h"
+
+#include <algorithm>
+
+namespace shedshed {
+namespace {
+
+bool sameAttempt(const StartedItem& item, const RunName& run, std::uint64_t attempt) {
+  return item.runEpoch == run.runEpoch && item.incarnation == run.incarnation &&
+         item.attempt == attempt;
+}
+
+ItemRecord recordOf(FinishItem finish) {
+  ItemRecord record;
+  record.state = static_cast<ItemState>(finish.state);
+  record.runEpoch = finish.run.runEpoch;
+  record.incarnation = finish.run.incarnation;
+  record.attempt = finish.attempt;
+  record.body = std::move(finish.body);
+  record.errorType = std::move(finish.errorType);
+  return record;
+}
+
+}  // namespace
+
+void ItemLifecycle::whenOwnershipIsProved(const std::string& batchId,
+                                          std::function<void()> answer) {
+  store_.confirmOwnership(partitionOfBatch(batchId),
+                          [answer = std::move(answer)](const Status& status) {
+                            if (status) {
+                              answer();
+                            }
+                          });
+}
+
+void ItemLifecycle::sendStartReply(const NodeId& to, const StartItem& start, ItemVerdict verdict) {
+  StartReply reply;
+  reply.batchId = start.run.batchId;
+  reply.runEpoch = start.run.runEpoch;
+  reply.position = start.position;
+  reply.attempt = start.attempt;
+  reply.verdict = static_cast<std::uint8_t>(verdict);
+  context_.send(to, reply);
+}
+
+void ItemLifecycle::sendFinishReply(const NodeId& to, const RunName& run, std::uint64_t position,
+                                    std::uint64_t attempt) {
+  context_.send(to, FinishReply{run.batchId, run.runEpoch, position, attempt});
+}
+
+bool ItemLifecycle::isStopped(const BatchState& batch) const {
+  return batch.cancelRequested && safeguards_.cancelStopsStarts;
+}
+
+bool ItemLifecycle::mayStart(const BatchState& batch, const StartItem& start) const {
+  const auto reverted = batch.revertedAttempts.find(start.position);
+  const bool late = reverted != batch.revertedAttempts.end() && start.attempt <= reverted->second;
+  const ItemState state = batch.state(start.position);
+  const bool startable = state == ItemState::Pending ||
+                         (state == ItemState::Cancelled && !safeguards_.cancelStopsStarts);
+  return !isStopped(batch) && !late && startable;
+}
+
+void ItemLifecycle::onStart(const NodeId& from, const StartItem& start) {
+  BatchState* batch = table_.find(start.run.batchId);
+  if (batch == nullptr || !batch->committed || start.position >= batch->meta().itemCount) {
+    return;
+  }
+  if (batch->finished()) {
+    sendStartReply(from, start, ItemVerdict::Refused);
+    return;
+  }
+  if (items_.waitsForWrite(*batch, start.position, [this, from, start] { onStart(from, start); })) {
+    return;
+  }
+  const bool current = runs_.isCurrent(*batch, from, start.run);
+  const auto started = batch->started().find(start.position);
+  if (started != batch->started().end() && sameAttempt(started->second, start.run, start.attempt)) {
+    // A first acknowledgement may have been lost or not. Repeating it is safe while the run is
+    // current; after a cancel the runner reverts the attempt or reports its result.
+    if (current && !isStopped(*batch)) {
+      sendStartReply(from, start, ItemVerdict::Accepted);
+    }
+    return;
+  }
+  if (!current || !mayStart(*batch, start)) {
+    context_.counters().add("batch_starts_refused_total");
+    whenOwnershipIsProved(start.run.batchId, [this, from, start] {
+      sendStartReply(from, start, ItemVerdict::Refused);
+    });
+    return;
+  }
+  writeStart(from, start, *batch);
+}
+
+void ItemLifecycle::writeStart(const NodeId& from, const StartItem& start, BatchState& batch) {
+  ItemRecord record;
+  record.runEpoch = start.run.runEpoch;
+  record.incarnation = start.run.incarnation;
+  record.attempt = start.attempt;
+  record.mayHaveRun = batch.mayHaveRun(start.position);
+  if (!safeguards_.startedBeforeRun) {
+    sendStartReply(from, start, ItemVerdict::Accepted);
+  }
+  items_.writeItem(batch, start.position, std::move(record),
+                   [this, from, start] { startWritten(from, start); });
+}
+
+void ItemLifecycle::startWritten(const NodeId& from, const StartItem& start) {
+  BatchState* batch = table_.find(start.run.batchId);
+  if (!safeguards_.startedBeforeRun) {
+    return;
+  }
+  if (runs_.isCurrent(*batch, from, start.run) && !isStopped(*batch)) {
+    sendStartReply(from, start, ItemVerdict::Accepted);
+    return;
+  }
+  // The start was never acknowledged, so nobody runs the item: reverting it is safe also if the
+  // items are not idempotent.
+  items_.revertAttempt(*batch, start.position, start.attempt, false,
+                       [this, from, start] { sendStartReply(from, start, ItemVerdict::Refused); });
+}
+
+void ItemLifecycle::onRevertStart(const NodeId& from, const RevertStart& revert) {
+  BatchState* batch = table_.find(revert.run.batchId);
+  if (batch == nullptr || !batch->committed || revert.position >= batch->meta().itemCount) {
+    return;
+  }
+  const auto answer = [this, from, revert] {
+    sendFinishReply(from, revert.run, revert.position, revert.attempt);
+  };
+  if (batch->finished()) {
+    answer();
+    return;
+  }
+  if (items_.waitsForWrite(*batch, revert.position,
+                           [this, from, revert] { onRevertStart(from, revert); })) {
+    return;
+  }
+  const auto started = batch->started().find(revert.position);
+  if (started != batch->started().end() &&
+      sameAttempt(started->second, revert.run, revert.attempt)) {
+    items_.revertAttempt(*batch, revert.position, revert.attempt, revert.mayHaveRun, answer);
+    return;
+  }
+  if (runs_.isCurrent(*batch, from, revert.run)) {
+    std::uint64_t& highest = batch->revertedAttempts[revert.position];
+    highest = std::max(highest, revert.attempt);
+  }
+  whenOwnershipIsProved(revert.run.batchId, answer);
+}
+
+void ItemLifecycle::acknowledgeErased(const NodeId& from, const FinishItem& finish) {
+  if (table_.owned(finish.run.batchId) == nullptr) {
+    return;
+  }
+  whenOwnershipIsProved(finish.run.batchId, [this, from, finish] {
+    if (table_.find(finish.run.batchId) == nullptr) {
+      sendFinishReply(from, finish.run, finish.position, finish.attempt);
+    }
+  });
+}
+
+void ItemLifecycle::onFinish(const NodeId& from, FinishItem finish) {
+  BatchState* batch = table_.find(finish.run.batchId);
+  if (batch == nullptr) {
+    acknowledgeErased(from, finish);
+    return;
+  }
+  const auto state = static_cast<ItemState>(finish.state);
+  const bool valid =
+      state == ItemState::Done || state == ItemState::Failed || state == ItemState::Unknown;
+  if (!batch->committed || finish.position >= batch->meta().itemCount || !valid) {
+    return;
+  }
+  const auto answer = [this, from, run = finish.run, position = finish.position,
+                       attempt = finish.attempt] { sendFinishReply(from, run, position, attempt); };
+  if (batch->finished()) {
+    answer();
+    return;
+  }
+  if (batch->writing.count(finish.position) != 0) {
+    items_.waitsForWrite(*batch, finish.position, [this, from, finish] { onFinish(from, finish); });
+    return;
+  }
+  const auto started = batch->started().find(finish.position);
+  const bool open =
+      started != batch->started().end() && sameAttempt(started->second, finish.run, finish.attempt);
+  if (!open && safeguards_.firstResultWins) {
+    context_.counters().add("batch_results_ignored_total");
+    whenOwnershipIsProved(batch->id(), answer);
+    return;
+  }
+  const std::uint64_t position = finish.position;
+  items_.writeItem(*batch, position, recordOf(std::move(finish)), answer);
+}
+
+}  // namespace shedshed
--- a/src/batch/batch_owner_runs.cpp
+++ b/src/batch/run_supervisor.cpp
@@ -1,5 +1,4 @@
-/// Runs: which node runs a batch, under which epoch.
-#include "batch/batch_owner_core.h"
+#include "batch/run_supervisor.h"
 
 #include "kernel/rendezvous.h"
 
@@ -8,22 +7,22 @@
 namespace shedshed {
 namespace {
 
-/// An assignment is repeated when no heartbeat named the run for this long.
+/// An assignment is repeated if no heartbeat has named the run for this long.
 constexpr Duration kAnnounceAfterSilence = std::chrono::seconds(2);
 
-/// Bound of the states looked at for one page of items.
+/// Bound of the item states scanned for one page.
 constexpr std::uint64_t kMaxScannedStates = 8192;
 
 }  // namespace
 
-void BatchOwnerCore::superviseRun(BatchState& batch) {
+void RunSupervisor::supervise(BatchState& batch) {
   if (!batch.committed || batch.finished()) {
     return;
   }
   if (!batch.unranked.empty()) {
-    reassignRanks(batch);
+    items_.reassignRanks(batch);
   }
-  finishIfDone(batch);
+  items_.finishIfDone(batch);
   const bool assigning = batch.run.epoch != 0 && !batch.runDurable;
   if (batch.finalWriting || assigning) {
     return;
@@ -45,7 +44,7 @@
   }
 }
 
-NodeId BatchOwnerCore::chooseRunner(const std::string& batchId, const std::string& avoid) const {
+NodeId RunSupervisor::chooseRunner(const std::string& batchId, const std::string& avoid) const {
   const std::shared_ptr<const NodeTable> table = directory_.table();
   std::vector<NodeId> candidates;
   for (const NodeInfo& node : table->nodes) {
@@ -63,7 +62,7 @@
   return order.empty() ? NodeId{} : order.front();
 }
 
-void BatchOwnerCore::endRun(BatchState& batch, const std::string& avoidRunner) {
+void RunSupervisor::endRun(BatchState& batch, const std::string& avoidRunner) {
   const bool assigning = batch.run.epoch != 0 && !batch.runDurable;
   if (assigning || batch.finished() || batch.finalWriting) {
     return;
@@ -74,7 +73,7 @@
   }
 }
 
-void BatchOwnerCore::assignRun(BatchState& batch, const NodeId& runner) {
+void RunSupervisor::assignRun(BatchState& batch, const NodeId& runner) {
   batch.run.epoch += 1;
   batch.run.runner = runner.address;
   batch.runDurable = false;
@@ -83,15 +82,15 @@
   batch.revertedAttempts.clear();
   context_.counters().add("batch_runs_assigned_total");
   // What the lost run had started is resolved in the write that fences it.
-  writeResolutions(batch, {{runKey(batch.id()), encodeRecord(batch.run)}},
-                   resolutionsBefore(batch, batch.run.epoch), [this](BatchState& assigned) {
-                     assigned.runDurable = true;
-                     assigned.lastHeartbeat = context_.now();
-                     announceRun(assigned);
-                   });
+  items_.writeItems(batch, {{runKey(batch.id()), encodeRecord(batch.run)}},
+                    resolutionsBefore(batch, batch.run.epoch), [this](BatchState& assigned) {
+                      assigned.runDurable = true;
+                      assigned.lastHeartbeat = context_.now();
+                      announceRun(assigned);
+                    });
 }
 
-void BatchOwnerCore::announceRun(const BatchState& batch) {
+void RunSupervisor::announceRun(const BatchState& batch) {
   AssignRun assign;
   assign.batchId = batch.id();
   assign.runEpoch = batch.run.epoch;
@@ -104,16 +103,15 @@
   context_.send(NodeId{batch.run.runner}, assign);
 }
 
-BatchOwnerCore::Resolutions BatchOwnerCore::resolutionsBefore(const BatchState& batch,
-                                                              std::uint64_t epoch) const {
-  Resolutions resolutions;
+ItemRecords RunSupervisor::resolutionsBefore(const BatchState& batch, std::uint64_t epoch) const {
+  ItemRecords resolutions;
   const bool repeat = batch.meta().idempotent || !options_.safeguards.unknownAfterLostRun;
   for (const auto& [position, started] : batch.started()) {
     if (started.runEpoch >= epoch || batch.writing.count(position) != 0) {
       continue;
     }
     if (repeat) {
-      resolutions[position] = pendingRecord(true);
+      resolutions[position] = ItemWriter::pendingRecord(true);
       continue;
     }
     ItemRecord record;
@@ -125,52 +123,14 @@
   return resolutions;
 }
 
-void BatchOwnerCore::writeResolutions(BatchState& batch, std::vector<TableEntry> entries,
-                                      Resolutions resolutions,
-                                      std::function<void(BatchState&)> done) {
-  for (auto& [position, record] : resolutions) {
-    rankResult(batch, record);
-    TableEntry entry{itemKey(batch.id(), position), std::nullopt};
-    if (record) {
-      entry.value = encodeRecord(*record);
-    }
-    entries.push_back(std::move(entry));
-    batch.writing[position];
-  }
-  writeUntilDurable(
-      batch.id(), std::move(entries),
-      [this, batchId = batch.id(), resolutions = std::move(resolutions), done = std::move(done)] {
-        BatchState* resolved = find(batchId);
-        if (resolved == nullptr) {
-          return;
-        }
-        for (const auto& [position, record] : resolutions) {
-          applyItem(*resolved, position, record);
-        }
-        resolved->advanceListed();
-        std::vector<std::function<void()>> waiters;
-        for (const auto& entry : resolutions) {
-          for (auto& waiter : takeWaiters(*resolved, entry.first)) {
-            waiters.push_back(std::move(waiter));
-          }
-        }
-        done(*resolved);
-        for (const auto& waiter : waiters) {
-          waiter();
-        }
-        finishIfDone(*resolved);
-      });
-}
-
-void BatchOwnerCore::resolveStaleItems(BatchState& batch) {
-  // A start of the old run that became durable around a change of owner or of run.
-  Resolutions resolutions = resolutionsBefore(batch, batch.run.epoch);
+void RunSupervisor::resolveStaleItems(BatchState& batch) {
+  ItemRecords resolutions = resolutionsBefore(batch, batch.run.epoch);
   if (!resolutions.empty() && options_.safeguards.runEpochFence) {
-    writeResolutions(batch, {}, std::move(resolutions), [](BatchState&) {});
+    items_.writeItems(batch, {}, std::move(resolutions), [](BatchState&) {});
   }
 }
 
-bool BatchOwnerCore::runIsCurrent(BatchState& batch, const NodeId& from, const RunName& run) {
+bool RunSupervisor::isCurrent(BatchState& batch, const NodeId& from, const RunName& run) {
   if (!options_.safeguards.runEpochFence) {
     return true;
   }
@@ -187,15 +147,15 @@
   return true;
 }
 
-RunAnswer BatchOwnerCore::answerRun(const NodeId& from, const RunName& run) {
+RunAnswer RunSupervisor::answerRun(const NodeId& from, const RunName& run) {
   RunAnswer answer{run.batchId, run.runEpoch, static_cast<std::uint8_t>(RunVerdict::Ended), {}};
-  if (ownedOf(run.batchId) == nullptr) {
+  if (table_.owned(run.batchId) == nullptr) {
     answer.verdict = static_cast<std::uint8_t>(RunVerdict::NotOwner);
-    answer.owner = store_.ownerHint(partitionOf(TableKind::Batches, run.batchId));
+    answer.owner = store_.ownerHint(partitionOfBatch(run.batchId));
     return answer;
   }
-  BatchState* batch = find(run.batchId);
-  if (batch == nullptr || batch->finished() || !runIsCurrent(*batch, from, run)) {
+  BatchState* batch = table_.find(run.batchId);
+  if (batch == nullptr || batch->finished() || !isCurrent(*batch, from, run)) {
     return answer;
   }
   batch->runAcknowledged = true;
@@ -205,7 +165,7 @@
   return answer;
 }
 
-void BatchOwnerCore::onHeartbeat(const NodeId& from, const RunHeartbeat& heartbeat) {
+void RunSupervisor::onHeartbeat(const NodeId& from, const RunHeartbeat& heartbeat) {
   RunHeartbeatReply redirects;
   redirects.number = heartbeat.number;
   for (const RunReport& report : heartbeat.runs) {
@@ -220,7 +180,7 @@
     // A fenced owner that has not learnt of its loss must neither end a run that its successor
     // counts on nor keep the runner with itself. Proofs of all partitions share one message to
     // each replica.
-    store_.confirmOwnership(partitionOf(TableKind::Batches, report.run.batchId),
+    store_.confirmOwnership(partitionOfBatch(report.run.batchId),
                             [this, from, number = heartbeat.number, answer](const Status& status) {
                               if (status) {
                                 context_.send(from, RunHeartbeatReply{number, {answer}});
@@ -232,8 +192,8 @@
   }
 }
 
-void BatchOwnerCore::revertDroppedAttempts(const RunReport& report) {
-  BatchState* batch = find(report.run.batchId);
+void RunSupervisor::revertDroppedAttempts(const RunReport& report) {
+  BatchState* batch = table_.find(report.run.batchId);
   if (batch == nullptr || batch->finished()) {
     return;
   }
@@ -252,58 +212,64 @@
       dropped[position] = started.attempt;
     }
   }
-  // A late copy of a start came true after the runner had dropped that attempt. It never ran: a
-  // runner keeps every attempt that it ran until the owner has its result.
+  // A late duplicate of a start became durable after the runner had dropped that attempt. It never
+  // ran: a runner keeps every attempt that it ran until the owner has its result.
   for (const auto& [position, attempt] : dropped) {
-    revertAttempt(*batch, position, attempt, false, [] {});
+    items_.revertAttempt(*batch, position, attempt, false, [] {});
   }
 }
 
-void BatchOwnerCore::onReturnRun(const NodeId& from, const ReturnRun& returned) {
-  BatchState* batch = find(returned.run.batchId);
+void RunSupervisor::onReturnRun(const NodeId& from, const ReturnRun& returned) {
+  BatchState* batch = table_.find(returned.run.batchId);
   if (batch != nullptr && batch->committed && !batch->finished() &&
-      runIsCurrent(*batch, from, returned.run)) {
+      isCurrent(*batch, from, returned.run)) {
     endRun(*batch, from.address);
   }
 }
 
-void BatchOwnerCore::onFetch(const NodeId& from, const FetchItems& fetch) {
-  BatchState* batch = find(fetch.run.batchId);
+void RunSupervisor::onFetch(const NodeId& from, const FetchItems& fetch) {
+  BatchState* batch = table_.find(fetch.run.batchId);
   if (batch == nullptr || batch->finished() || batch->cancelRequested ||
-      !runIsCurrent(*batch, from, fetch.run)) {
+      !isCurrent(*batch, from, fetch.run)) {
     return;
   }
+  if (const std::optional<ItemsPage> page = pendingItems(*batch, fetch)) {
+    context_.send(from, *page);
+  }
+}
+
+std::optional<ItemsPage> RunSupervisor::pendingItems(const BatchState& batch,
+                                                     const FetchItems& fetch) {
   ItemsPage page;
   page.batchId = fetch.run.batchId;
   page.runEpoch = fetch.run.runEpoch;
   page.from = fetch.from;
-  const std::uint64_t count = batch->meta().itemCount;
+  const std::uint64_t count = batch.meta().itemCount;
   std::uint64_t position = fetch.from;
   const std::uint64_t scanEnd = std::min(count, position + kMaxScannedStates);
-  while (position < scanEnd && batch->state(position) != ItemState::Pending) {
+  while (position < scanEnd && batch.state(position) != ItemState::Pending) {
     ++position;
   }
   if (position < scanEnd) {
     // One page stays inside one chunk, so that one row is decoded for it.
-    const std::uint64_t chunkIndex = batch->chunkOf(position);
-    const std::uint64_t end = batch->chunkEnd(chunkIndex);
-    const PartitionId partition = partitionOf(TableKind::Batches, batch->id());
-    const auto row = store_.get(partition, bodyKey(batch->id(), chunkIndex));
+    const std::uint64_t index = batch.chunkOf(position);
+    const auto row = store_.get(partitionOfBatch(batch.id()), bodyKey(batch.id(), index));
     Result<BodyChunk> chunk = decodeRecord<BodyChunk>(row.value_or(std::string()));
     if (!chunk) {
       context_.counters().add("batch_rows_corrupt_total");
-      return;
+      return std::nullopt;
     }
-    const std::uint64_t first = batch->meta().chunkPositions[chunkIndex];
+    const std::uint64_t first = batch.meta().chunkPositions[index];
+    const std::uint64_t end = batch.chunkEnd(index);
     for (; position < end && page.items.size() < fetch.maxItems; ++position) {
-      if (batch->state(position) == ItemState::Pending && batch->writing.count(position) == 0) {
+      if (batch.state(position) == ItemState::Pending && batch.writing.count(position) == 0) {
         page.items.push_back(
             {position, ItemState::Pending, std::move(chunk.value().items.at(position - first))});
       }
     }
   }
   page.next = position < count ? position : 0;
-  context_.send(from, page);
+  return page;
 }
 
 }  // namespace shedshed
