--- a/src/batch/batch_client_core.cpp
+++ b/src/batch/batch_client_core.cpp
@@ -12,7 +12,7 @@
 /// not make a storm.
 constexpr std::uint32_t kMaxRedirects = 3;
 
-/// Answers that no further copy of the request can change.
+/// Answers that no retransmission of the request can change.
 bool isDefinite(ErrorCode code) {
   switch (code) {
   case ErrorCode::NotFound:
@@ -28,7 +28,7 @@
   }
 }
 
-/// Refusals of a submission that a copy of it may not meet a moment later.
+/// Rejections of a submission that a retransmission may not meet a moment later.
 bool dependsOnMoment(ErrorCode code) {
   return code == ErrorCode::StorageFull || code == ErrorCode::PoolFull ||
          code == ErrorCode::StoreUnavailable;
@@ -304,7 +304,7 @@
                                     const BatchReply& reply) {
   Upload& upload = std::get<Upload>(request.content);
   if (reply.nextChunk == upload.next || reply.nextChunk >= upload.chunks.size()) {
-    // The chunk on its way is the one wanted; silence is handled by the timer.
+    // The chunk in flight is the one requested; a lost one is handled by the timer.
     return;
   }
   if (reply.nextChunk > upload.next) {
@@ -328,7 +328,7 @@
       return;
     }
     if (reply.owner.empty() || reply.owner == from) {
-      // Nobody is known yet: the timer asks the next candidate.
+      // No owner is known yet: the timer tries the next candidate.
       return;
     }
     locator_.redirected(partition, reply.owner);
@@ -342,8 +342,8 @@
     return;
   }
   if (upload != nullptr && dependsOnMoment(code) && !upload->openCommits.empty()) {
-    // Another copy of the commit may still arrive where or when there is room: its answer, or the
-    // deadline, decides.
+    // Another transmission of the commit may still find capacity: its answer, or the deadline,
+    // decides.
     return;
   }
   finish(number, makeError(code, reply.detail));
--- a/src/batch/batch_messages.h
+++ b/src/batch/batch_messages.h
@@ -32,7 +32,7 @@
   std::string digest;           ///< Of the whole submission.
   std::uint64_t chunk = 0;
   bool last = false;
-  std::uint32_t transmission = 0;  ///< Tells the copies of one request apart; echoed.
+  std::uint32_t transmission = 0;  ///< Numbers the transmissions of one request; echoed.
   std::vector<std::string> items;
   std::vector<std::string> names;     ///< Of the items of this chunk, or empty.
   std::string route;                  ///< Route that took the batch, or empty.
@@ -89,7 +89,8 @@
   MSGPACK_DEFINE(batchId, runEpoch, incarnation);
 };
 
-/// A start that a runner still holds: asked for, running, or not acknowledged as reported.
+/// An attempt of an item that a runner has in flight: its start is requested, it runs, or its
+/// report is not acknowledged.
 struct AttemptInFlight {
   std::uint64_t position = 0;
   std::uint64_t attempt = 0;
@@ -114,7 +115,7 @@
   MSGPACK_DEFINE(number, runs);
 };
 
-/// Runner to owner: asks for pending items.
+/// Runner to owner: requests pending items.
 struct FetchItems {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 11;
@@ -135,7 +136,7 @@
 };
 
 /// Runner to owner: the attempt is over and the item may run again: no byte of it has gone to an
-/// engine, or the batch's items may be repeated.
+/// engine, or the items of the batch are idempotent.
 struct RevertStart {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 13;
@@ -159,7 +160,7 @@
   MSGPACK_DEFINE(run, position, attempt, state, body, errorType);
 };
 
-/// Runner to owner: gives the run back; none of its items is running.
+/// Runner to owner: returns the run for another node; none of its items is running.
 struct ReturnRun {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 15;
@@ -214,13 +215,13 @@
   std::uint64_t runEpoch = 0;
   std::uint64_t from = 0;
   std::vector<UnfinishedItem> items;
-  std::uint64_t next = 0;  ///< Where to go on; 0 when the end was reached.
+  std::uint64_t next = 0;  ///< Position to fetch next; 0 when the end was reached.
   MSGPACK_DEFINE(batchId, runEpoch, from, items, next);
 };
 
 enum class ItemVerdict : std::uint8_t {
   Accepted = 1,  ///< Durable.
-  Refused = 2,   ///< Did not and will not take effect: forget it.
+  Refused = 2,   ///< Did not and will not take effect: the attempt is over.
 };
 
 /// Owner to runner: answers `StartItem`.
--- a/src/batch/batch_settings.h
+++ b/src/batch/batch_settings.h
@@ -26,9 +26,9 @@
   /// Time after its submission at which all results of a batch of @p route are due; 0: none.
   Duration runObjective(const std::string& route) const;
 
-  /// Most tokens of one tenant that may wait on @p route; 0 if there is no bound.
+  /// Limit of the queued tokens of one tenant on @p route; 0 if there is none.
   std::uint64_t queuedTokenLimit(const std::string& route) const;
-  /// True if any route bounds the waiting tokens.
+  /// True if any route limits the queued tokens.
   bool limitsQueuedTokens() const;
 
  private:
--- a/src/batch/item_admission.h
+++ b/src/batch/item_admission.h
@@ -34,19 +34,19 @@
   /// Sets the time in which the window grows by one item; `kWindowGrowthInterval` at first.
   void setGrowthInterval(Duration interval) { growthInterval_ = interval; }
 
-  /// True if one more item may ask for slots.
+  /// True if one more item may request slots.
   bool mayRequest(Time now) const;
 
-  /// An item asks for slots; one of `granted` and `rejected` follows.
+  /// An item requests slots; one of `granted` and `rejected` follows.
   void requested() { ++acquiring_; }
 
   /// Slots were granted; `released` follows. @p most bounds the requests at once.
   void granted(std::uint32_t most);
 
-  /// Slots were refused. @p pause counts if no slot is in use.
+  /// The request was rejected. @p pause counts if no slot is in use.
   void rejected(Time now, Duration pause);
 
-  /// Granted slots were given back.
+  /// Granted slots were released.
   void released();
 
   /// The owner of the pool says that this run should hold @p slots, and that @p free slots are held
@@ -54,7 +54,7 @@
   void setShare(std::uint32_t slots, std::uint32_t free, Time now);
   bool hasShare() const { return share_.has_value(); }
 
-  /// Time after which a refused request may be repeated, if there is a share; at most @p most.
+  /// Time after which a rejected request may be repeated, if there is a share; at most @p most.
   Duration retryDelay(Duration most) const;
 
   /// No item asks before @p until, and then one at first.
--- /dev/null
+++ b/src/batch/item_executor.cpp
@@ -0,0 +1,307 @@
+#include "batch/item_executor.h"
+
+#include "batch/batch_records.h"
+
+#include <algorithm>
+
+namespace shedshed {
+namespace {
+
+/// Lowest and highest HTTP status of success.
+constexpr int kSuccessFirst = 200;
+constexpr int kSuccessLast = 299;
+
+/// Errors that no later attempt changes.
+bool isPermanent(ErrorCode code) {
+  return code == ErrorCode::InvalidArgument || code == ErrorCode::TooLarge;
+}
+
+}  // namespace
+
+void ItemExecutor::startWaitingItems(const RunKey& key) {
+  while (true) {
+    BatchRun* run = runs_.find(key);
+    if (run == nullptr || !runs_.mayStart(*run) || !hasCapacity(*run)) {
+      return;
+    }
+    // An item without a model needs no slots.
+    const Time now = context_.now();
+    std::optional<WaitingItem> next = run->waiting.takeFirst([run, now](const WaitingItem& item) {
+      return item.model.empty() || run->admissions[item.model].mayRequest(now);
+    });
+    if (!next) {
+      fetcher_.fetch(key, *run);
+      return;
+    }
+    beginItem(key, *run, std::move(*next));
+  }
+}
+
+bool ItemExecutor::hasCapacity(const BatchRun& run) const {
+  const auto active = std::count_if(run.items.begin(), run.items.end(), [](const auto& entry) {
+    return entry.second.phase != AttemptPhase::Reporting;
+  });
+  // Unacknowledged results count as well: a lost owner must not let them pile up.
+  return active < options_.itemsPerBatch && itemsInFlight_ < options_.itemsInAll &&
+         run.items.size() + run.waiting.requeued() < options_.pageSize();
+}
+
+void ItemExecutor::beginItem(const RunKey& key, BatchRun& run, WaitingItem next) {
+  ItemAttempt& item = run.items[next.position];
+  item.attempt = nextAttempt_++;
+  item.body = std::move(next.body);
+  item.model = std::move(next.model);
+  ++itemsInFlight_;
+  if (item.model.empty()) {
+    // Its one result is a failure; it needs no engine and so no slots.
+    requestStart(key, run, next.position);
+    return;
+  }
+  slots_.acquire(key, run, next.position,
+                 [this, key, position = next.position, attempt = item.attempt](
+                     const Result<SlotGrant>& grant) { onSlots(key, position, attempt, grant); });
+}
+
+ItemAttempt* ItemExecutor::findAttempt(BatchRun* run, std::uint64_t position,
+                                       std::uint64_t attempt) {
+  if (run == nullptr) {
+    return nullptr;
+  }
+  const auto found = run->items.find(position);
+  const bool same = found != run->items.end() && found->second.attempt == attempt;
+  return same ? &found->second : nullptr;
+}
+
+void ItemExecutor::onSlots(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
+                           const Result<SlotGrant>& grant) {
+  BatchRun* run = runs_.find(key);
+  ItemAttempt* item = findAttempt(run, position, attempt);
+  if (item == nullptr) {
+    slots_.giveBack(grant);
+    return;
+  }
+  if (grant) {
+    slots_.granted(*run, *item, grant.value());
+    if (runs_.mayStart(*run)) {
+      requestStart(key, *run, position);
+      startWaitingItems(key);
+      return;
+    }
+    slots_.release(*run, *item);
+  } else {
+    const Duration delay = slots_.rejected(*run, item->model);
+    run->waiting.requeue({position, item->model, std::move(item->body), context_.now() + delay});
+  }
+  run->items.erase(position);
+  --itemsInFlight_;
+  if (run->stopped || run->ended || runs_.draining()) {
+    run->waiting.clear();
+  }
+  runs_.forgetIfDone(key);
+}
+
+void ItemExecutor::requestStart(const RunKey& key, BatchRun& run, std::uint64_t position) {
+  ItemAttempt& item = run.items[position];
+  item.phase = AttemptPhase::Starting;
+  item.startRequestedAt = context_.now();
+  item.lastSent = item.startRequestedAt;
+  const NodeId owner = runs_.ownerOf(run);
+  if (!owner.empty()) {
+    context_.send(owner, StartItem{runs_.nameOf(key), position, item.attempt});
+  }
+}
+
+void ItemExecutor::onStartReply(const StartReply& reply) {
+  const RunKey key{reply.batchId, reply.runEpoch};
+  const bool accepted = reply.verdict == static_cast<std::uint8_t>(ItemVerdict::Accepted);
+  BatchRun* run = runs_.find(key);
+  ItemAttempt* item = findAttempt(run, reply.position, reply.attempt);
+  if (item == nullptr) {
+    if (accepted) {
+      revertUnknownStart(key, reply);
+    }
+    return;
+  }
+  if (item->phase != AttemptPhase::Starting) {
+    return;
+  }
+  if (!accepted) {
+    slots_.release(*run, *item);
+    run->items.erase(reply.position);
+    --itemsInFlight_;
+    startWaitingItems(key);
+    runs_.forgetIfDone(key);
+    return;
+  }
+  const bool fresh = context_.now() - item->startRequestedAt <= options_.maxStartAge;
+  if (!fresh || !runs_.mayStart(*run)) {
+    revertStart(key, *run, reply.position, false);
+    return;
+  }
+  callEngine(key, *run, reply.position);
+}
+
+/// A late duplicate of a start became durable at the owner; no attempt here runs for it.
+void ItemExecutor::revertUnknownStart(const RunKey& key, const StartReply& reply) {
+  const NodeId owner = locator_.candidate(partitionOfBatch(reply.batchId), 0);
+  if (!owner.empty()) {
+    context_.send(owner, RevertStart{runs_.nameOf(key), reply.position, reply.attempt});
+  }
+}
+
+void ItemExecutor::callEngine(const RunKey& key, BatchRun& run, std::uint64_t position) {
+  ItemAttempt& item = run.items[position];
+  item.phase = AttemptPhase::Running;
+  if (item.model.empty()) {
+    finishItem(key, run, position, ItemState::Failed, {}, ErrorCode::InvalidArgument);
+    return;
+  }
+  ++run.runsOfItem[position];
+  EngineCall call;
+  call.requestId = key.first + "-" + std::to_string(position) + "-" + std::to_string(key.second) +
+                   "-" + std::to_string(item.attempt);
+  call.model = item.model;
+  call.body = std::move(item.body);
+  call.tenant = run.assignment.tenant;
+  call.suggestedEngine = item.suggestedEngine;
+  call.isWanted = [this, key] {
+    const BatchRun* current = runs_.find(key);
+    return current != nullptr && runs_.mayStart(*current);
+  };
+  const std::uint64_t attempt = item.attempt;
+  engines_.run(std::move(call), [this, key, position, attempt](Result<EngineAnswer> answer) {
+    onAnswer(key, position, attempt, std::move(answer));
+  });
+}
+
+void ItemExecutor::onAnswer(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
+                            Result<EngineAnswer> answer) {
+  BatchRun* run = runs_.find(key);
+  const ItemAttempt* item = findAttempt(run, position, attempt);
+  if (item == nullptr || item->phase != AttemptPhase::Running) {
+    return;
+  }
+  if (!answer) {
+    onEngineError(key, *run, position, answer.error());
+  } else if (answer.value().status >= kSuccessFirst && answer.value().status <= kSuccessLast) {
+    finishItem(key, *run, position, ItemState::Done, std::move(answer.value().body),
+               ErrorCode::Internal);
+  } else {
+    finishItem(key, *run, position, ItemState::Failed, {}, ErrorCode::EngineFailed);
+  }
+  startWaitingItems(key);
+}
+
+void ItemExecutor::onEngineError(const RunKey& key, BatchRun& run, std::uint64_t position,
+                                 const Error& error) {
+  if (error.ran == Ran::No && isPermanent(error.code)) {
+    finishItem(key, run, position, ItemState::Failed, {}, error.code);
+    return;
+  }
+  if (error.ran == Ran::No) {
+    run.admissions[run.items[position].model].pause(context_.now() + options_.retryPause);
+    --run.runsOfItem[position];
+    revertStart(key, run, position, false);
+    return;
+  }
+  if (run.assignment.idempotent && run.runsOfItem[position] < options_.maxRunsPerItem) {
+    revertStart(key, run, position, true);
+    return;
+  }
+  finishItem(key, run, position, ItemState::Unknown, {}, ErrorCode::OutcomeUnknown);
+}
+
+void ItemExecutor::finishItem(const RunKey& key, BatchRun& run, std::uint64_t position,
+                              ItemState state, std::string body, ErrorCode code) {
+  ItemAttempt& item = run.items[position];
+  FinishItem finish;
+  finish.run = runs_.nameOf(key);
+  finish.position = position;
+  finish.attempt = item.attempt;
+  finish.state = static_cast<std::uint8_t>(state);
+  finish.body = std::move(body);
+  if (state != ItemState::Done) {
+    finish.errorType = std::string(errorTypeName(code));
+  }
+  run.runsOfItem.erase(position);
+  report(run, item, encodeMessage(finish));
+}
+
+void ItemExecutor::revertStart(const RunKey& key, BatchRun& run, std::uint64_t position,
+                               bool mayHaveRun) {
+  ItemAttempt& item = run.items[position];
+  report(run, item,
+         encodeMessage(RevertStart{runs_.nameOf(key), position, item.attempt, mayHaveRun}));
+}
+
+void ItemExecutor::report(BatchRun& run, ItemAttempt& item, Message message) {
+  slots_.release(run, item);
+  item.phase = AttemptPhase::Reporting;
+  item.body.clear();
+  item.report = std::move(message);
+  item.lastSent = context_.now();
+  --itemsInFlight_;
+  const NodeId owner = runs_.ownerOf(run);
+  if (!owner.empty()) {
+    context_.send(owner, *item.report);
+  }
+}
+
+void ItemExecutor::resendItem(const RunKey& key, BatchRun& run, std::uint64_t position,
+                              ItemAttempt& item) {
+  if (item.phase == AttemptPhase::Starting &&
+      context_.now() - item.startRequestedAt > options_.maxStartAge) {
+    // Do not keep slots for an owner that does not reply.
+    revertStart(key, run, position, false);
+    return;
+  }
+  const bool open = item.phase == AttemptPhase::Starting || item.phase == AttemptPhase::Reporting;
+  if (!open || context_.now() - item.lastSent < options_.resend) {
+    return;
+  }
+  item.lastSent = context_.now();
+  if (run.ended) {
+    // Ended runs send no heartbeats that would find a new owner.
+    ++run.locatorAttempt;
+  }
+  const NodeId owner = runs_.ownerOf(run);
+  if (owner.empty()) {
+    return;
+  }
+  if (item.phase == AttemptPhase::Starting) {
+    context_.send(owner, StartItem{runs_.nameOf(key), position, item.attempt});
+  } else {
+    context_.send(owner, *item.report);
+  }
+}
+
+void ItemExecutor::onFinishReply(const FinishReply& reply) {
+  const RunKey key{reply.batchId, reply.runEpoch};
+  BatchRun* run = runs_.find(key);
+  const ItemAttempt* item = findAttempt(run, reply.position, reply.attempt);
+  if (item == nullptr || item->phase != AttemptPhase::Reporting) {
+    return;
+  }
+  run->items.erase(reply.position);
+  startWaitingItems(key);
+  runs_.forgetIfDone(key);
+}
+
+void ItemExecutor::stopStarting(const RunKey& key, BatchRun& run) {
+  run.waiting.clear();
+  for (auto& [position, item] : run.items) {
+    // A start without a reply may or may not be durable: the owner must learn that this attempt
+    // will not run.
+    if (item.phase == AttemptPhase::Starting) {
+      revertStart(key, run, position, false);
+    }
+  }
+}
+
+void ItemExecutor::resend(const RunKey& key, BatchRun& run) {
+  for (auto& [position, item] : run.items) {
+    resendItem(key, run, position, item);
+  }
+}
+
+}  // namespace shedshed
--- /dev/null
+++ b/src/batch/item_slots.cpp
@@ -0,0 +1,89 @@
+#include "batch/item_slots.h"
+
+#include <algorithm>
+#include <random>
+
+namespace shedshed {
+namespace {
+
+/// Items by which a window of slots grows in the time after which a rejected item returns.
+constexpr int kWindowStepsPerRequeue = 10;
+
+}  // namespace
+
+void ItemSlots::acquire(const RunKey& key, BatchRun& run, std::uint64_t position,
+                        std::function<void(const Result<SlotGrant>&)> done) {
+  const ItemAttempt& item = run.items[position];
+  const EffectiveSettings settings = settings_.effective(run.assignment.tenant);
+  SlotRequest request;
+  request.requestId = key.first + "-" + std::to_string(position);
+  request.serviceClass = SlotClass::BatchItem;
+  SlotLimit limit;
+  limit.failOpen = false;  // Without a proof of idle capacity, live calls come first.
+  limit.timeToLive = settings.itemSlotTtl;
+  limit.pool = {"tenant", run.assignment.tenant};
+  request.limits.push_back(limit);
+  limit.pool = {"batch", item.model};
+  request.limits.push_back(limit);
+  if (run.assignment.hasDueTime) {
+    request.demand = RunDemand{key.first + "/" + std::to_string(key.second),
+                               run.due - context_.now(), requestedSlots(run)};
+    request.onShare = [this, key, model = item.model](const RunShare& share) {
+      onShare(key, model, share);
+    };
+  }
+  ItemAdmission& admission = run.admissions[item.model];
+  admission.setGrowthInterval(settings.requeueDelay / kWindowStepsPerRequeue);
+  admission.requested();
+  slots_.acquire(std::move(request), std::move(done));
+}
+
+void ItemSlots::granted(BatchRun& run, ItemAttempt& item, const SlotGrant& grant) {
+  run.admissions[item.model].granted(options_.itemsPerBatch);
+  item.grant = grant.grantId;
+  item.suggestedEngine = grant.suggestedEngine();
+}
+
+Duration ItemSlots::rejected(BatchRun& run, const std::string& model) {
+  ItemAdmission& admission = run.admissions[model];
+  const Duration requeueDelay = settings_.effective(run.assignment.tenant).requeueDelay;
+  const Duration delay = admission.hasShare() ? admission.retryDelay(requeueDelay) : requeueDelay;
+  const Duration jitter(
+      std::uniform_int_distribution<Duration::rep>(0, delay.count() / 2)(context_.random()));
+  admission.rejected(context_.now(), delay + jitter);
+  if (admission.hasShare()) {
+    context_.startTimer(kRetryTimer, delay + jitter);
+  }
+  context_.counters().add("batch_slot_refusals_total");
+  return delay + jitter;
+}
+
+void ItemSlots::giveBack(const Result<SlotGrant>& grant) {
+  if (grant) {
+    slots_.release(grant.value().grantId);
+  }
+}
+
+void ItemSlots::release(BatchRun& run, ItemAttempt& item) {
+  if (item.grant) {
+    run.admissions[item.model].released();
+    slots_.release(*item.grant);
+    item.grant.reset();
+  }
+}
+
+std::uint32_t ItemSlots::requestedSlots(const BatchRun& run) {
+  const auto active = std::count_if(run.items.begin(), run.items.end(), [](const auto& entry) {
+    return entry.second.phase != AttemptPhase::Reporting;
+  });
+  return static_cast<std::uint32_t>(run.waiting.queued() + run.waiting.requeued()) +
+         static_cast<std::uint32_t>(active);
+}
+
+void ItemSlots::onShare(const RunKey& key, const std::string& model, const RunShare& share) {
+  if (BatchRun* run = runs_.find(key)) {
+    run->admissions[model].setShare(share.slots, share.free, context_.now());
+  }
+}
+
+}  // namespace shedshed
--- a/src/batch/queued_token_messages.h
+++ b/src/batch/queued_token_messages.h
@@ -1,7 +1,8 @@
 /// @file
-/// Messages between the owners of batches and the ledger of waiting tokens.
+/// Messages between the owners of batches and the quota of queued tokens.
 ///
-/// A request that is received twice, or after its answer was lost, has the effect of one.
+/// All are idempotent: a request that arrives twice, or again after its reply was lost, has the
+/// effect of one.
 #pragma once
 
 #include "kernel/message.h"
@@ -30,7 +31,7 @@
   MSGPACK_DEFINE(tenant, route);
 };
 
-/// The waiting tokens of one batch.
+/// The queued tokens of one batch: those of its items without a final state.
 struct QueuedBatch {
   std::string batchId;
   TokenAccount account;
@@ -38,8 +39,8 @@
   MSGPACK_DEFINE(batchId, account, tokens);
 };
 
-/// All batches with waiting tokens in one partition, as its owner at `epoch` knows them, with
-/// those for which it has asked for a reservation.
+/// All batches with queued tokens in one partition, as its owner at `epoch` knows them, and those
+/// with an open reservation.
 struct PartitionTokens {
   PartitionId partition;
   std::uint64_t epoch = 0;
@@ -47,11 +48,11 @@
   MSGPACK_DEFINE(partition, epoch, batches);
 };
 
-/// Owner of a batch → ledger: may this batch be accepted?
+/// Owner of a batch → quota: may this batch be accepted?
 struct ReserveQueuedTokens {
   static constexpr ServiceId kService = ServiceId::WaitingTokens;
   static constexpr std::uint16_t kKind = 1;
-  std::uint64_t number = 0;  ///< Numbers all messages of one process to the ledger.
+  std::uint64_t number = 0;  ///< Numbers all messages of one process to the quota.
   PartitionId partition;     ///< Of the batch.
   std::uint64_t epoch = 0;   ///< At which the sender owns that partition.
   QueuedBatch batch;
@@ -61,11 +62,11 @@
 enum class ReserveOutcome : std::uint8_t {
   Granted = 1,
   Full = 2,      ///< The tokens do not fit under the limit.
-  NotReady = 3,  ///< The receiver is not the ledger, or does not know all batches yet: ask again.
+  NotReady = 3,  ///< The receiver does not own the quota, or is rebuilding its counts: retry.
 };
 
-/// Ledger → owner of a batch; also the answer to a report that does not reach the ledger, with an
-/// empty batch id.
+/// Quota → owner of a batch; also the reply to a report that reached a node that does not own the
+/// quota, with an empty batch id.
 struct ReserveQueuedTokensReply {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 20;
@@ -73,11 +74,11 @@
   PartitionId partition;
   std::string batchId;
   ReserveOutcome outcome = ReserveOutcome::NotReady;
-  NodeId quotaOwner;  ///< With `NotReady`: the node that the sender believes to be the ledger.
+  NodeId quotaOwner;  ///< With `NotReady`: the believed owner of the quota.
   MSGPACK_DEFINE(number, partition, batchId, outcome, quotaOwner);
 };
 
-/// Owner of batches → ledger: what waits in the partitions that the sender owns.
+/// Owner of batches → quota: what is queued in the partitions that the sender owns.
 struct QueuedTokensReport {
   static constexpr ServiceId kService = ServiceId::WaitingTokens;
   static constexpr std::uint16_t kKind = 2;
@@ -89,12 +90,12 @@
   MSGPACK_DEFINE(number, quotaEpoch, partitions);
 };
 
-/// A new ledger → all live stores: what waits in the partitions that you own?
+/// A new owner of the quota → all stores: what is queued in the partitions that you own?
 struct QueuedTokensRequest {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 21;
   std::uint64_t quotaEpoch = 0;
-  std::vector<PartitionId> partitions;  ///< Those not heard of yet.
+  std::vector<PartitionId> partitions;  ///< Those without a report yet.
   MSGPACK_DEFINE(quotaEpoch, partitions);
 };
 
--- a/src/batch/queued_token_quota.cpp
+++ b/src/batch/queued_token_quota.cpp
@@ -74,7 +74,7 @@
   QueuedTokensRequest request;
   request.quotaEpoch = epoch_;
   request.partitions.assign(unreported_.begin(), unreported_.end());
-  // A store that is held dead may be one that has just restarted.
+  // A store that is confirmed dead may have just restarted.
   for (const NodeId& store : directory_.table()->known(NodeRole::Store)) {
     context_.send(store, request);
   }
--- a/src/batch/queued_token_quota.h
+++ b/src/batch/queued_token_quota.h
@@ -1,5 +1,5 @@
 /// @file
-/// The singleton that bounds the tokens that wait in accepted batches.
+/// The singleton that limits the queued tokens of accepted batches.
 #pragma once
 
 #include "batch/batch_safeguards.h"
@@ -13,20 +13,22 @@
 
 namespace shedshed {
 
-/// Interval at which a new ledger asks again for what it does not know yet.
+/// Interval at which a new owner of the quota repeats its queries for missing reports.
 inline constexpr Duration kQuotaRebuildRetry = std::chrono::milliseconds(100);
 
 /// Runs on every store; acts on the owner of the partition of the name "waiting-tokens", under that
 /// partition's epoch.
 ///
-/// The owner of a batch's partition asks for a reservation before it writes the commit record, and
-/// reports several times a second what waits in its partitions. The ledger keeps all of it in
-/// memory only. Why the limit holds when it moves:
-/// - A new ledger grants nothing before the proved owner of each partition of batches has told it
-///   what waits there. Such an owner names the batches that it has asked a reservation for as well.
-/// - An old ledger proves its ownership after it has counted a batch and before it says so. A grant
-///   that was proved before the new ledger took over was asked for before that, so that the batch
-///   is in the answer of its owner.
+/// The owner of a batch's partition requests a reservation before it writes the commit record, and
+/// reports several times a second what is queued in its partitions. The quota keeps its counts in
+/// memory only: a crash loses them, and the next owner of the quota rebuilds them. Why the limit
+/// holds when the ownership moves:
+/// - A new owner grants nothing before the proved owner of each partition of batches has reported
+///   what is queued there. Such a report names open reservations as well.
+/// - An old owner proves its ownership after it has counted a batch and before it grants. A grant
+///   that was proved before the takeover was requested before it, so that the batch is in the
+///   report that the new owner waits for.
+/// Core thread only.
 class QueuedTokenQuota : public Core {
  public:
   /// Keeps references to all; they must outlive it.
@@ -40,7 +42,7 @@
   void receive(const NodeId& from, const Message& message) override;
   void timerExpired(TimerId timer) override;
 
-  /// True if this node acts and knows all partitions.
+  /// True if this node owns the quota and has the reports of all partitions.
   bool isReady() const;
   /// The tokens counted for @p account.
   std::uint64_t queuedTokens(const TokenAccount& account) const {
@@ -50,8 +52,9 @@
  private:
   void onReserve(const NodeId& from, const ReserveQueuedTokens& request);
   void onReport(const NodeId& from, const QueuedTokensReport& report);
-  /// Begins anew if this node has become the ledger since. False if it is not the ledger.
+  /// Starts a rebuild if this node has become the owner since. False if it is not the owner.
   bool acts();
+  /// Asks all stores for the reports that are missing.
   void queryOwners();
   void reply(const NodeId& to, const ReserveQueuedTokens& request, ReserveOutcome outcome);
 
@@ -64,7 +67,7 @@
   std::uint64_t epoch_ = 0;
   Time rebuildStartedAt_{};
   bool logged_ = false;               ///< That the rebuild is slow.
-  std::set<PartitionId> unreported_;  ///< Partitions whose owner has not answered in this epoch.
+  std::set<PartitionId> unreported_;  ///< Partitions without a report in this epoch.
 };
 
 }  // namespace shedshed
--- a/src/batch/queued_token_table.cpp
+++ b/src/batch/queued_token_table.cpp
@@ -15,8 +15,8 @@
     batches[batch.batchId] = {batch, number};
   }
   for (auto& [batchId, entry] : partition.batches) {
-    // Asked for after this report was written: the report can't name it yet. One of an earlier
-    // epoch is in the report if it was committed, and can't be committed any more if it is not.
+    // Requested after this report was written: the report cannot name it yet. One of an earlier
+    // epoch is in the report if it was committed, and cannot be committed any more if it is not.
     if (sameOwner && entry.number > number) {
       batches[batchId] = std::move(entry);
     }
@@ -32,7 +32,7 @@
   if (request.epoch < partition.epoch) {
     return ReserveOutcome::NotReady;
   }
-  // A batch that is counted already, since it was asked for before, does not count against itself.
+  // A batch that an earlier request counted already does not count against itself.
   partition.batches.erase(request.batch.batchId);
   const bool fits =
       limit == 0 || queuedTokens(request.batch.account) + request.batch.tokens <= limit;
@@ -40,7 +40,7 @@
     return ReserveOutcome::Full;
   }
   if (request.epoch > partition.epoch) {
-    // The batches of the earlier epoch count until the new owner has told which of them exist.
+    // The batches of the earlier epoch count until the new owner has reported which of them exist.
     partition.epoch = request.epoch;
     partition.lastReport = 0;
   }
--- a/src/batch/queued_token_table.h
+++ b/src/batch/queued_token_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The tokens that wait in all accepted batches of the fleet, by partition.
+/// The queued tokens of all accepted batches of the fleet, by partition.
 #pragma once
 
 #include "batch/queued_token_messages.h"
@@ -8,8 +8,8 @@
 
 namespace shedshed {
 
-/// What the ledger knows. Reports replace what was known of a partition; reservations that are
-/// younger than the report stay.
+/// The counts of the quota. A report replaces what was known of a partition; reservations that are
+/// younger than the report stay. Core thread only.
 class QueuedTokenTable {
  public:
   /// Forgets everything.
@@ -22,7 +22,7 @@
 
   /// Counts the batch of @p request if it then fits under @p limit (0: no limit), and not at all if
   /// it does not: its owner takes only the answer to its latest request for a grant.
-  /// @return `NotReady` if the sender's epoch is older than one heard of
+  /// @return `NotReady` if the sender's epoch is older than a known one
   ReserveOutcome reserve(const ReserveQueuedTokens& request, std::uint64_t limit);
 
   /// The tokens counted for @p account.
--- a/src/data/data_process.cpp
+++ b/src/data/data_process.cpp
@@ -114,8 +114,8 @@
   }
   if (drained && !givenBack()) {
     process_.runtime().runAndWait([this] {
-      logInfo("process", cores_.runner->handedBack() ? "slots are not all released"
-                                                     : "batch runs are not all handed back");
+      logInfo("process", cores_.runner->allRunsReturned() ? "slots are not all released"
+                                                          : "batch runs are not all handed back");
     });
   }
   callers_.stopAccepting();
@@ -125,7 +125,7 @@
 bool DataProcess::givenBack() {
   bool done = false;
   process_.runtime().runAndWait(
-      [this, &done] { done = cores_.runner->handedBack() && cores_.slots.idle(); });
+      [this, &done] { done = cores_.runner->allRunsReturned() && cores_.slots.idle(); });
   return done;
 }
 
--- a/src/process/gateway_process.cpp
+++ b/src/process/gateway_process.cpp
@@ -120,7 +120,7 @@
 bool GatewayProcess::idle() {
   bool idle = false;
   node_.runtime.runAndWait([this, &idle] {
-    idle = gateway_.activeCalls() == 0 && cores_.runner->idle() && cores_.runner->handedBack();
+    idle = gateway_.activeCalls() == 0 && cores_.runner->idle() && cores_.runner->allRunsReturned();
   });
   return idle;
 }
--- a/tests/batch/named_items_test.cpp
+++ b/tests/batch/batch_reader_test.cpp
@@ -31,9 +31,9 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(named_items)
+BOOST_AUTO_TEST_SUITE(batch_reader)
 
-BOOST_AUTO_TEST_CASE(aSlowItemHoldsBackNoOthersResult) {
+BOOST_AUTO_TEST_CASE(aSlowItemDelaysNoOtherResult) {
   World world;
   world.engines.hold = true;
   const std::string id = world.accepted(namedBatch(4));
@@ -61,7 +61,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(placesStayThroughATakeover) {
+BOOST_AUTO_TEST_CASE(listedResultsKeepTheirIndexThroughATakeover) {
   for (const bool unacknowledgedSurvive : {false, true}) {
     World world;
     world.engines.hold = true;
--- a/tests/batch/run_test.cpp
+++ b/tests/batch/batch_runner_core_test.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(batch_run)
+BOOST_AUTO_TEST_SUITE(batch_runner_core)
 
 BOOST_AUTO_TEST_CASE(runsEachItemOnceThroughItsSlots) {
   World world;
@@ -59,7 +59,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(withoutUnknownAnUnrepeatableItemRunsTwice) {
+BOOST_AUTO_TEST_CASE(withoutUnknownANonIdempotentItemRunsTwice) {
   WorldOptions options;
   options.owner.safeguards.unknownAfterLostRun = false;
   World world(options);
@@ -262,7 +262,7 @@
   BOOST_TEST((world.engines.lastRun <= cutAt + 3s));
 }
 
-BOOST_AUTO_TEST_CASE(itemThatDidNotRunGoesBackAndOneThatMayHaveIsUnknown) {
+BOOST_AUTO_TEST_CASE(itemThatDidNotRunIsRevertedAndOneThatMayHaveRunIsUnknown) {
   World world;
   world.engines.fail = makeError(ErrorCode::NoEngine, {}, Ran::No);
   const std::string id = world.accepted(World::batchOf(3));
@@ -277,7 +277,7 @@
 
 /// "Cancelled" says that an item never ran; one that may have and waited to run again may not be
 /// reported so.
-BOOST_AUTO_TEST_CASE(repeatableItemThatMayHaveRunIsNotReportedAsCancelled) {
+BOOST_AUTO_TEST_CASE(idempotentItemThatMayHaveRunIsNotReportedAsCancelled) {
   for (const bool ownerIsLost : {false, true}) {
     World world;
     world.engines.hold = true;
@@ -308,7 +308,7 @@
 }
 
 /// A fenced store that nobody tells of its loss must not keep a runner by its heartbeat answers.
-BOOST_AUTO_TEST_CASE(runnerLeavesAFencedOwnerThatDoesNotKnow) {
+BOOST_AUTO_TEST_CASE(runnerLeavesAFencedOwnerThatHasNotLearntOfIt) {
   for (const bool unacknowledgedSurvive : {false, true}) {
     World world;
     world.engines.hold = true;
@@ -340,7 +340,7 @@
   BOOST_TEST((page.results[1].state == ItemState::Done));
 }
 
-BOOST_AUTO_TEST_CASE(drainingRunnerFinishesAndHandsBack) {
+BOOST_AUTO_TEST_CASE(drainingRunnerFinishesAndReturnsItsRuns) {
   World world;
   world.engines.hold = true;
   const std::string id = world.accepted(World::batchOf(40));
--- a/tests/batch/submit_test.cpp
+++ b/tests/batch/batch_uploads_test.cpp
@@ -3,9 +3,9 @@
 
 namespace shedshed::test {
 
-BOOST_AUTO_TEST_SUITE(batch_submit)
+BOOST_AUTO_TEST_SUITE(batch_uploads)
 
-BOOST_AUTO_TEST_CASE(resendReturnsTheSameBatchAndOtherContentIsRefused) {
+BOOST_AUTO_TEST_CASE(resendReturnsTheSameBatchAndOtherContentIsRejected) {
   World world;
   const auto submitted = world.submit(World::batchOf(3, "key"));
   world.harness.settle();
@@ -146,7 +146,7 @@
   BOOST_TEST(world.page(id, 0, 100).results.size() == 11U);
 }
 
-BOOST_AUTO_TEST_CASE(fullStoreRefusesNewBatchesAndKeepsTheOld) {
+BOOST_AUTO_TEST_CASE(fullStoreRejectsNewBatchesAndKeepsTheOld) {
   WorldOptions options;
   options.owner.maxPartitionBodyBytes = 200;
   World world(options);
@@ -169,7 +169,7 @@
 
 // Stores took batches until their disks were full; then no partition could change its owner and
 // nothing that had been accepted could be read.
-BOOST_AUTO_TEST_CASE(aStoreWithLittleRoomRefusesNewBatchesAndFinishesTheOld) {
+BOOST_AUTO_TEST_CASE(aStoreWithScarceStorageRejectsNewBatchesAndFinishesTheOld) {
   World world;
   world.engines.hold = true;
   const std::string id = world.accepted(World::batchOf(4, "a"));
@@ -187,7 +187,7 @@
 }
 
 // The bodies of all batches of a day stayed on the disks of all stores until they were full.
-BOOST_AUTO_TEST_CASE(bodiesOfAFinishedBatchGiveTheirRoomBack) {
+BOOST_AUTO_TEST_CASE(bodiesOfAFinishedBatchFreeTheirStorage) {
   World world;
   const std::string id = world.accepted(World::batchOf(20, "a"));
   world.harness.advance(5s);
@@ -240,7 +240,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(finishedBatchLeavesAfterRetentionWithAllItsRows) {
+BOOST_AUTO_TEST_CASE(finishedBatchIsErasedAfterRetentionWithAllItsRows) {
   World world;
   const std::string id = world.accepted(World::batchOf(3));
   world.harness.advance(5s);
--- a/tests/batch/item_admission_test.cpp
+++ b/tests/batch/item_admission_test.cpp
@@ -43,7 +43,7 @@
   BOOST_TEST(!admission.mayRequest(now));
 }
 
-BOOST_AUTO_TEST_CASE(aRefusalKeepsAShareAndTheWindowGrowsByOneASecond) {
+BOOST_AUTO_TEST_CASE(aRejectionKeepsAShareAndTheWindowGrowsByOneASecond) {
   ItemAdmission admission;
   const Time now{};
   BOOST_TEST(fill(admission, now, 8) == 8U);
@@ -58,7 +58,7 @@
   BOOST_TEST(fill(admission, now + 4s, kMost) == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(aRefusalWithNothingInUsePauses) {
+BOOST_AUTO_TEST_CASE(aRejectionWithNothingInUsePauses) {
   ItemAdmission admission;
   const Time now{};
   refuse(admission, now);
@@ -102,7 +102,7 @@
   BOOST_TEST(fill(admission, Time{}, kMost) == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(refusalsBelowTheShareAreRepeatedSoon) {
+BOOST_AUTO_TEST_CASE(rejectedRequestsBelowTheShareAreRetriedSoon) {
   ItemAdmission admission;
   admission.setShare(9, 0, Time{});
   BOOST_TEST((admission.retryDelay(10s) == kShareRetry));
--- a/tests/batch/admission_test.cpp
+++ b/tests/batch/item_slots_test.cpp
@@ -3,9 +3,9 @@
 
 namespace shedshed::test {
 
-BOOST_AUTO_TEST_SUITE(batch_admission)
+BOOST_AUTO_TEST_SUITE(item_slots)
 
-BOOST_AUTO_TEST_CASE(refusedSlotsPauseTheBatchAndOneItemProbes) {
+BOOST_AUTO_TEST_CASE(rejectedSlotsPauseTheBatchAndOneItemProbes) {
   World world;
   world.slots.capacity = 0;
   world.accepted(World::batchOf(100));
@@ -23,7 +23,7 @@
   BOOST_TEST(world.engines.runs.empty());
 }
 
-BOOST_AUTO_TEST_CASE(aRefusalLeavesTheGrantedRoomInUse) {
+BOOST_AUTO_TEST_CASE(aRejectionKeepsTheGrantedSlotsInUse) {
   constexpr std::size_t kCapacity = 8;
   World world;
   world.slots.capacity = kCapacity;
@@ -42,7 +42,7 @@
   BOOST_TEST(world.engines.runs.size() >= 200U);
 }
 
-BOOST_AUTO_TEST_CASE(aRefusedItemIsAskedForAgainAfterTheDelayOnly) {
+BOOST_AUTO_TEST_CASE(aRejectedItemRequestsSlotsAgainAfterTheDelayOnly) {
   World world;
   world.slots.capacity = 4;
   world.engines.hold = true;
@@ -78,7 +78,7 @@
   BOOST_TEST(world.status(id).value().pending == 50U);
 }
 
-BOOST_AUTO_TEST_CASE(twoBatchesShareTheRoom) {
+BOOST_AUTO_TEST_CASE(twoBatchesShareThePool) {
   World world;
   world.slots.capacity = 8;
   world.engines.hold = true;
--- a/tests/batch/queued_token_quota_test.cpp
+++ b/tests/batch/queued_token_quota_test.cpp
@@ -35,13 +35,13 @@
     return submission;
   }
   /// `Internal` if the batch was accepted.
-  ErrorCode refusalOf(const BatchSubmission& submission) {
+  ErrorCode rejectionOf(const BatchSubmission& submission) {
     const auto answer = world.submit(submission);
     world.waitFor(*answer);
     return (*answer)->has_error() ? (*answer)->error().code : ErrorCode::Internal;
   }
   bool accepts(const BatchSubmission& submission) {
-    return refusalOf(submission) == ErrorCode::Internal;
+    return rejectionOf(submission) == ErrorCode::Internal;
   }
 
   World world;
@@ -55,7 +55,7 @@
 BOOST_AUTO_TEST_CASE(aBatchThatDoesNotFitIsRejectedAndAResendIsNot) {
   TokenWorld fleet;
   BOOST_TEST(fleet.accepts(TokenWorld::batch("first", 40)));
-  BOOST_TEST((fleet.refusalOf(TokenWorld::batch("second", 11)) == ErrorCode::PoolFull));
+  BOOST_TEST((fleet.rejectionOf(TokenWorld::batch("second", 11)) == ErrorCode::PoolFull));
   BOOST_TEST(fleet.accepts(TokenWorld::batch("first", 40)));
   BOOST_TEST(fleet.accepts(TokenWorld::batch("third", 10)));
 }
@@ -81,7 +81,7 @@
   TokenWorld fleet;
   BOOST_TEST(fleet.accepts(TokenWorld::batch("first", 40)));
   fleet.world.failover(false);
-  BOOST_TEST((fleet.refusalOf(TokenWorld::batch("second", 11)) == ErrorCode::PoolFull));
+  BOOST_TEST((fleet.rejectionOf(TokenWorld::batch("second", 11)) == ErrorCode::PoolFull));
   BOOST_TEST(fleet.accepts(TokenWorld::batch("third", 10)));
   BOOST_TEST(fleet.quotas["s2"]->isReady());
 }
@@ -91,7 +91,7 @@
   fleet.world.harness.filter = [](const Harness::Envelope& envelope) {
     return envelope.message.service != ServiceId::WaitingTokens;
   };
-  BOOST_TEST((fleet.refusalOf(TokenWorld::batch("first", 1)) == ErrorCode::StoreUnavailable));
+  BOOST_TEST((fleet.rejectionOf(TokenWorld::batch("first", 1)) == ErrorCode::StoreUnavailable));
   fleet.world.installFilter();
   fleet.world.harness.advance(5s);
   BOOST_TEST(fleet.world.engines.runs.empty());
@@ -99,7 +99,7 @@
 
 BOOST_AUTO_TEST_CASE(aBatchAboveTheLimitIsNeverAccepted) {
   TokenWorld fleet;
-  BOOST_TEST((fleet.refusalOf(TokenWorld::batch("huge", 1ULL << 40U)) == ErrorCode::PoolFull));
+  BOOST_TEST((fleet.rejectionOf(TokenWorld::batch("huge", 1ULL << 40U)) == ErrorCode::PoolFull));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
