--- a/src/batch/batch_client_core.cpp
+++ b/src/batch/batch_client_core.cpp
@@ -8,15 +8,11 @@
 namespace shedshed {
 namespace {
 
-PartitionId partitionOfBatch(const std::string& batchId) {
-  return partitionOf(TableKind::Batches, batchId);
-}
-
 /// Redirects followed at once between two timer events; two stores that each name the other must
 /// not make a storm.
 constexpr std::uint32_t kMaxRedirects = 3;
 
-/// Answers that no further copy of the request can change.
+/// Answers that no retransmission of the request can change.
 bool isDefinite(ErrorCode code) {
   switch (code) {
   case ErrorCode::NotFound:
@@ -32,7 +28,7 @@
   }
 }
 
-/// Refusals of a submission that a copy of it may not meet a moment later.
+/// Rejections of a submission that a retransmission may not meet a moment later.
 bool dependsOnMoment(ErrorCode code) {
   return code == ErrorCode::StorageFull || code == ErrorCode::PoolFull ||
          code == ErrorCode::StoreUnavailable;
@@ -73,7 +69,7 @@
     finish(timer, timeoutError(request));
     return;
   }
-  locator_.failed(partitionOfBatch(request.batchId), request.asked);
+  locator_.failed(partitionOfBatch(request.batchId), request.lastTarget);
   ++request.attempt;
   request.redirects = 0;
   sendRequest(timer, request);
@@ -87,8 +83,9 @@
   }
   const auto& query = std::get<BatchQuery>(request.content);
   const bool changes = static_cast<BatchQueryKind>(query.kind) == BatchQueryKind::Cancel;
-  return changes && request.copies != 0 ? makeError(ErrorCode::OutcomeUnknown, {}, Ran::Unknown)
-                                        : makeError(ErrorCode::StoreUnavailable);
+  return changes && request.transmissions != 0
+             ? makeError(ErrorCode::OutcomeUnknown, {}, Ran::Unknown)
+             : makeError(ErrorCode::StoreUnavailable);
 }
 
 std::string BatchClientCore::newBatchId(const BatchSubmission& submission) {
@@ -238,18 +235,18 @@
 
 void BatchClientCore::sendRequest(std::uint64_t number, Request& request) {
   context_.startTimer(number, options_.retryAfter);
-  request.asked = locator_.candidate(partitionOfBatch(request.batchId), request.attempt);
-  if (request.asked.empty()) {
+  request.lastTarget = locator_.candidate(partitionOfBatch(request.batchId), request.attempt);
+  if (request.lastTarget.empty()) {
     return;
   }
-  ++request.copies;
+  ++request.transmissions;
   if (Upload* upload = std::get_if<Upload>(&request.content)) {
     sendChunk(number, request, *upload);
     return;
   }
   BatchQuery& query = std::get<BatchQuery>(request.content);
   query.request = number;
-  context_.send(request.asked, query);
+  context_.send(request.lastTarget, query);
 }
 
 void BatchClientCore::sendChunk(std::uint64_t number, Request& request, Upload& upload) {
@@ -258,9 +255,9 @@
   SubmitChunk chunk;
   chunk.request = number;
   chunk.batchId = request.batchId;
-  chunk.copy = request.copies;
+  chunk.transmission = request.transmissions;
   chunk.tenant = upload.submission.tenant;
-  chunk.repeatable = upload.submission.repeatableItems;
+  chunk.idempotent = upload.submission.idempotentItems;
   chunk.itemCount = upload.submission.items.size();
   chunk.digest = upload.digest;
   chunk.chunk = upload.next;
@@ -280,9 +277,9 @@
   }
   if (chunk.last) {
     upload.commitSent = true;
-    upload.openCommits.insert(chunk.copy);
+    upload.openCommits.insert(chunk.transmission);
   }
-  context_.send(request.asked, chunk);
+  context_.send(request.lastTarget, chunk);
 }
 
 void BatchClientCore::onReply(const NodeId& from, BatchReply reply) {
@@ -307,7 +304,7 @@
                                     const BatchReply& reply) {
   Upload& upload = std::get<Upload>(request.content);
   if (reply.nextChunk == upload.next || reply.nextChunk >= upload.chunks.size()) {
-    // The chunk on its way is the one wanted; silence is handled by the timer.
+    // The chunk in flight is the one requested; a lost one is handled by the timer.
     return;
   }
   if (reply.nextChunk > upload.next) {
@@ -324,14 +321,14 @@
   const PartitionId partition = partitionOfBatch(request.batchId);
   Upload* upload = std::get_if<Upload>(&request.content);
   if (upload != nullptr) {
-    upload->openCommits.erase(reply.copy);
+    upload->openCommits.erase(reply.transmission);
   }
   if (code == ErrorCode::NotOwner) {
-    if (from != request.asked) {
+    if (from != request.lastTarget) {
       return;
     }
     if (reply.owner.empty() || reply.owner == from) {
-      // Nobody is known yet: the timer asks the next candidate.
+      // No owner is known yet: the timer tries the next candidate.
       return;
     }
     locator_.redirected(partition, reply.owner);
@@ -345,8 +342,8 @@
     return;
   }
   if (upload != nullptr && dependsOnMoment(code) && !upload->openCommits.empty()) {
-    // Another copy of the commit may still arrive where or when there is room: its answer, or the
-    // deadline, decides.
+    // Another transmission of the commit may still find capacity: its answer, or the deadline,
+    // decides.
     return;
   }
   finish(number, makeError(code, reply.detail));
--- a/src/batch/batch_messages.h
+++ b/src/batch/batch_messages.h
@@ -27,18 +27,18 @@
   std::uint64_t request = 0;
   std::string batchId;
   std::string tenant;
-  bool repeatable = false;
+  bool idempotent = false;
   std::uint64_t itemCount = 0;  ///< Of the whole submission.
   std::string digest;           ///< Of the whole submission.
   std::uint64_t chunk = 0;
   bool last = false;
-  std::uint32_t copy = 0;  ///< Tells the copies of one request apart; echoed.
+  std::uint32_t transmission = 0;  ///< Numbers the transmissions of one request; echoed.
   std::vector<std::string> items;
   std::vector<std::string> names;     ///< Of the items of this chunk, or empty.
   std::string route;                  ///< Route that took the batch, or empty.
   std::vector<std::uint64_t> tokens;  ///< Of the items of this chunk, or empty.
-  MSGPACK_DEFINE(request, batchId, tenant, repeatable, itemCount, digest, chunk, last, copy, items,
-                 names, route, tokens);
+  MSGPACK_DEFINE(request, batchId, tenant, idempotent, itemCount, digest, chunk, last, transmission,
+                 items, names, route, tokens);
 };
 
 enum class BatchQueryKind : std::uint8_t {
@@ -68,7 +68,7 @@
   static constexpr ServiceId kService = ServiceId::BatchClient;
   static constexpr std::uint16_t kKind = 1;
   std::uint64_t request = 0;
-  std::uint32_t copy = 0;  ///< Of the `SubmitChunk` answered.
+  std::uint32_t transmission = 0;  ///< Of the `SubmitChunk` answered.
   std::uint16_t code = kWireOk;
   std::string detail;
   NodeId owner;                 ///< Hint, with `NotOwner`.
@@ -77,7 +77,7 @@
   BatchStatus status;
   ResultPage page;
   std::vector<UnfinishedItem> unfinished;
-  MSGPACK_DEFINE(request, copy, code, detail, owner, committed, nextChunk, status, page,
+  MSGPACK_DEFINE(request, transmission, code, detail, owner, committed, nextChunk, status, page,
                  unfinished);
 };
 
@@ -89,20 +89,21 @@
   MSGPACK_DEFINE(batchId, runEpoch, incarnation);
 };
 
-/// A start that a runner still holds: asked for, running, or not acknowledged as reported.
-struct HeldAttempt {
+/// An attempt of an item that a runner has in flight: its start is requested, it runs, or its
+/// report is not acknowledged.
+struct AttemptInFlight {
   std::uint64_t position = 0;
   std::uint64_t attempt = 0;
   MSGPACK_DEFINE(position, attempt);
 };
 
-/// A run that is alive at the runner. An attempt below `nextAttempt` that is not in `held` is over
-/// there for good, so that an old heartbeat stays true.
+/// A run that is alive at the runner. An attempt below `nextAttempt` that is not in
+/// `attemptsInFlight` is over there for good, so that an old heartbeat stays true.
 struct RunReport {
   RunName run;
   std::uint64_t nextAttempt = 0;
-  std::vector<HeldAttempt> held;
-  MSGPACK_DEFINE(run, nextAttempt, held);
+  std::vector<AttemptInFlight> attemptsInFlight;
+  MSGPACK_DEFINE(run, nextAttempt, attemptsInFlight);
 };
 
 /// Runner to owner: these runs are alive here.
@@ -114,7 +115,7 @@
   MSGPACK_DEFINE(number, runs);
 };
 
-/// Runner to owner: asks for pending items.
+/// Runner to owner: requests pending items.
 struct FetchItems {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 11;
@@ -135,8 +136,8 @@
 };
 
 /// Runner to owner: the attempt is over and the item may run again: no byte of it has gone to an
-/// engine, or the batch's items may be repeated.
-struct UnstartItem {
+/// engine, or the items of the batch are idempotent.
+struct RevertStart {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 13;
   RunName run;
@@ -159,8 +160,8 @@
   MSGPACK_DEFINE(run, position, attempt, state, body, errorType);
 };
 
-/// Runner to owner: gives the run back; none of its items is running.
-struct HandBackRun {
+/// Runner to owner: returns the run for another node; none of its items is running.
+struct ReturnRun {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 15;
   RunName run;
@@ -174,11 +175,11 @@
   std::string batchId;
   std::uint64_t runEpoch = 0;
   std::string tenant;
-  bool repeatable = false;
+  bool idempotent = false;
   std::uint64_t itemCount = 0;
   bool hasDueTime = false;
   std::int64_t dueInMilliseconds = 0;  ///< Time until all results are due; may be negative.
-  MSGPACK_DEFINE(batchId, runEpoch, tenant, repeatable, itemCount, hasDueTime, dueInMilliseconds);
+  MSGPACK_DEFINE(batchId, runEpoch, tenant, idempotent, itemCount, hasDueTime, dueInMilliseconds);
 };
 
 /// What the owner says of one run in a heartbeat's answer.
@@ -214,13 +215,13 @@
   std::uint64_t runEpoch = 0;
   std::uint64_t from = 0;
   std::vector<UnfinishedItem> items;
-  std::uint64_t next = 0;  ///< Where to go on; 0 when the end was reached.
+  std::uint64_t next = 0;  ///< Position to fetch next; 0 when the end was reached.
   MSGPACK_DEFINE(batchId, runEpoch, from, items, next);
 };
 
 enum class ItemVerdict : std::uint8_t {
   Accepted = 1,  ///< Durable.
-  Refused = 2,   ///< Did not and will not take effect: forget it.
+  Refused = 2,   ///< Did not and will not take effect: the attempt is over.
 };
 
 /// Owner to runner: answers `StartItem`.
@@ -235,7 +236,7 @@
   MSGPACK_DEFINE(batchId, runEpoch, position, attempt, verdict);
 };
 
-/// Owner to runner: answers `FinishItem` and `UnstartItem`.
+/// Owner to runner: answers `FinishItem` and `RevertStart`.
 struct FinishReply {
   static constexpr ServiceId kService = ServiceId::BatchRunner;
   static constexpr std::uint16_t kKind = 5;
--- a/src/batch/batch_records.h
+++ b/src/batch/batch_records.h
@@ -6,6 +6,7 @@
 #pragma once
 
 #include "batch/batch_client.h"
+#include "partition/partition_store.h"
 
 #include <cstdint>
 #include <msgpack.hpp>
@@ -19,7 +20,7 @@
 /// last chunk, after all the others are durable, and never changes.
 struct BatchMeta {
   std::string tenant;
-  bool repeatable = false;
+  bool idempotent = false;
   std::uint64_t itemCount = 0;
   std::string digest;                         ///< `itemsDigest` of the whole submission.
   std::vector<std::uint64_t> chunkPositions;  ///< Position of the first item of each chunk.
@@ -27,7 +28,7 @@
   std::vector<std::string> names;     ///< Of all items in order, or empty.
   std::string route;                  ///< Route that took the batch, or empty.
   std::vector<std::uint64_t> tokens;  ///< Of all items in order, or empty.
-  MSGPACK_DEFINE(tenant, repeatable, itemCount, digest, chunkPositions, bodyBytes, names, route,
+  MSGPACK_DEFINE(tenant, idempotent, itemCount, digest, chunkPositions, bodyBytes, names, route,
                  tokens);
 };
 
@@ -38,7 +39,7 @@
 };
 
 /// Marks an uncommitted submission or a batch being erased: rows that nobody may read.
-struct GarbageRecord {
+struct PendingDeletionRecord {
   std::uint64_t chunks = 0;  ///< Body rows below this index may exist.
   std::uint64_t items = 0;   ///< Item rows below this position may exist.
   MSGPACK_DEFINE(chunks, items);
@@ -53,7 +54,7 @@
 
 /// An item that was started at least once. A pending item that never ran has no row, and neither
 /// has a cancelled one: in a cancelled batch the absence of a row means `Cancelled`. A row in the
-/// state `Pending` is that of a repeatable item that may have run and waits to run again; in a
+/// state `Pending` is that of an idempotent item that may have run and waits to run again; in a
 /// cancelled batch its result is `Unknown`.
 struct ItemRecord {
   ItemState state = ItemState::Started;
@@ -88,6 +89,12 @@
 std::string itemPrefix(const std::string& batchId);
 std::string itemKey(const std::string& batchId, std::uint64_t position);
 
+/// Returns the partition that holds the rows of @p batchId.
+PartitionId partitionOfBatch(const std::string& batchId);
+
+/// Returns the batch id that ends the key of a row of the batch itself.
+std::string batchIdOfKey(std::string_view key);
+
 /// Returns the position that ends an item's key.
 std::uint64_t positionOfItemKey(std::string_view key);
 
--- a/src/batch/batch_state.cpp
+++ b/src/batch/batch_state.cpp
@@ -12,7 +12,7 @@
   counts_.itemCount = meta_.itemCount;
   counts_.pending = meta_.itemCount;
   for (std::uint64_t position = 0; position < meta_.itemCount; ++position) {
-    waitingTokens_ += tokensOf(position);
+    queuedTokens_ += tokensOf(position);
   }
 }
 
@@ -58,7 +58,7 @@
 void BatchState::setFinal(std::uint64_t position, ItemState state) {
   const auto before = static_cast<ItemState>(states_[position]);
   if (!isFinal(before) && isFinal(state)) {
-    waitingTokens_ -= tokensOf(position);
+    queuedTokens_ -= tokensOf(position);
   }
   --count(before);
   ++count(state);
@@ -69,6 +69,22 @@
   }
 }
 
+void BatchState::apply(std::uint64_t position, const std::optional<ItemRecord>& record) {
+  if (record && record->mayHaveRun) {
+    setMayHaveRun(position);
+  }
+  if (!record) {
+    setPending(position);
+  } else if (record->state == ItemState::Started) {
+    setStarted(position, {record->runEpoch, record->incarnation, record->attempt});
+  } else {
+    setFinal(position, record->state);
+  }
+  if (record && record->rank != 0) {
+    setRank(record->rank, position);
+  }
+}
+
 std::uint64_t BatchState::pendingThatMayHaveRun() const {
   return static_cast<std::uint64_t>(
       std::count_if(mayHaveRun_.begin(), mayHaveRun_.end(), [this](std::uint64_t position) {
@@ -102,14 +118,14 @@
   return status;
 }
 
-void BatchState::countListed() {
+void BatchState::advanceListed() {
   while (ranks_.count(listed_ + 1) != 0) {
     ++listed_;
   }
 }
 
 std::vector<std::uint64_t> BatchState::dropRanksBehindGap() {
-  countListed();
+  advanceListed();
   std::vector<std::uint64_t> dropped;
   for (auto entry = ranks_.upper_bound(listed_); entry != ranks_.end();) {
     dropped.push_back(entry->second);
