--- a/sim/operators_load.cpp
+++ b/sim/operators_load.cpp
@@ -24,7 +24,7 @@
   bool written = false;
   ChangeRequest engines;
   engines.registerName = kEnginesRegister;
-  engines.orderId = "engines-1";
+  engines.idempotencyKey = "engines-1";
   engines.value = fleet_.engines().listing();
   const NodeId first = fleet_.stores()[0];
   fleet_.registerOf(first)->change(
@@ -117,7 +117,7 @@
   ChangeRequest request;
   request.registerName = kSettingsRegister;
   request.baseVersion = order->baseVersion;
-  request.orderId = order->orderId;
+  request.idempotencyKey = order->orderId;
   request.value = order->value;
   fleet_.node(node).post([this, order, number, node, request] {
     fleet_.registerOf(node)->change(request,
@@ -155,7 +155,7 @@
     return;
   }
   const ErrorCode code = outcome.error().code;
-  if (code == ErrorCode::VersionConflict || code == ErrorCode::OrderIdReused) {
+  if (code == ErrorCode::VersionConflict || code == ErrorCode::IdempotencyKeyReused) {
     finish(order, false);
     return;
   }
--- a/sim/settings_log.cpp
+++ b/sim/settings_log.cpp
@@ -53,13 +53,13 @@
     return;
   }
   const ErrorCode code = outcome.error().code;
-  if (code != ErrorCode::VersionConflict && code != ErrorCode::OrderIdReused) {
+  if (code != ErrorCode::VersionConflict && code != ErrorCode::IdempotencyKeyReused) {
     return;
   }
   if (orders_.count(orderId) != 0) {
     world_.violation("a resent order that took effect is not refused", orderId);
   }
-  if (code == ErrorCode::OrderIdReused) {
+  if (code == ErrorCode::IdempotencyKeyReused) {
     world_.violation("an order is not taken for another", orderId);
   }
   refused_.insert(orderId);
--- a/src/ctl/exit_code.cpp
+++ b/src/ctl/exit_code.cpp
@@ -5,7 +5,7 @@
 ExitCode exitCodeOf(const Error& error) {
   switch (error.code) {
   case ErrorCode::VersionConflict:
-  case ErrorCode::OrderIdReused:
+  case ErrorCode::IdempotencyKeyReused:
   case ErrorCode::AlreadyExists:
     return ExitCode::Conflict;
   case ErrorCode::OutcomeUnknown:
@@ -27,7 +27,7 @@
   case ErrorCode::VersionConflict:
     return "read the newest value (shedctl settings get), apply your change to it and send it "
            "with that --base-version and a new order id";
-  case ErrorCode::OrderIdReused:
+  case ErrorCode::IdempotencyKeyReused:
     return "leave out --order-id, so that a new one is chosen";
   case ErrorCode::OutcomeUnknown:
     return "send the same change again with the --order-id and --base-version shown; it takes "
--- a/src/ctl/fleet_client.cpp
+++ b/src/ctl/fleet_client.cpp
@@ -16,7 +16,7 @@
   case ErrorCode::TooLarge:
   case ErrorCode::NotFound:
   case ErrorCode::VersionConflict:
-  case ErrorCode::OrderIdReused:
+  case ErrorCode::IdempotencyKeyReused:
   case ErrorCode::AlreadyExists:
     return true;
   default:
@@ -27,7 +27,7 @@
 /// True if the answer was given after a look at what took effect, so that it also tells the
 /// outcome of earlier attempts with the same order id.
 bool settlesEarlierAttempts(ErrorCode code) {
-  return code == ErrorCode::VersionConflict || code == ErrorCode::OrderIdReused ||
+  return code == ErrorCode::VersionConflict || code == ErrorCode::IdempotencyKeyReused ||
          code == ErrorCode::AlreadyExists;
 }
 
--- a/src/kernel/error.cpp
+++ b/src/kernel/error.cpp
@@ -18,7 +18,7 @@
     return "not_found";
   case ErrorCode::VersionConflict:
     return "version_conflict";
-  case ErrorCode::OrderIdReused:
+  case ErrorCode::IdempotencyKeyReused:
     return "order_id_reused";
   case ErrorCode::OutcomeUnknown:
     return "outcome_unknown";
--- a/src/kernel/error.h
+++ b/src/kernel/error.h
@@ -12,32 +12,32 @@
 /// Stable failure types. `errorTypeName` gives the spelling used in JSON and logs; names never
 /// change once released.
 enum class ErrorCode : std::uint16_t {
-  Internal,           ///< A broken invariant inside this process.
-  InvalidArgument,    ///< The request or value is malformed; `detail` names the path.
-  TooLarge,           ///< A body, header, batch or tree is over its bound.
-  Unauthenticated,    ///< Missing, unknown or withdrawn key.
-  PermissionDenied,   ///< The key is known but may not do this.
-  NotFound,           ///< No such object, proved by the owner.
-  VersionConflict,    ///< The register moved past the version that the change builds on.
-  OrderIdReused,      ///< The order id was applied before with other content.
-  OutcomeUnknown,     ///< The operation may or may not have taken effect.
-  NotOwner,           ///< This node does not own the partition (or was fenced).
-  StaleEpoch,         ///< The sender's epoch is below the promised one.
-  NoQuorum,           ///< A majority did not answer in time.
-  NotReady,           ///< Still recovering, or without a proved configuration.
-  Draining,           ///< This node takes no new work.
-  PoolFull,           ///< Every numbered slot of the pool is held.
-  StoreUnavailable,   ///< The slot or batch store could not be reached.
-  NoEngine,           ///< No ready engine serves the model.
-  EngineFailed,       ///< The engine answered with an error, or not at all.
-  ResponseMismatch,   ///< The engine's answer belongs to another request.
-  ResponseTruncated,  ///< The engine's answer ended before its own framing said so.
-  DeadlineExceeded,   ///< The time allowed ran out.
-  Cancelled,          ///< The caller or an operator cancelled it.
-  StorageFull,        ///< The ring of files has no room that can be freed.
-  StorageCorrupt,     ///< A record in the middle of the ring fails its checksum.
-  StorageFailed,      ///< The operating system refused a read, write or sync.
-  AlreadyExists,      ///< The object exists with other content.
+  Internal,              ///< A broken invariant inside this process.
+  InvalidArgument,       ///< The request or value is malformed; `detail` names the path.
+  TooLarge,              ///< A body, header, batch or tree is over its bound.
+  Unauthenticated,       ///< Missing, unknown or withdrawn key.
+  PermissionDenied,      ///< The key is known but may not do this.
+  NotFound,              ///< No such object, proved by the owner.
+  VersionConflict,       ///< The register moved past the version that the change builds on.
+  IdempotencyKeyReused,  ///< The idempotency key was applied before with other content.
+  OutcomeUnknown,        ///< The operation may or may not have taken effect.
+  NotOwner,              ///< This node does not own the partition (or was fenced).
+  StaleEpoch,            ///< The sender's epoch is below the promised one.
+  NoQuorum,              ///< A majority did not answer in time.
+  NotReady,              ///< Still recovering, or without a proved configuration.
+  Draining,              ///< This node takes no new work.
+  PoolFull,              ///< Every numbered slot of the pool is held.
+  StoreUnavailable,      ///< The slot or batch store could not be reached.
+  NoEngine,              ///< No ready engine serves the model.
+  EngineFailed,          ///< The engine answered with an error, or not at all.
+  ResponseMismatch,      ///< The engine's answer belongs to another request.
+  ResponseTruncated,     ///< The engine's answer ended before its own framing said so.
+  DeadlineExceeded,      ///< The time allowed ran out.
+  Cancelled,             ///< The caller or an operator cancelled it.
+  StorageFull,           ///< The ring of files has no room that can be freed.
+  StorageCorrupt,        ///< A record in the middle of the ring fails its checksum.
+  StorageFailed,         ///< The operating system refused a read, write or sync.
+  AlreadyExists,         ///< The object exists with other content.
 };
 
 /// Whether the call that failed reached an engine.
--- a/src/kernel/http_status.cpp
+++ b/src/kernel/http_status.cpp
@@ -13,7 +13,7 @@
   case ErrorCode::NotFound:
     return 404;
   case ErrorCode::VersionConflict:
-  case ErrorCode::OrderIdReused:
+  case ErrorCode::IdempotencyKeyReused:
   case ErrorCode::AlreadyExists:
   case ErrorCode::Cancelled:
     return 409;
--- a/src/kernel/message.cpp
+++ b/src/kernel/message.cpp
@@ -32,7 +32,7 @@
     return "engine_list";
   case ServiceId::Bootstrap:
     return "bootstrap";
-  case ServiceId::Admission:
+  case ServiceId::MembershipJoin:
     return "admission";
   case ServiceId::Succession:
     return "succession";
--- a/src/kernel/message.h
+++ b/src/kernel/message.h
@@ -15,23 +15,23 @@
 
 /// The services of a node. The numeric values travel on the wire and never change.
 enum class ServiceId : std::uint8_t {
-  Directory = 1,       ///< Membership and the node directory.
-  Register = 2,        ///< Acceptors and proposers of the compare-and-swap registers.
-  Configuration = 3,   ///< Distribution of register values and freshness proofs.
-  Partition = 4,       ///< Epoch-fenced replicated partitions.
-  SlotOwner = 5,       ///< Pools of numbered slots, on store nodes.
-  SlotClient = 6,      ///< Holder side of the slots, on data nodes.
-  BatchOwner = 7,      ///< Durable batches, on store nodes.
-  BatchClient = 8,     ///< Callers' side of batches, on data nodes.
-  BatchRunner = 9,     ///< Runs the items of batches, on data nodes.
-  EngineWatch = 10,    ///< Health of the engines, on data nodes.
-  Operators = 11,      ///< Commands that concern the whole fleet.
-  Lending = 12,        ///< Singleton that sets the room lent to batches.
-  EngineList = 13,     ///< The platform's listing of engines, read by one node for all.
-  Bootstrap = 14,      ///< Forms the fleet at its first start.
-  Admission = 15,      ///< Asks for a place among the members.
-  Succession = 16,     ///< Takes the place of a retiring store.
-  WaitingTokens = 17,  ///< Singleton that bounds the tokens of accepted batches.
+  Directory = 1,        ///< Membership and the node directory.
+  Register = 2,         ///< Acceptors and proposers of the compare-and-swap registers.
+  Configuration = 3,    ///< Distribution of register values and freshness proofs.
+  Partition = 4,        ///< Epoch-fenced replicated partitions.
+  SlotOwner = 5,        ///< Pools of numbered slots, on store nodes.
+  SlotClient = 6,       ///< Holder side of the slots, on data nodes.
+  BatchOwner = 7,       ///< Durable batches, on store nodes.
+  BatchClient = 8,      ///< Callers' side of batches, on data nodes.
+  BatchRunner = 9,      ///< Runs the items of batches, on data nodes.
+  EngineWatch = 10,     ///< Health of the engines, on data nodes.
+  Operators = 11,       ///< Commands that concern the whole fleet.
+  Lending = 12,         ///< Singleton that sets the room lent to batches.
+  EngineList = 13,      ///< The platform's listing of engines, read by one node for all.
+  Bootstrap = 14,       ///< Forms the fleet at its first start.
+  MembershipJoin = 15,  ///< Makes a machine a member of the fleet.
+  Succession = 16,      ///< Takes the place of a retiring store.
+  WaitingTokens = 17,   ///< Singleton that bounds the tokens of accepted batches.
 };
 
 /// Returns the service's stable name, for logs, metrics and the service registry.
--- a/src/operators/register_commands.cpp
+++ b/src/operators/register_commands.cpp
@@ -111,7 +111,7 @@
   ChangeRequest request;
   request.registerName = registerName_;
   request.baseVersion = headers_.baseVersion;
-  request.orderId = headers_.orderId;
+  request.idempotencyKey = headers_.orderId;
   request.value = value_;
   services.configuration.change(std::move(request), answerChange(std::move(done)));
 }
@@ -142,7 +142,7 @@
   ChangeRequest request;
   request.registerName = kSettingsRegister;
   request.baseVersion = headers_.baseVersion;
-  request.orderId = headers_.orderId;
+  request.idempotencyKey = headers_.orderId;
   request.content = patch_;
   // Past the base version the value cannot take effect; only the ledger can answer.
   request.value = base.value;
--- a/src/operators/settings_versions.cpp
+++ b/src/operators/settings_versions.cpp
@@ -83,8 +83,8 @@
   const SettingsOrder& order = attempt->order;
   ChangeRequest request;
   request.registerName = kSettingsRegister;
-  request.orderId = orderIdOf(order);
-  request.content = request.orderId;
+  request.idempotencyKey = orderIdOf(order);
+  request.content = request.idempotencyKey;
   request.baseVersion = kNoVersion;
   const std::uint64_t named = namedVersionOf(current.value);
   if (named != order.baseVersion) {
@@ -113,7 +113,7 @@
       return;
     }
     switch (outcome.error().code) {
-    case ErrorCode::OrderIdReused:
+    case ErrorCode::IdempotencyKeyReused:
       // The id is the hash of the order: the same order took effect on another register version.
       attempt->done(SettingsOrderOutcome{0, true});
       return;
--- a/src/process/state_process.cpp
+++ b/src/process/state_process.cpp
@@ -1,5 +1,6 @@
 #include "process/state_process.h"
 
+#include "process/process_join_conditions.h"
 #include "process/signals.h"
 #include "runtime/logging.h"
 
@@ -64,37 +65,32 @@
                                                       options.seeds, bootstrap);
     node_.runtime.attach(ServiceId::Bootstrap, *bootstrap_);
   }
-  assembleAdmission();
+  assembleMembershipJoin();
 }
 
-void StateProcess::assembleAdmission() {
+void StateProcess::assembleMembershipJoin() {
   retirements_ =
       std::make_unique<Retirements>(cores_->registers, cores_->configuration, cores_->directory);
   if (storeId_.empty()) {
     return;
   }
-  auto holdsAllData = [] { return true; };
-  auto places = [] { return std::vector<NodeId>(); };
-  std::function<bool()> mayBeCounted = holdsAllData;
-  std::function<std::vector<NodeId>()> placesToTake = places;
-  auto kind = SelfAdmissionCore::Kind::Acceptor;
+  auto kind = MembershipJoinCore::Kind::Acceptor;
   if (cores_->store) {
-    PartitionCore& partitions = cores_->store->partitions;
-    kind = SelfAdmissionCore::Kind::Store;
-    mayBeCounted = [&partitions] { return partitions.repairProgress().complete(); };
-    successor_ = std::make_unique<SuccessorCore>(
-        node_.runtime.context(ServiceId::Succession), cores_->registers, cores_->directory,
-        *retirements_, mayBeCounted,
-        [&partitions] { return partitions.repairProgress().replacementComplete(); });
+    kind = MembershipJoinCore::Kind::Store;
+    replicas_ = std::make_unique<PartitionReplicaStatus>(cores_->store->partitions);
+    successor_ = std::make_unique<SuccessorCore>(node_.runtime.context(ServiceId::Succession),
+                                                 cores_->registers, cores_->directory,
+                                                 *retirements_, *replicas_);
     node_.runtime.attach(ServiceId::Succession, *successor_);
-    placesToTake = [this] { return successor_->placesToTake(); };
   }
-  SelfAdmissionOptions admission;
-  admission.acceptorsNeeded = membersNeeded(settings_.toleratedLosses);
-  admission_ = std::make_unique<SelfAdmissionCore>(
-      node_.runtime.context(ServiceId::Admission), cores_->registers, cores_->directory, kind,
-      storeId_, mayBeCounted, placesToTake, [this] { return retirements_->nodes(); }, admission);
-  node_.runtime.attach(ServiceId::Admission, *admission_);
+  joinConditions_ =
+      std::make_unique<ProcessJoinConditions>(replicas_.get(), successor_.get(), *retirements_);
+  MembershipJoinOptions join;
+  join.acceptorsNeeded = membersNeeded(settings_.toleratedLosses);
+  join_ = std::make_unique<MembershipJoinCore>(node_.runtime.context(ServiceId::MembershipJoin),
+                                               cores_->registers, cores_->directory, kind, storeId_,
+                                               *joinConditions_, join);
+  node_.runtime.attach(ServiceId::MembershipJoin, *join_);
 }
 
 int StateProcess::run(const Starter& start) {
--- a/src/process/state_process.h
+++ b/src/process/state_process.h
@@ -7,7 +7,7 @@
 #include "operators/settings_versions.h"
 #include "process/event_loop_node.h"
 #include "register/fleet_bootstrap.h"
-#include "register/self_admission.h"
+#include "register/membership_join_core.h"
 #include "register/successor_core.h"
 #include "storage/record_ring.h"
 
@@ -40,7 +40,7 @@
   int run(const Starter& start);
 
  private:
-  void assembleAdmission();
+  void assembleMembershipJoin();
   void drain();
   bool handedOver();
 
@@ -51,8 +51,10 @@
   std::unique_ptr<SettingsVersions> settingsVersions_;
   std::unique_ptr<FleetBootstrapCore> bootstrap_;
   std::unique_ptr<Retirements> retirements_;
-  std::unique_ptr<SuccessorCore> successor_;      ///< Null on register nodes.
-  std::unique_ptr<SelfAdmissionCore> admission_;  ///< Null without a disk.
+  std::unique_ptr<ReplicaStatus> replicas_;         ///< Null on register nodes.
+  std::unique_ptr<SuccessorCore> successor_;        ///< Null on register nodes.
+  std::unique_ptr<JoinConditions> joinConditions_;  ///< Null without a disk.
+  std::unique_ptr<MembershipJoinCore> join_;        ///< Null without a disk.
   bool draining_ = false;
 };
 
--- a/src/register/acceptor.cpp
+++ b/src/register/acceptor.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Order id under which the first member list stands in the ledger.
-constexpr const char* kFormationOrder = "fleet formation";
+/// Order id under which the first member list stands in the log.
+constexpr const char* kFormationKey = "fleet formation";
 
 std::string promisedKey(const std::string& name) {
   return "register/" + name + "/promised";
@@ -19,7 +19,7 @@
   return "register/" + name + "/accepted";
 }
 
-std::string ledgerPrefix(const std::string& name) {
+std::string changeLogPrefix(const std::string& name) {
   return "register/" + name + "/ledger/";
 }
 
@@ -54,8 +54,8 @@
   state.ballot = Ballot{1, 0};
   state.version = 1;
   state.value = encodeRecord(members);
-  state.entry.order = digestOf(kFormationOrder);
-  state.entry.content = hash64(state.value);
+  state.entry.keyDigest = digestOf(kFormationKey);
+  state.entry.contentHash = hash64(state.value);
   return state;
 }
 
@@ -79,11 +79,12 @@
     if (!status) {
       return status;
     }
-    Result<Ledger> ledger = Ledger::load(records, ledgerPrefix(name), loaded.accepted.version);
-    if (!ledger) {
-      return ledger.error();
+    Result<AppliedChangeLog> log =
+        AppliedChangeLog::load(records, changeLogPrefix(name), loaded.accepted.version);
+    if (!log) {
+      return log.error();
     }
-    loaded.ledger = std::move(ledger).value();
+    loaded.log = std::move(log).value();
   }
   return okStatus();
 }
@@ -101,9 +102,9 @@
   return membersVersion() > 0 || !options_.safeguards.storeIdCheck;
 }
 
-std::uint64_t Acceptor::initialContent() const {
-  const LedgerEntry* first = registers_.at(kMembersRegister).ledger.at(1);
-  return first == nullptr ? 0 : first->content;
+std::uint64_t Acceptor::initialMembersHash() const {
+  const AppliedChange* first = registers_.at(kMembersRegister).log.at(1);
+  return first == nullptr ? 0 : first->contentHash;
 }
 
 bool Acceptor::isStale(const std::string& name, std::uint64_t membersVersion) const {
@@ -116,7 +117,7 @@
   if (target == nullptr || !mayVote()) {
     return;
   }
-  PrepareAnswer answer;
+  PrepareReply answer;
   answer.registerName = request.registerName;
   answer.ballot = request.ballot;
   answer.storeId = options_.storeId;
@@ -138,10 +139,10 @@
   }
   answer.promised = target->promised;
   answer.accepted = target->accepted;
-  answer.ledgerFirst = target->ledger.firstVersion();
-  if (const auto version = target->ledger.versionOf(request.order)) {
-    answer.orderVersion = *version;
-    answer.orderContent = target->ledger.at(*version)->content;
+  answer.firstLoggedVersion = target->log.firstVersion();
+  if (const auto version = target->log.versionOf(request.keyDigest)) {
+    answer.appliedVersion = *version;
+    answer.appliedContentHash = target->log.at(*version)->contentHash;
   }
   outbox_.send(from, answer);
 }
@@ -152,7 +153,7 @@
   if (target == nullptr || (!mayVote() && !admits)) {
     return;
   }
-  AcceptAnswer answer;
+  AcceptReply answer;
   answer.registerName = request.registerName;
   answer.ballot = request.state.ballot;
   answer.storeId = options_.storeId;
@@ -164,9 +165,9 @@
     answer.verdict = AcceptorVerdict::Outranked;
   } else if (target->accepted.ballot == request.state.ballot) {
     answer.verdict = AcceptorVerdict::Granted;  // The same request again.
-  } else if (!completeLedger(*target, request.state)) {
-    answer.verdict = AcceptorVerdict::NeedLedger;
-    fetchLedger(*target, request);
+  } else if (!completeChangeLog(*target, request.state)) {
+    answer.verdict = AcceptorVerdict::ChangeLogMissing;
+    fetchChangeLog(*target, request);
   } else {
     target->promised = request.state.ballot;
     target->accepted = request.state;
@@ -177,95 +178,95 @@
 }
 
 void Acceptor::persistAccepted(const std::string& name, Register& changed) {
-  std::vector<Mutation> mutations = changed.ledger.takeMutations(ledgerPrefix(name));
+  std::vector<Mutation> mutations = changed.log.takeMutations(changeLogPrefix(name));
   mutations.push_back({promisedKey(name), encodeRecord(changed.promised)});
   mutations.push_back({acceptedKey(name), encodeRecord(changed.accepted)});
   outbox_.persist(std::move(mutations));
 }
 
-bool Acceptor::completeLedger(Register& target, const AcceptedState& state) {
+bool Acceptor::completeChangeLog(Register& target, const AcceptedState& state) {
   if (state.version == 0) {
-    target.ledger.truncate(0);
-    return target.ledger.version() == 0;
+    target.log.truncate(0);
+    return target.log.version() == 0;
   }
   const std::uint64_t base = state.version - 1;
-  if (target.ledger.chainAt(base) != state.baseChain && target.staging) {
-    Ledger& staged = target.staging->ledger;
+  if (target.log.chainAt(base) != state.baseChain && target.staging) {
+    AppliedChangeLog& staged = target.staging->log;
     if (staged.chainAt(base) == state.baseChain) {
-      staged.supersede(target.ledger);
-      target.ledger = std::move(staged);
+      staged.supersede(target.log);
+      target.log = std::move(staged);
       target.staging.reset();
     }
   }
-  if (target.ledger.chainAt(base) != state.baseChain) {
+  if (target.log.chainAt(base) != state.baseChain) {
     return false;
   }
-  target.ledger.truncate(base);
-  target.ledger.append(state.entry);
+  target.log.truncate(base);
+  target.log.append(state.entry);
   target.staging.reset();
   return true;
 }
 
-void Acceptor::fetchLedger(Register& target, const AcceptRequest& request) {
+void Acceptor::fetchChangeLog(Register& target, const AcceptRequest& request) {
   const std::uint64_t base = request.state.version - 1;
   if (!target.staging || target.staging->upToVersion != base) {
     // The newest local entry may be of a state that was never committed: fetch it again too.
     target.staging = std::make_unique<Staging>();
-    target.staging->ledger = target.ledger;
-    const std::uint64_t common = std::min(target.ledger.version(), base);
-    target.staging->ledger.truncate(common == 0 ? 0 : common - 1);
+    target.staging->log = target.log;
+    const std::uint64_t common = std::min(target.log.version(), base);
+    target.staging->log.truncate(common == 0 ? 0 : common - 1);
     target.staging->upToVersion = base;
   }
-  LedgerRequest fetch;
+  ChangeLogRequest fetch;
   fetch.registerName = request.registerName;
-  fetch.fromVersion = target.staging->ledger.version() + 1;
+  fetch.fromVersion = target.staging->log.version() + 1;
   fetch.upToVersion = base;
-  outbox_.send(request.source, fetch);
+  outbox_.send(request.changeLogSource, fetch);
 }
 
-void Acceptor::sendLedger(const NodeId& from, const LedgerRequest& request) {
+void Acceptor::sendChangeLog(const NodeId& from, const ChangeLogRequest& request) {
   Register* source = find(request.registerName);
   if (source == nullptr) {
     return;
   }
-  LedgerPart part;
+  ChangeLogChunk part;
   part.registerName = request.registerName;
-  part.firstVersion = source->ledger.firstVersion();
+  part.firstVersion = source->log.firstVersion();
   part.fromVersion = std::max(request.fromVersion, part.firstVersion);
-  const auto chain = source->ledger.chainAt(part.fromVersion - 1);
+  const auto chain = source->log.chainAt(part.fromVersion - 1);
   if (!chain) {
     return;
   }
   part.chainBefore = *chain;
-  part.entries = source->ledger.slice(part.fromVersion, request.upToVersion, kLedgerPartEntries);
+  part.entries = source->log.slice(part.fromVersion, request.upToVersion, kMaxChunkEntries);
   outbox_.send(from, part);
 }
 
-void Acceptor::addLedger(const NodeId& from, const LedgerPart& part) {
+void Acceptor::addChangeLogChunk(const NodeId& from, const ChangeLogChunk& part) {
   Register* target = find(part.registerName);
   if (target == nullptr || !target->staging) {
     return;
   }
   Staging& staging = *target->staging;
   const bool skipsEvicted =
-      part.fromVersion > staging.ledger.version() + 1 && part.fromVersion == part.firstVersion;
+      part.fromVersion > staging.log.version() + 1 && part.fromVersion == part.firstVersion;
   if (skipsEvicted) {
-    staging.ledger.restartAfter(part.fromVersion - 1, part.chainBefore);
+    staging.log.restartAfter(part.fromVersion - 1, part.chainBefore);
   }
-  if (part.fromVersion != staging.ledger.version() + 1) {
+  if (part.fromVersion != staging.log.version() + 1) {
     return;
   }
-  if (part.chainBefore != staging.ledger.chain()) {
-    staging.ledger.restartAfter(0, Digest{});
+  if (part.chainBefore != staging.log.chain()) {
+    staging.log.restartAfter(0, Digest{});
   } else {
-    for (const LedgerEntry& entry : part.entries) {
-      staging.ledger.append(entry);
+    for (const AppliedChange& entry : part.entries) {
+      staging.log.append(entry);
     }
   }
-  const bool progressed = part.chainBefore != staging.ledger.chain();
-  if (progressed && staging.ledger.version() < staging.upToVersion) {
+  const bool progressed = part.chainBefore != staging.log.chain();
+  if (progressed && staging.log.version() < staging.upToVersion) {
     outbox_.send(
-        from, LedgerRequest{part.registerName, staging.ledger.version() + 1, staging.upToVersion});
+        from, ChangeLogRequest{part.registerName, staging.log.version() + 1, staging.upToVersion});
   }
 }
 
@@ -273,7 +274,7 @@
   if (!mayVote()) {
     return;
   }
-  ReadAnswer answer;
+  ReadReply answer;
   answer.requestId = request.requestId;
   answer.storeId = options_.storeId;
   answer.membersVersion = membersVersion();
@@ -290,11 +291,11 @@
 }
 
 void Acceptor::sendIdentity(const NodeId& from, const IdentityRequest& request) {
-  IdentityAnswer answer;
+  IdentityReply answer;
   answer.requestId = request.requestId;
   answer.storeId = options_.storeId;
   answer.membersVersion = membersVersion();
-  answer.initialContent = initialContent();
+  answer.initialMembersHash = initialMembersHash();
   outbox_.send(from, answer);
 }
 
@@ -306,15 +307,15 @@
                   [this](const MemberList::Member& member) {
                     return member.id == context_.self() && member.storeId == options_.storeId;
                   });
-  const bool isFresh = membersVersion() == 0 && initialContent() == 0;
+  const bool isFresh = membersVersion() == 0 && initialMembersHash() == 0;
   if (isFresh && isListed) {
     members.promised = std::max(members.promised, initial.ballot);
     members.accepted = initial;
-    members.ledger.append(initial.entry);
+    members.log.append(initial.entry);
     persistAccepted(kMembersRegister, members);
     context_.logEvent(TraceEvent("AcceptorFormed").field("store_id", options_.storeId));
   }
-  return isListed && initialContent() == initial.entry.content;
+  return isListed && initialMembersHash() == initial.entry.contentHash;
 }
 
 }  // namespace shedshed
--- a/src/register/acceptor.h
+++ b/src/register/acceptor.h
@@ -1,10 +1,10 @@
 /// @file
 /// The acceptor of all registers on a node with a disk.
 ///
-/// For each register it keeps the promised ballot, the accepted state and the complete ledger of
+/// For each register it keeps the promised ballot, the accepted state and the complete log of
 /// that state, synced before any answer. The usual argument of single-decree agreement holds for
 /// each ballot: a proposer that has a majority of promises sees every state that an earlier ballot
-/// may have committed, and later accepts of earlier ballots are refused by a majority.
+/// may have committed, and later accepts of earlier ballots are rejected by a majority.
 ///
 /// Member lists change by one member at a time, so majorities of two consecutive lists always
 /// intersect, but those of lists further apart need not. Therefore an acceptor that has accepted
@@ -24,8 +24,8 @@
 
 namespace shedshed {
 
-/// Ledger entries in one `LedgerPart`: about 120 KB.
-inline constexpr std::size_t kLedgerPartEntries = 4000;
+/// Changes in one `ChangeLogChunk`: about 120 KB.
+inline constexpr std::size_t kMaxChunkEntries = 4000;
 
 /// Returns the names of all registers, sorted.
 const std::vector<std::string>& registerNames();
@@ -44,23 +44,23 @@
   void prepare(const NodeId& from, const PrepareRequest& request);
   void accept(const NodeId& from, const AcceptRequest& request);
   void read(const NodeId& from, const ReadRequest& request);
-  void sendLedger(const NodeId& from, const LedgerRequest& request);
-  void addLedger(const NodeId& from, const LedgerPart& part);
+  void sendChangeLog(const NodeId& from, const ChangeLogRequest& request);
+  void addChangeLogChunk(const NodeId& from, const ChangeLogChunk& part);
   void sendIdentity(const NodeId& from, const IdentityRequest& request);
 
   /// Becomes an acceptor of a new fleet. @return false if this disk belongs to another one.
   bool form(const FormRequest& request);
 
  private:
-  /// A ledger that is being completed from another acceptor.
+  /// A log that is being completed from another acceptor.
   struct Staging {
     std::uint64_t upToVersion = 0;
-    Ledger ledger;
+    AppliedChangeLog log;
   };
   struct Register {
     Ballot promised;
     AcceptedState accepted;
-    Ledger ledger;
+    AppliedChangeLog log;
     std::unique_ptr<Staging> staging;
   };
 
@@ -68,10 +68,10 @@
   std::uint64_t membersVersion() const;
   /// An empty disk takes no part until a fleet is formed with it or admits it.
   bool mayVote() const;
-  std::uint64_t initialContent() const;
+  std::uint64_t initialMembersHash() const;
   bool isStale(const std::string& name, std::uint64_t membersVersion) const;
-  bool completeLedger(Register& target, const AcceptedState& state);
-  void fetchLedger(Register& target, const AcceptRequest& request);
+  bool completeChangeLog(Register& target, const AcceptedState& state);
+  void fetchChangeLog(Register& target, const AcceptRequest& request);
   void persistAccepted(const std::string& name, Register& changed);
 
   CoreContext& context_;
--- a/src/register/ledger.cpp
+++ b/src/register/applied_change_log.cpp
@@ -1,4 +1,4 @@
-#include "register/ledger.h"
+#include "register/applied_change_log.h"
 
 #include <cstdio>
 #include <xxhash.h>
@@ -20,9 +20,9 @@
   return Digest{hash.high64, hash.low64};
 }
 
-Digest nextChain(const Digest& chain, const LedgerEntry& entry) {
-  const std::uint64_t words[] = {chain.high, chain.low, entry.order.high, entry.order.low,
-                                 entry.content};
+Digest nextChain(const Digest& chain, const AppliedChange& entry) {
+  const std::uint64_t words[] = {chain.high, chain.low, entry.keyDigest.high, entry.keyDigest.low,
+                                 entry.contentHash};
   std::string bytes;
   for (std::uint64_t word : words) {
     for (int shift = 0; shift < 64; shift += 8) {
@@ -32,102 +32,102 @@
   return digestOf(bytes);
 }
 
-Result<Ledger> Ledger::load(const RecordReader& records, const std::string& prefix,
-                            std::uint64_t version) {
-  Ledger ledger;
+Result<AppliedChangeLog> AppliedChangeLog::load(const RecordReader& records,
+                                                const std::string& prefix, std::uint64_t version) {
+  AppliedChangeLog log;
   bool first = true;
   for (const std::string& key : records.keys(prefix)) {
     Result<std::optional<std::string>> bytes = records.read(key);
     if (!bytes || !bytes.value()) {
       return makeError(ErrorCode::StorageCorrupt, key);
     }
-    Result<LedgerBlock> block = decodeRecord<LedgerBlock>(*bytes.value());
+    Result<AppliedChangeBlock> block = decodeRecord<AppliedChangeBlock>(*bytes.value());
     if (!block) {
       return makeError(ErrorCode::StorageCorrupt, key);
     }
     if (first) {
       const std::uint64_t index = std::stoull(key.substr(prefix.size()));
-      ledger.restartAfter(index * kBlockEntries, block.value().chainBefore);
+      log.restartAfter(index * kBlockEntries, block.value().chainBefore);
       first = false;
     }
-    if (block.value().chainBefore != ledger.chain()) {
+    if (block.value().chainBefore != log.chain()) {
       return makeError(ErrorCode::StorageCorrupt, key);
     }
-    for (const LedgerEntry& entry : block.value().entries) {
-      ledger.append(entry);
+    for (const AppliedChange& entry : block.value().entries) {
+      log.append(entry);
     }
   }
-  if (ledger.version() != version) {
+  if (log.version() != version) {
     return makeError(ErrorCode::StorageCorrupt, prefix);
   }
-  ledger.changedBlocks_.clear();
-  return ledger;
+  log.changedBlocks_.clear();
+  return log;
 }
 
-Digest Ledger::chain() const {
+Digest AppliedChangeLog::chain() const {
   return rows_.empty() ? chainBefore_ : rows_.back().chain;
 }
 
-std::optional<Digest> Ledger::chainAt(std::uint64_t version) const {
+std::optional<Digest> AppliedChangeLog::chainAt(std::uint64_t version) const {
   if (version < before_ || version > this->version()) {
     return std::nullopt;
   }
   return version == before_ ? chainBefore_ : rows_[version - before_ - 1].chain;
 }
 
-const LedgerEntry* Ledger::at(std::uint64_t version) const {
+const AppliedChange* AppliedChangeLog::at(std::uint64_t version) const {
   if (version <= before_ || version > this->version()) {
     return nullptr;
   }
   return &rows_[version - before_ - 1].entry;
 }
 
-std::optional<std::uint64_t> Ledger::versionOf(const Digest& order) const {
-  const auto found = versionOfOrder_.find(order);
-  if (found == versionOfOrder_.end()) {
+std::optional<std::uint64_t> AppliedChangeLog::versionOf(const Digest& keyDigest) const {
+  const auto found = versionByKey_.find(keyDigest);
+  if (found == versionByKey_.end()) {
     return std::nullopt;
   }
   return found->second;
 }
 
-void Ledger::append(const LedgerEntry& entry) {
+void AppliedChangeLog::append(const AppliedChange& entry) {
   rows_.push_back({entry, nextChain(chain(), entry)});
-  versionOfOrder_[entry.order] = version();
+  versionByKey_[entry.keyDigest] = version();
   changedBlocks_.insert(blockOf(version()));
   if (rows_.size() >= kCapacity + kBlockEntries) {
     evictOldest();
   }
 }
 
-void Ledger::evictOldest() {
+void AppliedChangeLog::evictOldest() {
   changedBlocks_.insert(blockOf(firstVersion()));
   for (std::uint64_t count = 0; count < kBlockEntries; ++count) {
-    versionOfOrder_.erase(rows_.front().entry.order);
+    versionByKey_.erase(rows_.front().entry.keyDigest);
     chainBefore_ = rows_.front().chain;
     rows_.pop_front();
     ++before_;
   }
 }
 
-void Ledger::truncate(std::uint64_t version) {
+void AppliedChangeLog::truncate(std::uint64_t version) {
   while (this->version() > version && !rows_.empty()) {
     changedBlocks_.insert(blockOf(this->version()));
-    versionOfOrder_.erase(rows_.back().entry.order);
+    versionByKey_.erase(rows_.back().entry.keyDigest);
     rows_.pop_back();
   }
 }
 
-void Ledger::restartAfter(std::uint64_t version, const Digest& chain) {
+void AppliedChangeLog::restartAfter(std::uint64_t version, const Digest& chain) {
   truncate(before_);
   before_ = version;
   chainBefore_ = chain;
 }
 
-std::vector<LedgerEntry> Ledger::slice(std::uint64_t from, std::uint64_t upTo,
-                                       std::size_t limit) const {
-  std::vector<LedgerEntry> entries;
+std::vector<AppliedChange> AppliedChangeLog::slice(std::uint64_t from, std::uint64_t upTo,
+                                                   std::size_t limit) const {
+  std::vector<AppliedChange> entries;
   for (std::uint64_t version = from; version <= upTo && entries.size() < limit; ++version) {
-    const LedgerEntry* entry = at(version);
+    const AppliedChange* entry = at(version);
     if (entry == nullptr) {
       break;
     }
@@ -136,19 +136,19 @@
   return entries;
 }
 
-void Ledger::supersede(const Ledger& other) {
-  for (const Ledger* ledger : {static_cast<const Ledger*>(this), &other}) {
-    if (ledger->rows_.empty()) {
+void AppliedChangeLog::supersede(const AppliedChangeLog& other) {
+  for (const AppliedChangeLog* log : {static_cast<const AppliedChangeLog*>(this), &other}) {
+    if (log->rows_.empty()) {
       continue;
     }
-    for (std::uint64_t block = blockOf(ledger->firstVersion()); block <= blockOf(ledger->version());
+    for (std::uint64_t block = blockOf(log->firstVersion()); block <= blockOf(log->version());
          ++block) {
       changedBlocks_.insert(block);
     }
   }
 }
 
-std::vector<Mutation> Ledger::takeMutations(const std::string& prefix) {
+std::vector<Mutation> AppliedChangeLog::takeMutations(const std::string& prefix) {
   std::vector<Mutation> mutations;
   for (std::uint64_t block : changedBlocks_) {
     const std::uint64_t first = block * kBlockEntries + 1;
@@ -156,7 +156,7 @@
       mutations.push_back({blockKey(prefix, block), std::nullopt});
       continue;
     }
-    LedgerBlock record;
+    AppliedChangeBlock record;
     record.chainBefore = *chainAt(first - 1);
     record.entries = slice(first, version(), kBlockEntries);
     mutations.push_back({blockKey(prefix, block), encodeRecord(record)});
--- a/src/register/ledger.h
+++ b/src/register/applied_change_log.h
@@ -1,10 +1,11 @@
 /// @file
-/// The ledger of a register: which order produced which version.
+/// The applied-change log of a register: which change request produced which version. A resent
+/// request is recognised by it and gets the answer of the first one.
 ///
-/// Each version of a register was produced by exactly one order, so the ledger is a sequence with
-/// one entry a version. It never travels whole in the quorum rounds: a running digest (`chain`)
-/// names the complete sequence up to a version, and two ledgers with the same chain at the same
-/// version are equal. An accept carries one entry and the chain before it.
+/// Each version of a register was produced by exactly one change request, so the log is a sequence
+/// with one entry a version. It never travels whole in the quorum rounds: a running digest
+/// (`chain`) names the complete sequence up to a version, and two ledgers with the same chain at
+/// the same version are equal. An accept carries one entry and the chain before it.
 #pragma once
 
 #include "kernel/core.h"
@@ -38,38 +39,38 @@
 /// Hashes @p bytes.
 Digest digestOf(std::string_view bytes);
 
-/// The order that produced one version.
-struct LedgerEntry {
-  Digest order;               ///< Hash of the order id.
-  std::uint64_t content = 0;  ///< Hash of the base version and of what the order asked for.
+/// The change request that produced one version.
+struct AppliedChange {
+  Digest keyDigest;               ///< Hash of the idempotency key.
+  std::uint64_t contentHash = 0;  ///< Hash of the base version and of the requested content.
 
-  bool operator==(const LedgerEntry& other) const {
-    return order == other.order && content == other.content;
+  bool operator==(const AppliedChange& other) const {
+    return keyDigest == other.keyDigest && contentHash == other.contentHash;
   }
-  MSGPACK_DEFINE(order, content);
+  MSGPACK_DEFINE(keyDigest, contentHash);
 };
 
 /// Returns the chain after @p entry, given the chain before it.
-Digest nextChain(const Digest& chain, const LedgerEntry& entry);
+Digest nextChain(const Digest& chain, const AppliedChange& entry);
 
 /// A block of entries as it is kept in one durable record.
-struct LedgerBlock {
+struct AppliedChangeBlock {
   Digest chainBefore;
-  std::vector<LedgerEntry> entries;
+  std::vector<AppliedChange> entries;
   MSGPACK_DEFINE(chainBefore, entries);
 };
 
 /// The newest entries of a register and the chain at each of them. Bounded: the oldest leave.
-class Ledger {
+class AppliedChangeLog {
  public:
   /// Entries kept at least: several days of thousands of changes.
   static constexpr std::size_t kCapacity = 50000;
   /// Entries in one durable record; a change rewrites one record of at most about 2 KB.
   static constexpr std::uint64_t kBlockEntries = 64;
 
-  /// Restores the ledger up to @p version from the records below @p prefix.
-  static Result<Ledger> load(const RecordReader& records, const std::string& prefix,
-                             std::uint64_t version);
+  /// Restores the log up to @p version from the records below @p prefix.
+  static Result<AppliedChangeLog> load(const RecordReader& records, const std::string& prefix,
+                                       std::uint64_t version);
 
   /// The version of the newest entry.
   std::uint64_t version() const { return before_ + rows_.size(); }
@@ -84,13 +85,13 @@
   std::optional<Digest> chainAt(std::uint64_t version) const;
 
   /// The entry of @p version, or nullptr.
-  const LedgerEntry* at(std::uint64_t version) const;
+  const AppliedChange* at(std::uint64_t version) const;
 
-  /// The version that the order with hash @p order produced, or nullopt.
-  std::optional<std::uint64_t> versionOf(const Digest& order) const;
+  /// The version that the change with the key hash @p keyDigest produced, or nullopt.
+  std::optional<std::uint64_t> versionOf(const Digest& keyDigest) const;
 
   /// Adds the entry of the next version.
-  void append(const LedgerEntry& entry);
+  void append(const AppliedChange& entry);
 
   /// Removes the entries above @p version, which must be at least `firstVersion() - 1`.
   void truncate(std::uint64_t version);
@@ -99,17 +100,17 @@
   void restartAfter(std::uint64_t version, const Digest& chain);
 
   /// Returns at most @p limit entries from @p from on.
-  std::vector<LedgerEntry> slice(std::uint64_t from, std::uint64_t upTo, std::size_t limit) const;
+  std::vector<AppliedChange> slice(std::uint64_t from, std::uint64_t upTo, std::size_t limit) const;
 
-  /// Marks every block that either ledger holds as changed, before this one replaces @p other.
-  void supersede(const Ledger& other);
+  /// Marks every block that either log holds as changed, before this one replaces @p other.
+  void supersede(const AppliedChangeLog& other);
 
   /// Returns the record changes since the last call.
   std::vector<Mutation> takeMutations(const std::string& prefix);
 
  private:
   struct Row {
-    LedgerEntry entry;
+    AppliedChange entry;
     Digest chain;
   };
   static std::uint64_t blockOf(std::uint64_t version) { return (version - 1) / kBlockEntries; }
@@ -118,7 +119,7 @@
   std::uint64_t before_ = 0;  ///< Version before the oldest row; a multiple of kBlockEntries.
   Digest chainBefore_;
   std::deque<Row> rows_;
-  std::map<Digest, std::uint64_t> versionOfOrder_;
+  std::map<Digest, std::uint64_t> versionByKey_;
   std::set<std::uint64_t> changedBlocks_;
 };
 
--- a/src/register/configuration_core.cpp
+++ b/src/register/configuration_core.cpp
@@ -85,7 +85,7 @@
   if (options_.isControl && held.version != 0) {
     histories_[registerName].add(held, value);
   }
-  wanted_.erase(registerName);
+  needsFullValue_.erase(registerName);
   held = value;
   context_.counters().add("configuration_adopted_total");
   context_.counters().set("configuration_value_bytes_" + registerName,
@@ -104,7 +104,7 @@
   return provedAt_ != Time::min() && context_.now() < provedAt_ + kFreshnessLease;
 }
 
-void ConfigurationCore::noteProof(Time moment) {
+void ConfigurationCore::recordProof(Time moment) {
   if (moment <= provedAt_) {
     return;
   }
@@ -141,7 +141,7 @@
     for (const NamedValue& named : proof.value()) {
       adopt(named.registerName, named.value);
     }
-    noteProof(sentAt);
+    recordProof(sentAt);
   });
 }
 
@@ -192,34 +192,34 @@
   pullSentAt_ = context_.now();
   context_.startTimer(kPullTimer, kPullTimeout);
   PullRequest request{++pullId_, versions(), true};
-  for (const std::string& registerName : wanted_) {
+  for (const std::string& registerName : needsFullValue_) {
     request.versions.erase(registerName);
   }
   context_.send(source_, request);
 }
 
-void ConfigurationCore::answerPull(const NodeId& from, const PullRequest& request) {
-  PullAnswer answer;
+void ConfigurationCore::replyToPull(const NodeId& from, const PullRequest& request) {
+  PullReply answer;
   answer.requestId = request.requestId;
   answer.proved = hasProof();
   if (answer.proved) {
     answer.ageMilliseconds = roundUpToMilliseconds(context_.now() - provedAt_);
     for (const auto& entry : values_) {
-      addNews(entry.first, entry.second, request, answer);
+      appendUpdates(entry.first, entry.second, request, answer);
     }
   }
   context_.send(from, answer);
 }
 
-void ConfigurationCore::addNews(const std::string& registerName, const RegisterValue& value,
-                                const PullRequest& request, PullAnswer& answer) const {
+void ConfigurationCore::appendUpdates(const std::string& registerName, const RegisterValue& value,
+                                      const PullRequest& request, PullReply& answer) const {
   const auto known = request.versions.find(registerName);
   const std::uint64_t knownVersion = known == request.versions.end() ? 0 : known->second;
   if (knownVersion >= value.version) {
     return;
   }
   const auto history = histories_.find(registerName);
-  if (request.takesPatches && history != histories_.end()) {
+  if (request.acceptsPatches && history != histories_.end()) {
     auto patches = history->second.since(knownVersion, value.value.size());
     if (patches) {
       answer.patches.push_back({registerName, std::move(*patches)});
@@ -236,7 +236,7 @@
     if (!next) {
       // Versions are unique, so this is a fault; the whole value mends it.
       context_.counters().add("configuration_patches_refused_total");
-      wanted_.insert(named.registerName);
+      needsFullValue_.insert(named.registerName);
       return false;
     }
     value = std::move(*next);
@@ -245,7 +245,7 @@
   return true;
 }
 
-void ConfigurationCore::pullAnswered(const PullAnswer& answer) {
+void ConfigurationCore::onPullReply(const PullReply& answer) {
   if (answer.requestId != pullId_) {
     return;
   }
@@ -269,16 +269,16 @@
     whole = adoptPatches(named) && whole;
   }
   if (whole) {
-    noteProof(moment);
+    recordProof(moment);
   }
 }
 
 void ConfigurationCore::receive(const NodeId& from, const Message& message) {
   if (options_.isControl) {
     dispatchMessage<PullRequest>(message,
-                                 [&](const PullRequest& request) { answerPull(from, request); });
+                                 [&](const PullRequest& request) { replyToPull(from, request); });
   }
-  dispatchMessage<PullAnswer>(message, [&](const PullAnswer& answer) { pullAnswered(answer); });
+  dispatchMessage<PullReply>(message, [&](const PullReply& answer) { onPullReply(answer); });
 }
 
 void ConfigurationCore::timerExpired(TimerId timer) {
--- a/src/register/configuration_core.h
+++ b/src/register/configuration_core.h
@@ -65,7 +65,7 @@
   std::map<std::string, std::uint64_t> versions() const;
   void adopt(const std::string& registerName, const RegisterValue& value);
   bool adoptPatches(const NamedPatches& named);
-  void noteProof(Time moment);
+  void recordProof(Time moment);
   bool hasProof() const;
   void proveByQuorum();
   void tick();
@@ -73,10 +73,10 @@
   std::vector<NodeId> sources() const;
   void chooseNextSource();
   void pull();
-  void answerPull(const NodeId& from, const PullRequest& request);
-  void addNews(const std::string& registerName, const RegisterValue& value,
-               const PullRequest& request, PullAnswer& answer) const;
-  void pullAnswered(const PullAnswer& answer);
+  void replyToPull(const NodeId& from, const PullRequest& request);
+  void appendUpdates(const std::string& registerName, const RegisterValue& value,
+                     const PullRequest& request, PullReply& answer) const;
+  void onPullReply(const PullReply& answer);
 
   CoreContext& context_;
   Directory* const directory_;
@@ -84,7 +84,7 @@
   const ConfigurationOptions options_;
   std::map<std::string, RegisterValue> values_;
   std::map<std::string, ValueHistory> histories_;  ///< Control nodes only.
-  std::set<std::string> wanted_;                   ///< Registers to be pulled whole.
+  std::set<std::string> needsFullValue_;           ///< Registers to be pulled whole.
   std::map<std::string, std::vector<std::function<void(const RegisterValue&)>>> listeners_;
   Time startedAt_{};
   Time provedAt_ = Time::min();
--- a/src/register/configuration_messages.h
+++ b/src/register/configuration_messages.h
@@ -24,8 +24,8 @@
   std::uint64_t requestId = 0;
   std::map<std::string, std::uint64_t> versions;
   /// False from a node of a release without patches: it would take the proof and miss the value.
-  bool takesPatches = false;
-  MSGPACK_DEFINE(requestId, versions, takesPatches);
+  bool acceptsPatches = false;
+  MSGPACK_DEFINE(requestId, versions, acceptsPatches);
 };
 
 /// Patches of one register, in the order of their versions.
@@ -36,7 +36,7 @@
 };
 
 /// Answer to `PullRequest`. A register stands in at most one of `values` and `patches`.
-struct PullAnswer {
+struct PullReply {
   static constexpr ServiceId kService = ServiceId::Configuration;
   static constexpr std::uint16_t kKind = 2;
   std::uint64_t requestId = 0;
--- a/src/register/configuration_register.h
+++ b/src/register/configuration_register.h
@@ -47,7 +47,7 @@
 struct ChangeRequest {
   std::string registerName;
   std::uint64_t baseVersion = 0;  ///< The version that the change builds on.
-  std::string orderId;            ///< Chosen by the operator; the same on every resend.
+  std::string idempotencyKey;     ///< Chosen by the operator; the same on every resend.
   std::string value;              ///< The whole new value.
   /// What the operator sent, if `value` was derived from it and from the base version (a merge
   /// patch). A resend is compared by it; empty means that `value` is compared.
@@ -69,8 +69,9 @@
   ///
   /// @p done is called once with the outcome, or with
   /// - `VersionConflict`: another change won; this one did not and will not take effect;
-  /// - `OrderIdReused`: the order id was used with other content; nothing changed;
-  /// - `OutcomeUnknown`: no majority told the outcome in time; resend with the same order id;
+  /// - `IdempotencyKeyReused`: the idempotency key was used with other content; nothing changed;
+  /// - `OutcomeUnknown`: no majority told the outcome in time; resend with the same idempotency
+  /// key;
   /// - `NoQuorum`: nothing was sent that could take effect.
   virtual void change(ChangeRequest request, std::function<void(Result<ChangeOutcome>)> done) = 0;
 
@@ -91,7 +92,7 @@
   /// The value in force; version 0 if none.
   virtual RegisterValue current(const std::string& registerName) const = 0;
 
-  /// The time until which this node is proved to have been current. New calls are refused after
+  /// The time until which this node is proved to have been current. New calls are rejected after
   /// it. Any thread.
   virtual Time freshUntil() const = 0;
 };
--- a/src/register/fleet_formation.cpp
+++ b/src/register/fleet_formation.cpp
@@ -60,7 +60,7 @@
   }
 }
 
-void FleetFormation::identityAnswered(const NodeId& from, const IdentityAnswer& answer) {
+void FleetFormation::onIdentityReply(const NodeId& from, const IdentityReply& answer) {
   if (isFinished() || list_ || answer.requestId != id_) {
     return;
   }
@@ -89,9 +89,9 @@
   list.acceptors = membersOf(acceptors_);
   list.stores = membersOf(stores_);
   list.replicas = replicas_;
-  const std::uint64_t content = initialMembersState(list).entry.content;
+  const std::uint64_t content = initialMembersState(list).entry.contentHash;
   for (const auto& identity : identities_) {
-    const std::uint64_t other = identity.second.initialContent;
+    const std::uint64_t other = identity.second.initialMembersHash;
     if (other != 0 && other != content) {
       finish(makeError(ErrorCode::AlreadyExists,
                        identity.first.address + ": is formed with other members or disks"));
@@ -102,7 +102,7 @@
   sendRequests();
 }
 
-void FleetFormation::formAnswered(const NodeId& from, const FormAnswer& answer) {
+void FleetFormation::onFormReply(const NodeId& from, const FormReply& answer) {
   if (isFinished() || !list_ || answer.requestId != id_) {
     return;
   }
--- a/src/register/fleet_formation.h
+++ b/src/register/fleet_formation.h
@@ -24,8 +24,8 @@
                  std::vector<NodeId> stores, std::uint32_t replicas, FormationDone done);
 
   void start();
-  void identityAnswered(const NodeId& from, const IdentityAnswer& answer);
-  void formAnswered(const NodeId& from, const FormAnswer& answer);
+  void onIdentityReply(const NodeId& from, const IdentityReply& answer);
+  void onFormReply(const NodeId& from, const FormReply& answer);
   void timerExpired(OperationTimer timer);
 
   bool isFinished() const { return result_.has_value(); }
@@ -44,7 +44,7 @@
   const std::uint32_t replicas_;
   FormationDone done_;
   std::optional<Result<MemberList>> result_;
-  std::map<NodeId, IdentityAnswer> identities_;
+  std::map<NodeId, IdentityReply> identities_;
   std::optional<MemberList> list_;  ///< Set once all identities are known.
   std::set<NodeId> formed_;
 };
--- a/src/register/member_replacement.cpp
+++ b/src/register/member_replacement.cpp
@@ -1,6 +1,7 @@
 #include "register/member_replacement.h"
 
 #include "register/acceptor.h"
+#include "register/member_lists.h"
 
 #include <algorithm>
 
@@ -8,26 +9,15 @@
 
 namespace {
 
-bool isListed(const std::vector<MemberList::Member>& members, const NodeId& id) {
-  return std::any_of(members.begin(), members.end(),
-                     [&](const MemberList::Member& member) { return member.id == id; });
-}
-
 bool isListed(const MemberList& list, const NodeId& id) {
   return isListed(list.acceptors, id) || isListed(list.stores, id);
 }
 
-bool isListedWith(const std::vector<MemberList::Member>& members, const MemberList::Member& who) {
-  return std::any_of(members.begin(), members.end(), [&](const MemberList::Member& member) {
-    return member.id == who.id && member.storeId == who.storeId;
-  });
-}
-
 void replaceIn(std::vector<MemberList::Member>& members, const NodeId& old,
-               const MemberList::Member& newcomer) {
+               const MemberList::Member& joiningMember) {
   for (MemberList::Member& member : members) {
     if (member.id == old) {
-      member = newcomer;
+      member = joiningMember;
     }
   }
 }
@@ -60,14 +50,14 @@
   }
   const MembersCommitted announcement{id_, {baseVersion_, encodeRecord(list_)}};
   for (const MemberList::Member& member : list_.acceptors) {
-    if (notedBy_.count(member.id) == 0) {
+    if (acknowledgedBy_.count(member.id) == 0) {
       host_.context().send(member.id, announcement);
     }
   }
 }
 
-void MemberReplacement::identityAnswered(const NodeId& from, const IdentityAnswer& answer) {
-  const bool expected = from == newId_ && answer.requestId == id_ && newcomer_.storeId.empty();
+void MemberReplacement::onIdentityReply(const NodeId& from, const IdentityReply& answer) {
+  const bool expected = from == newId_ && answer.requestId == id_ && joining_.storeId.empty();
   if (isFinished() || !expected) {
     return;
   }
@@ -77,7 +67,7 @@
   }
   host_.stopTimer(id_, OperationTimer::Deadline);
   host_.stopTimer(id_, OperationTimer::Resend);
-  newcomer_ = {newId_, answer.storeId};
+  joining_ = {newId_, answer.storeId};
   readMembers();
 }
 
@@ -113,7 +103,7 @@
   }
   baseVersion_ = read.value().value.version;
   list_ = std::move(list).value();
-  isMemberNow_ = isListedWith(list_.acceptors, newcomer_) || isListedWith(list_.stores, newcomer_);
+  isMemberNow_ = isListed(list_.acceptors, joining_) || isListed(list_.stores, joining_);
   if (!isMemberNow_ && !isAddition() && !isListed(list_, oldId_)) {
     finish(makeError(ErrorCode::NotFound, oldId_.address + ": is no member"));
     return;
@@ -139,22 +129,23 @@
   sendRequests();
 }
 
-void MemberReplacement::membersNoted(const NodeId& from, const MembersNoted& answer) {
+void MemberReplacement::onMembersAcknowledged(const NodeId& from,
+                                              const MembersAcknowledged& answer) {
   if (isFinished() || !isAnnouncing_ || answer.requestId != id_) {
     return;
   }
-  notedBy_[from] = answer.storeId;
-  std::size_t noted = 0;
-  bool newcomerNoted = !isListedWith(list_.acceptors, newcomer_);
+  acknowledgedBy_[from] = answer.storeId;
+  std::size_t acknowledged = 0;
+  bool joiningAcknowledged = !isListed(list_.acceptors, joining_);
   for (const MemberList::Member& member : list_.acceptors) {
-    const auto found = notedBy_.find(member.id);
-    if (found == notedBy_.end() || found->second != member.storeId) {
+    const auto found = acknowledgedBy_.find(member.id);
+    if (found == acknowledgedBy_.end() || found->second != member.storeId) {
       continue;
     }
-    ++noted;
-    newcomerNoted = newcomerNoted || member.id == newId_;
+    ++acknowledged;
+    joiningAcknowledged = joiningAcknowledged || member.id == newId_;
   }
-  if (!newcomerNoted || noted < majorityOf(list_.acceptors.size())) {
+  if (!joiningAcknowledged || acknowledged < majorityOf(list_.acceptors.size())) {
     return;
   }
   isAnnouncing_ = false;
@@ -175,7 +166,7 @@
   ProposalSpec spec;
   spec.registerName = copyOrder()[index];
   spec.recommit = true;
-  spec.newcomer = newcomer_;
+  spec.joiningMember = joining_;
   runProposal_(spec, [this, index](Result<ProposalOutcome> copied) {
     if (!copied) {
       finish(makeError(isMemberNow_ ? ErrorCode::OutcomeUnknown : copied.error().code,
@@ -188,16 +179,16 @@
 
 void MemberReplacement::changeMembers() {
   if (isAddition()) {
-    list_.acceptors.push_back(newcomer_);
+    list_.acceptors.push_back(joining_);
   } else {
-    replaceIn(list_.acceptors, oldId_, newcomer_);
-    replaceIn(list_.stores, oldId_, newcomer_);
+    replaceIn(list_.acceptors, oldId_, joining_);
+    replaceIn(list_.stores, oldId_, joining_);
   }
   ChangeRequest change;
   change.registerName = kMembersRegister;
   change.baseVersion = baseVersion_;
-  change.orderId = "replace " + oldId_.address + " by " + newId_.address + " " + newcomer_.storeId +
-                   " in " + std::to_string(baseVersion_);
+  change.idempotencyKey = "replace " + oldId_.address + " by " + newId_.address + " " +
+                          joining_.storeId + " in " + std::to_string(baseVersion_);
   change.value = encodeRecord(list_);
   ProposalSpec spec;
   spec.registerName = kMembersRegister;
--- a/src/register/member_replacement.h
+++ b/src/register/member_replacement.h
@@ -18,17 +18,18 @@
 
 /// What becomes of the member list.
 enum class MemberChange {
-  Replacement,       ///< The newcomer takes the place of a member.
-  AcceptorAddition,  ///< The newcomer becomes one more acceptor; nobody leaves.
+  Replacement,       ///< The joining member takes the place of a member.
+  AcceptorAddition,  ///< The joining member becomes one more acceptor; nobody leaves.
 };
 
 /// The steps of one replacement or addition, all of which may be repeated:
-/// 1. ask the newcomer for its store id;
-/// 2. commit every register again under the present list, with the newcomer as an additional
+/// 1. ask the joining member for its store id;
+/// 2. commit every register again under the present list, with the joining member as an additional
 ///    acceptor that must accept too: then it holds all the data, and whatever older lists committed
 ///    is on a majority of the present one;
 /// 3. change the members register, committed by majorities of the old and of the new list;
-/// 4. let a majority of the new list, the newcomer among it, note that the new list is committed.
+/// 4. let a majority of the new list, the joining member among it, note that the new list is
+/// committed.
 ///    Otherwise only this node would know, and with it lost the others could not tell: the machines
 ///    of the old list that would prove it may be gone by then;
 /// 5. commit every register again under the new list. Only now is the replacement reported done.
@@ -40,8 +41,8 @@
                     NodeId newId, RunProposal runProposal, ReplacementDone done);
 
   void start();
-  void identityAnswered(const NodeId& from, const IdentityAnswer& answer);
-  void membersNoted(const NodeId& from, const MembersNoted& answer);
+  void onIdentityReply(const NodeId& from, const IdentityReply& answer);
+  void onMembersAcknowledged(const NodeId& from, const MembersAcknowledged& answer);
   void timerExpired(OperationTimer timer);
 
   bool isFinished() const { return result_.has_value(); }
@@ -65,12 +66,13 @@
   RunProposal runProposal_;
   ReplacementDone done_;
   std::optional<Result<MemberList>> result_;
-  MemberList::Member newcomer_;
+  MemberList::Member joining_;
   std::uint64_t baseVersion_ = 0;
   MemberList list_;           ///< The list after the replacement.
   bool isMemberNow_ = false;  ///< The members register holds `list_`.
   bool isAnnouncing_ = false;
-  std::map<NodeId, std::string> notedBy_;  ///< Store id of each acceptor that noted `list_`.
+  std::map<NodeId, std::string>
+      acknowledgedBy_;  ///< Store id of each acceptor that acknowledged `list_`.
 };
 
 }  // namespace shedshed
--- a/src/register/proposal.cpp
+++ b/src/register/proposal.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Pause before an acceptor that fetches ledger entries is asked again.
-constexpr Duration kLedgerRetry = std::chrono::milliseconds(10);
+/// Pause before an acceptor that fetches log entries is asked again.
+constexpr Duration kChangeLogRetry = std::chrono::milliseconds(10);
 
 /// Hashes what an order stands for. A resend names the same base version and content.
 std::uint64_t hashOfContent(const ChangeRequest& change) {
@@ -22,15 +22,10 @@
 
 }  // namespace
 
-bool speaksFor(const RegisterSafeguards& safeguards, const MemberList::Member& member,
-               const NodeId& from, const std::string& storeId) {
-  return member.id == from && (member.storeId == storeId || !safeguards.storeIdCheck);
-}
-
 Proposal::Proposal(ProposalHost& host, OperationId id, ProposalSpec spec, Done done)
     : host_(host), id_(id), spec_(std::move(spec)), done_(std::move(done)) {
   if (spec_.change) {
-    orderDigest_ = digestOf(spec_.change->orderId);
+    keyDigest_ = digestOf(spec_.change->idempotencyKey);
     contentHash_ = hashOfContent(*spec_.change);
   }
 }
@@ -43,13 +38,13 @@
 void Proposal::beginRound() {
   members_ = host_.members();
   promises_.clear();
-  refusals_.clear();
+  rejections_.clear();
   acceptedBy_.clear();
   nextVoters_.clear();
-  graceOver_ = false;
-  graceRuns_ = false;
+  graceExpired_ = false;
+  graceTimerStarted_ = false;
   if (members_.version == 0) {
-    pauseBeforeNextRound();
+    backOff();
     return;
   }
   ballot_ = host_.nextBallot();
@@ -61,7 +56,7 @@
 void Proposal::sendRequests() {
   host_.startTimer(id_, OperationTimer::Resend, kRoundResend);
   if (phase_ == Phase::Preparing) {
-    const PrepareRequest request{spec_.registerName, ballot_, members_.version, orderDigest_};
+    const PrepareRequest request{spec_.registerName, ballot_, members_.version, keyDigest_};
     for (const MemberList::Member& member : members_.list.acceptors) {
       if (promises_.count(member.id) == 0) {
         host_.context().send(member.id, request);
@@ -76,8 +71,8 @@
   for (const MemberList::Member& member : nextVoters_) {
     targets.insert(member.id);
   }
-  if (spec_.newcomer) {
-    targets.insert(spec_.newcomer->id);
+  if (spec_.joiningMember) {
+    targets.insert(spec_.joiningMember->id);
   }
   for (const NodeId& target : targets) {
     if (acceptedBy_.count(target) == 0) {
@@ -91,50 +86,45 @@
   request.registerName = spec_.registerName;
   request.membersVersion = members_.version;
   request.state = proposed_;
-  request.source = ledgerSource_;
+  request.changeLogSource = changeLogSource_;
   host_.context().send(to, request);
 }
 
-void Proposal::pauseBeforeNextRound() {
-  phase_ = Phase::Pausing;
+void Proposal::backOff() {
+  phase_ = Phase::BackingOff;
   host_.stopTimer(id_, OperationTimer::Round);
   host_.stopTimer(id_, OperationTimer::Resend);
-  std::uniform_int_distribution<std::int64_t> pause(kBackoffLeast.count(), longestPause_.count());
-  longestPause_ = std::min(longestPause_ * 2, kBackoffMost);
+  std::uniform_int_distribution<std::int64_t> pause(kMinBackoff.count(), maxBackoff_.count());
+  maxBackoff_ = std::min(maxBackoff_ * 2, kMaxBackoff);
   host_.startTimer(id_, OperationTimer::Pause, Duration(pause(host_.context().random())));
 }
 
-bool Proposal::refused(const NodeId& from, AcceptorVerdict verdict, const Ballot& promised) {
+bool Proposal::onRejection(const NodeId& from, AcceptorVerdict verdict, const Ballot& promised) {
   if (verdict == AcceptorVerdict::Granted) {
     return false;
   }
   if (verdict == AcceptorVerdict::Outranked) {
-    host_.sawBallot(promised);
+    host_.observeBallot(promised);
   }
-  refusals_.insert(from);
+  rejections_.insert(from);
   const std::size_t voters = members_.list.acceptors.size();
-  if (refusals_.size() > voters - majorityOf(voters)) {
-    pauseBeforeNextRound();
+  if (rejections_.size() > voters - majorityOf(voters)) {
+    backOff();
   }
   return true;
 }
 
-void Proposal::prepareAnswered(const NodeId& from, const PrepareAnswer& answer) {
+void Proposal::onPrepareReply(const NodeId& from, const PrepareReply& answer) {
   if (isFinished() || phase_ != Phase::Preparing || answer.ballot != ballot_) {
     return;
   }
-  const auto& voters = members_.list.acceptors;
-  const bool counts =
-      std::any_of(voters.begin(), voters.end(), [&](const MemberList::Member& member) {
-        return speaksFor(host_.safeguards(), member, from, answer.storeId);
-      });
-  if (!counts) {
+  if (!isVoteOfAny(host_.safeguards(), members_.list.acceptors, from, answer.storeId)) {
     return;
   }
   if (answer.verdict == AcceptorVerdict::StaleMembers) {
     host_.membersOutdated(members_.version);
   }
-  if (refused(from, answer.verdict, answer.promised)) {
+  if (onRejection(from, answer.verdict, answer.promised)) {
     return;
   }
   promises_[from] = answer;
@@ -145,7 +135,7 @@
   if (promises_.size() < majorityOf(members_.list.acceptors.size())) {
     return;
   }
-  const PrepareAnswer* newest = nullptr;
+  const PrepareReply* newest = nullptr;
   NodeId holder;
   for (const auto& entry : promises_) {
     if (newest == nullptr || newest->accepted.ballot < entry.second.accepted.ballot) {
@@ -159,19 +149,19 @@
       });
   const bool committed = isCommitted(newest->accepted, agreeing);
   const bool allAnswered = promises_.size() == members_.list.acceptors.size();
-  if (!committed && !allAnswered && !graceOver_) {
-    if (!graceRuns_) {
-      graceRuns_ = true;
+  if (!committed && !allAnswered && !graceExpired_) {
+    if (!graceTimerStarted_) {
+      graceTimerStarted_ = true;
       host_.startTimer(id_, OperationTimer::Pause, kAgreementGrace);
     }
     return;
   }
-  ledgerSource_ = holder;
+  changeLogSource_ = holder;
   decide(*newest, committed);
 }
 
 bool Proposal::isCommitted(const AcceptedState& newest, std::size_t agreeing) const {
-  if (!newest.ballot.isZero() && newest.ballot == ownCommit_) {
+  if (!newest.ballot.isZero() && newest.ballot == lastCommittedBallot_) {
     return true;
   }
   const bool isNextList =
@@ -179,37 +169,37 @@
   return agreeing >= majorityOf(members_.list.acceptors.size()) && !isNextList;
 }
 
-void Proposal::decide(const PrepareAnswer& newest, bool committed) {
+void Proposal::decide(const PrepareReply& newest, bool committed) {
   newest_ = newest;
   host_.stopTimer(id_, OperationTimer::Pause);
   const bool trusted = committed || !host_.safeguards().finishBeforeAnswer;
-  const bool mustCommit = !trusted || (!spec_.change && (spec_.recommit || spec_.newcomer));
+  const bool mustCommit = !trusted || (!spec_.change && (spec_.recommit || spec_.joiningMember));
   if (mustCommit) {
     AcceptedState same = newest_.accepted;
     same.ballot = ballot_;
-    startAccepts(Phase::Committing, std::move(same), ledgerSource_);
+    startAccepts(Phase::Committing, std::move(same), changeLogSource_);
     return;
   }
   host_.committed(spec_.registerName, {newest_.accepted.version, newest_.accepted.value});
   if (spec_.change && judge(newest_) == Judgement::Build) {
-    startAccepts(Phase::Proposing, nextState(), ledgerSource_);
+    startAccepts(Phase::Proposing, nextState(), changeLogSource_);
     return;
   }
   conclude();
 }
 
-Proposal::Judgement Proposal::judge(const PrepareAnswer& newest) const {
+Proposal::Judgement Proposal::judge(const PrepareReply& newest) const {
   const ChangeRequest& change = *spec_.change;
-  if (newest.orderVersion != 0) {
-    return newest.orderContent == contentHash_ ? Judgement::Applied : Judgement::Reused;
+  if (newest.appliedVersion != 0) {
+    return newest.appliedContentHash == contentHash_ ? Judgement::Applied : Judgement::Reused;
   }
   if (newest.accepted.version == change.baseVersion) {
     return Judgement::Build;
   }
-  // An order can only have produced the version after its base. If that entry has left the ledger,
+  // An order can only have produced the version after its base. If that entry has left the log,
   // nobody can tell any more whether this order produced it.
   const std::uint64_t produced = change.baseVersion + 1;
-  return produced < newest.ledgerFirst ? Judgement::TooOld : Judgement::Conflict;
+  return produced < newest.firstLoggedVersion ? Judgement::TooOld : Judgement::Conflict;
 }
 
 AcceptedState Proposal::nextState() const {
@@ -219,7 +209,7 @@
   next.version = base.version + 1;
   next.value = spec_.change->value;
   next.baseChain = base.version == 0 ? Digest{} : nextChain(base.baseChain, base.entry);
-  next.entry = LedgerEntry{orderDigest_, contentHash_};
+  next.entry = AppliedChange{keyDigest_, contentHash_};
   return next;
 }
 
@@ -235,11 +225,12 @@
     beginRound();
     return;
   case Judgement::Applied:
-    outcome.outcome = {newest_.orderVersion, !mayTakeEffect_};
+    outcome.outcome = {newest_.appliedVersion, !mayTakeEffect_};
     finish(outcome);
     return;
   case Judgement::Reused:
-    finish(makeError(ErrorCode::OrderIdReused, "the order id was applied with other content"));
+    finish(
+        makeError(ErrorCode::IdempotencyKeyReused, "the order id was applied with other content"));
     return;
   case Judgement::Conflict:
     finish(makeError(ErrorCode::VersionConflict,
@@ -254,8 +245,8 @@
 void Proposal::startAccepts(Phase phase, AcceptedState state, const NodeId& source) {
   phase_ = phase;
   proposed_ = std::move(state);
-  ledgerSource_ = source;
-  refusals_.clear();
+  changeLogSource_ = source;
+  rejections_.clear();
   mayTakeEffect_ = mayTakeEffect_ || phase == Phase::Proposing;
   if (spec_.registerName == kMembersRegister && proposed_.version > members_.version) {
     Result<MemberList> next = decodeRecord<MemberList>(proposed_.value);
@@ -267,19 +258,19 @@
   sendRequests();
 }
 
-void Proposal::acceptAnswered(const NodeId& from, const AcceptAnswer& answer) {
+void Proposal::onAcceptReply(const NodeId& from, const AcceptReply& answer) {
   const bool accepting = phase_ == Phase::Committing || phase_ == Phase::Proposing;
   if (isFinished() || !accepting || answer.ballot != ballot_) {
     return;
   }
-  if (answer.verdict == AcceptorVerdict::NeedLedger) {
-    host_.startTimer(id_, OperationTimer::Resend, kLedgerRetry);
+  if (answer.verdict == AcceptorVerdict::ChangeLogMissing) {
+    host_.startTimer(id_, OperationTimer::Resend, kChangeLogRetry);
     return;
   }
   if (answer.verdict == AcceptorVerdict::StaleMembers) {
     host_.membersOutdated(members_.version);
   }
-  if (refused(from, answer.verdict, answer.promised)) {
+  if (onRejection(from, answer.verdict, answer.promised)) {
     return;
   }
   acceptedBy_[from] = answer.storeId;
@@ -291,7 +282,7 @@
       std::count_if(voters.begin(), voters.end(), [this](const MemberList::Member& member) {
         const auto found = acceptedBy_.find(member.id);
         return found != acceptedBy_.end() &&
-               speaksFor(host_.safeguards(), member, found->first, found->second);
+               isVoteOf(host_.safeguards(), member, found->first, found->second);
       });
   return accepted >= majorityOf(voters.size());
 }
@@ -303,10 +294,10 @@
   if (!nextVoters_.empty() && !isAcceptedBy(nextVoters_)) {
     return;
   }
-  if (spec_.newcomer && !isAcceptedBy({*spec_.newcomer})) {
+  if (spec_.joiningMember && !isAcceptedBy({*spec_.joiningMember})) {
     return;
   }
-  ownCommit_ = ballot_;
+  lastCommittedBallot_ = ballot_;
   const RegisterValue value{proposed_.version, proposed_.value};
   host_.committed(spec_.registerName, value);
   if (phase_ == Phase::Committing) {
@@ -325,16 +316,16 @@
     finish(makeError(mayTakeEffect_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum));
     return;
   case OperationTimer::Round:
-    pauseBeforeNextRound();
+    backOff();
     return;
   case OperationTimer::Resend:
     sendRequests();
     return;
   case OperationTimer::Pause:
-    if (phase_ == Phase::Pausing) {
+    if (phase_ == Phase::BackingOff) {
       beginRound();
     } else if (phase_ == Phase::Preparing) {
-      graceOver_ = true;
+      graceExpired_ = true;
       evaluatePromises();
     }
     return;
--- a/src/register/proposal.h
+++ b/src/register/proposal.h
@@ -2,6 +2,7 @@
 /// One operation on one register: a change, or a read with a majority.
 #pragma once
 
+#include "register/quorum.h"
 #include "register/register_messages.h"
 #include "register/register_options.h"
 
@@ -13,12 +14,6 @@
 
 namespace shedshed {
 
-/// A committed member list and its version; version 0 if none is known.
-struct KnownMembers {
-  std::uint64_t version = 0;
-  MemberList list;
-};
-
 /// Identifies an operation of this process.
 using OperationId = std::uint64_t;
 
@@ -35,7 +30,7 @@
   virtual const KnownMembers& members() const = 0;
   /// A ballot above all that were seen, never used before.
   virtual Ballot nextBallot() = 0;
-  virtual void sawBallot(const Ballot& ballot) = 0;
+  virtual void observeBallot(const Ballot& ballot) = 0;
   /// An acceptor holds a newer member list than @p version.
   virtual void membersOutdated(std::uint64_t version) = 0;
   /// @p value is proved to be committed.
@@ -44,15 +39,6 @@
   virtual void stopTimer(OperationId operation, OperationTimer timer) = 0;
 };
 
-/// True if an answer with @p storeId speaks for @p member.
-bool speaksFor(const RegisterSafeguards& safeguards, const MemberList::Member& member,
-               const NodeId& from, const std::string& storeId);
-
-/// Returns the size of a majority of @p members voters.
-inline std::size_t majorityOf(std::size_t members) {
-  return members / 2 + 1;
-}
-
 /// What an operation is to do.
 struct ProposalSpec {
   std::string registerName;
@@ -60,7 +46,7 @@
   /// Commit the state again under the present member list, even if it is committed.
   bool recommit = false;
   /// A machine outside the member list that must accept the state too, before `done`.
-  std::optional<MemberList::Member> newcomer;
+  std::optional<MemberList::Member> joiningMember;
 };
 
 /// What an operation came to.
@@ -75,9 +61,10 @@
 /// 1. if that state is not known to be committed, commit it at this ballot before anything is said
 ///    of it. Only then is it certain that no older, half-done accept (also one of this very
 ///    operation) can still come into force;
-/// 2. then judge the change against the committed state: answer from its ledger, refuse it, or go
+/// 2. then judge the change against the committed state: answer from its log, refuse it, or go
 ///    on to propose the next version at a new ballot.
-/// A change is reported as refused only after step 1, so a refused change never takes effect later.
+/// A change is reported as rejected only after step 1, so a rejected change never takes effect
+/// later.
 class Proposal {
  public:
   using Done = std::function<void(Result<ProposalOutcome>)>;
@@ -85,8 +72,8 @@
   Proposal(ProposalHost& host, OperationId id, ProposalSpec spec, Done done);
 
   void start();
-  void prepareAnswered(const NodeId& from, const PrepareAnswer& answer);
-  void acceptAnswered(const NodeId& from, const AcceptAnswer& answer);
+  void onPrepareReply(const NodeId& from, const PrepareReply& answer);
+  void onAcceptReply(const NodeId& from, const AcceptReply& answer);
   void timerExpired(OperationTimer timer);
 
   const std::string& registerName() const { return spec_.registerName; }
@@ -95,18 +82,18 @@
   void report() { done_(std::move(*result_)); }
 
  private:
-  enum class Phase { Pausing, Preparing, Committing, Proposing };
+  enum class Phase { BackingOff, Preparing, Committing, Proposing };
   enum class Judgement { Build, Applied, Reused, Conflict, TooOld };
 
   void beginRound();
   void sendRequests();
   void sendAccept(const NodeId& to);
-  void pauseBeforeNextRound();
-  bool refused(const NodeId& from, AcceptorVerdict verdict, const Ballot& promised);
+  void backOff();
+  bool onRejection(const NodeId& from, AcceptorVerdict verdict, const Ballot& promised);
   void evaluatePromises();
   bool isCommitted(const AcceptedState& newest, std::size_t agreeing) const;
-  void decide(const PrepareAnswer& newest, bool committed);
-  Judgement judge(const PrepareAnswer& newest) const;
+  void decide(const PrepareReply& newest, bool committed);
+  Judgement judge(const PrepareReply& newest) const;
   void conclude();
   void startAccepts(Phase phase, AcceptedState state, const NodeId& source);
   bool isAcceptedBy(const std::vector<MemberList::Member>& voters) const;
@@ -120,22 +107,22 @@
   Done done_;
   std::optional<Result<ProposalOutcome>> result_;
 
-  Digest orderDigest_;
+  Digest keyDigest_;
   std::uint64_t contentHash_ = 0;
   bool mayTakeEffect_ = false;  ///< An accept of the change itself has been sent.
-  Ballot ownCommit_;            ///< The last ballot at which this operation committed a state.
-  Duration longestPause_ = kBackoffFirst;
+  Ballot lastCommittedBallot_;  ///< The last ballot at which this operation committed a state.
+  Duration maxBackoff_ = kInitialMaxBackoff;
 
-  Phase phase_ = Phase::Pausing;
+  Phase phase_ = Phase::BackingOff;
   Ballot ballot_;
   KnownMembers members_;  ///< The list that this round goes by.
-  bool graceOver_ = false;
-  bool graceRuns_ = false;
-  std::map<NodeId, PrepareAnswer> promises_;
-  std::set<NodeId> refusals_;
-  PrepareAnswer newest_;
+  bool graceExpired_ = false;
+  bool graceTimerStarted_ = false;
+  std::map<NodeId, PrepareReply> promises_;
+  std::set<NodeId> rejections_;
+  PrepareReply newest_;
   AcceptedState proposed_;
-  NodeId ledgerSource_;
+  NodeId changeLogSource_;
   std::vector<MemberList::Member> nextVoters_;  ///< Voters of a member list being committed.
   std::map<NodeId, std::string> acceptedBy_;    ///< Store id of each acceptor that accepted.
 };
--- a/src/register/quorum_reader.cpp
+++ b/src/register/quorum_reader.cpp
@@ -16,10 +16,10 @@
 
 void QuorumReader::start(std::map<std::string, std::uint64_t> known, Done done) {
   if (done_) {
-    noteDisagreements();
-    Done givenUp = std::move(done_);
+    countDisagreements();
+    Done abandoned = std::move(done_);
     done_ = nullptr;
-    givenUp(makeError(ErrorCode::NoQuorum));
+    abandoned(makeError(ErrorCode::NoQuorum));
   }
   requestId_ = host_.context().random()();  // Also unlike any before a restart.
   members_ = host_.members();
@@ -32,16 +32,11 @@
   }
 }
 
-void QuorumReader::answered(const NodeId& from, const ReadAnswer& answer) {
+void QuorumReader::answered(const NodeId& from, const ReadReply& answer) {
   if (!done_ || answer.requestId != requestId_) {
     return;
   }
-  const auto& voters = members_.list.acceptors;
-  const bool counts =
-      std::any_of(voters.begin(), voters.end(), [&](const MemberList::Member& member) {
-        return speaksFor(host_.safeguards(), member, from, answer.storeId);
-      });
-  if (!counts) {
+  if (!isVoteOfAny(host_.safeguards(), members_.list.acceptors, from, answer.storeId)) {
     return;
   }
   if (answer.membersVersion > members_.version) {
@@ -80,7 +75,7 @@
   return nullptr;
 }
 
-void QuorumReader::noteDisagreements() {
+void QuorumReader::countDisagreements() {
   if (answers_.size() < majorityOf(members_.list.acceptors.size())) {
     return;
   }
--- a/src/register/quorum_reader.h
+++ b/src/register/quorum_reader.h
@@ -36,12 +36,12 @@
   /// versions in @p known, or with `NoQuorum` if the read is given up.
   void start(std::map<std::string, std::uint64_t> known, Done done);
 
-  void answered(const NodeId& from, const ReadAnswer& answer);
+  void answered(const NodeId& from, const ReadReply& answer);
 
  private:
   /// The row that a majority agrees on, or nullptr.
   const ReadRow* agreed(const std::string& registerName) const;
-  void noteDisagreements();
+  void countDisagreements();
 
   ProposalHost& host_;
   std::function<void(const std::string&)> repair_;
@@ -49,7 +49,7 @@
   std::uint64_t requestId_ = 0;
   KnownMembers members_;
   std::map<std::string, std::uint64_t> known_;
-  std::map<NodeId, ReadAnswer> answers_;
+  std::map<NodeId, ReadReply> answers_;
   std::map<std::string, int> disagreements_;  ///< Reads in a row without agreement.
 };
 
--- a/src/register/register_core.cpp
+++ b/src/register/register_core.cpp
@@ -107,7 +107,7 @@
 void RegisterCore::change(ChangeRequest request, std::function<void(Result<ChangeOutcome>)> done) {
   const bool changeable =
       isRegister(request.registerName) && request.registerName != kMembersRegister;
-  if (!changeable || request.orderId.empty()) {
+  if (!changeable || request.idempotencyKey.empty()) {
     done(makeError(ErrorCode::InvalidArgument,
                    changeable ? "order id: must not be empty" : "no such register"));
     return;
@@ -213,7 +213,7 @@
   return Ballot{++highestRound_, incarnation_};
 }
 
-void RegisterCore::sawBallot(const Ballot& ballot) {
+void RegisterCore::observeBallot(const Ballot& ballot) {
   highestRound_ = std::max(highestRound_, ballot.round);
 }
 
@@ -235,7 +235,7 @@
 bool RegisterCore::receiveAsAcceptor(const NodeId& from, const Message& message) {
   if (!acceptor_) {
     return dispatchMessage<IdentityRequest>(message, [&](const IdentityRequest& request) {
-      context_.send(from, IdentityAnswer{request.requestId, {}, 0, 0});
+      context_.send(from, IdentityReply{request.requestId, {}, 0, 0});
     });
   }
   Acceptor& acceptor = *acceptor_;
@@ -248,12 +248,14 @@
                                             acceptedListener_();
                                           }
                                         }) ||
-         dispatchMessage<ReadRequest>(message,
-                                      [&](const ReadRequest& request) { readBy(from, request); }) ||
-         dispatchMessage<LedgerRequest>(
-             message, [&](const LedgerRequest& request) { acceptor.sendLedger(from, request); }) ||
-         dispatchMessage<LedgerPart>(
-             message, [&](const LedgerPart& part) { acceptor.addLedger(from, part); }) ||
+         dispatchMessage<ReadRequest>(
+             message, [&](const ReadRequest& request) { onReadRequest(from, request); }) ||
+         dispatchMessage<ChangeLogRequest>(
+             message,
+             [&](const ChangeLogRequest& request) { acceptor.sendChangeLog(from, request); }) ||
+         dispatchMessage<ChangeLogChunk>(
+             message,
+             [&](const ChangeLogChunk& part) { acceptor.addChangeLogChunk(from, part); }) ||
          dispatchMessage<IdentityRequest>(
              message,
              [&](const IdentityRequest& request) { acceptor.sendIdentity(from, request); }) ||
@@ -261,13 +263,13 @@
              message,
              [&](const MembersCommitted& announcement) {
                learnMembers(announcement.members);
-               outbox_.send(from, MembersNoted{announcement.requestId, options_.storeId});
+               outbox_.send(from, MembersAcknowledged{announcement.requestId, options_.storeId});
              }) ||
          dispatchMessage<FormRequest>(message,
                                       [&](const FormRequest& request) { formed(from, request); });
 }
 
-void RegisterCore::readBy(const NodeId& from, const ReadRequest& request) {
+void RegisterCore::onReadRequest(const NodeId& from, const ReadRequest& request) {
   acceptor_->read(from, request);
   const bool isNew = from != context_.self() && readers_.insert(from).second;
   if (isNew && newReaderListener_) {
@@ -280,38 +282,38 @@
   if (formed) {
     learnMembers({1, encodeRecord(request.members)});
   }
-  outbox_.send(from, FormAnswer{request.requestId, formed});
+  outbox_.send(from, FormReply{request.requestId, formed});
 }
 
 void RegisterCore::receiveAsProposer(const NodeId& from, const Message& message) {
-  dispatchMessage<PrepareAnswer>(message, [&](const PrepareAnswer& answer) {
+  dispatchMessage<PrepareReply>(message, [&](const PrepareReply& answer) {
     for (auto& entry : proposals_) {
-      entry.second->prepareAnswered(from, answer);
+      entry.second->onPrepareReply(from, answer);
     }
   });
-  dispatchMessage<AcceptAnswer>(message, [&](const AcceptAnswer& answer) {
+  dispatchMessage<AcceptReply>(message, [&](const AcceptReply& answer) {
     for (auto& entry : proposals_) {
-      entry.second->acceptAnswered(from, answer);
+      entry.second->onAcceptReply(from, answer);
     }
   });
-  dispatchMessage<ReadAnswer>(message,
-                              [&](const ReadAnswer& answer) { reader_.answered(from, answer); });
-  dispatchMessage<IdentityAnswer>(message, [&](const IdentityAnswer& answer) {
+  dispatchMessage<ReadReply>(message,
+                             [&](const ReadReply& answer) { reader_.answered(from, answer); });
+  dispatchMessage<IdentityReply>(message, [&](const IdentityReply& answer) {
     for (auto& entry : formations_) {
-      entry.second->identityAnswered(from, answer);
+      entry.second->onIdentityReply(from, answer);
     }
     for (auto& entry : replacements_) {
-      entry.second->identityAnswered(from, answer);
+      entry.second->onIdentityReply(from, answer);
     }
   });
-  dispatchMessage<MembersNoted>(message, [&](const MembersNoted& answer) {
+  dispatchMessage<MembersAcknowledged>(message, [&](const MembersAcknowledged& answer) {
     for (auto& entry : replacements_) {
-      entry.second->membersNoted(from, answer);
+      entry.second->onMembersAcknowledged(from, answer);
     }
   });
-  dispatchMessage<FormAnswer>(message, [&](const FormAnswer& answer) {
+  dispatchMessage<FormReply>(message, [&](const FormReply& answer) {
     for (auto& entry : formations_) {
-      entry.second->formAnswered(from, answer);
+      entry.second->onFormReply(from, answer);
     }
   });
 }
--- a/src/register/register_core.h
+++ b/src/register/register_core.h
@@ -52,8 +52,8 @@
   void formFleet(std::vector<NodeId> acceptors, std::vector<NodeId> stores, std::uint32_t replicas,
                  FormationDone done);
 
-  /// Replaces one member; `done` holds the new list once the newcomer has every register. Safe to
-  /// send again after any failure.
+  /// Replaces one member; `done` holds the new list once the joining member has every register.
+  /// Safe to send again after any failure.
   void replaceMember(const NodeId& oldId, const NodeId& newId, ReplacementDone done);
 
   /// Makes a machine that is no member one more acceptor. Otherwise as `replaceMember`.
@@ -73,7 +73,7 @@
   const RegisterSafeguards& safeguards() const override { return options_.safeguards; }
   const KnownMembers& members() const override { return members_; }
   Ballot nextBallot() override;
-  void sawBallot(const Ballot& ballot) override;
+  void observeBallot(const Ballot& ballot) override;
   void membersOutdated(std::uint64_t version) override;
   void committed(const std::string& registerName, const RegisterValue& value) override;
   void startTimer(OperationId operation, OperationTimer timer, Duration after) override;
@@ -87,7 +87,7 @@
   void repair(const std::string& registerName);
   bool receiveAsAcceptor(const NodeId& from, const Message& message);
   void receiveAsProposer(const NodeId& from, const Message& message);
-  void readBy(const NodeId& from, const ReadRequest& request);
+  void onReadRequest(const NodeId& from, const ReadRequest& request);
   void formed(const NodeId& from, const FormRequest& request);
   void reportFinished();
 
--- a/src/register/register_messages.h
+++ b/src/register/register_messages.h
@@ -8,9 +8,9 @@
 
 #include "kernel/message.h"
 #include "kernel/node_id.h"
+#include "register/applied_change_log.h"
 #include "register/ballot.h"
 #include "register/configuration_register.h"
-#include "register/ledger.h"
 
 #include <cstdint>
 #include <map>
@@ -21,10 +21,10 @@
 
 /// How an acceptor answered. The numeric values travel on the wire.
 enum class AcceptorVerdict : std::uint8_t {
-  Granted = 1,       ///< Promised, or accepted and synced.
-  Outranked = 2,     ///< A higher ballot was promised.
-  StaleMembers = 3,  ///< The proposer's member list has been replaced.
-  NeedLedger = 4,    ///< The acceptor is fetching ledger entries; ask again.
+  Granted = 1,           ///< Promised, or accepted and synced.
+  Outranked = 2,         ///< A higher ballot was promised.
+  StaleMembers = 3,      ///< The proposer's member list has been replaced.
+  ChangeLogMissing = 4,  ///< The acceptor is fetching applied changes; send the accept again.
 };
 
 /// Phase 1: asks for a promise to accept nothing below `ballot`.
@@ -34,8 +34,8 @@
   std::string registerName;
   Ballot ballot;
   std::uint64_t membersVersion = 0;
-  Digest order;  ///< Hash of the order id to look up in the ledger; zero for a read.
-  MSGPACK_DEFINE(registerName, ballot, membersVersion, order);
+  Digest keyDigest;  ///< Hash of the idempotency key to look up; zero for a read.
+  MSGPACK_DEFINE(registerName, ballot, membersVersion, keyDigest);
 };
 
 /// The newest state that an acceptor has accepted.
@@ -43,13 +43,13 @@
   Ballot ballot;
   std::uint64_t version = 0;
   std::string value;
-  Digest baseChain;   ///< Ledger chain before the entry of `version`.
-  LedgerEntry entry;  ///< Ledger entry of `version`; unused in version 0.
+  Digest baseChain;     ///< Chain of the change log before the entry of `version`.
+  AppliedChange entry;  ///< Entry of the change log of `version`; unused in version 0.
   MSGPACK_DEFINE(ballot, version, value, baseChain, entry);
 };
 
 /// Answer to `PrepareRequest`. The state is filled only if granted.
-struct PrepareAnswer {
+struct PrepareReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 2;
   std::string registerName;
@@ -59,11 +59,12 @@
   Ballot promised;
   std::uint64_t membersVersion = 0;
   AcceptedState accepted;
-  std::uint64_t orderVersion = 0;  ///< Version that the order produced; 0 if not in the ledger.
-  std::uint64_t orderContent = 0;
-  std::uint64_t ledgerFirst = 1;  ///< Oldest version that the ledger still lists.
+  std::uint64_t appliedVersion =
+      0;  ///< Version that the change produced; 0 if it is not in the log.
+  std::uint64_t appliedContentHash = 0;
+  std::uint64_t firstLoggedVersion = 1;  ///< Oldest version that the log still lists.
   MSGPACK_DEFINE(registerName, ballot, verdict, storeId, promised, membersVersion, accepted,
-                 orderVersion, orderContent, ledgerFirst);
+                 appliedVersion, appliedContentHash, firstLoggedVersion);
 };
 
 /// Phase 2: asks to accept a state at its ballot.
@@ -73,12 +74,12 @@
   std::string registerName;
   std::uint64_t membersVersion = 0;
   AcceptedState state;
-  NodeId source;  ///< An acceptor that holds the ledger up to the version before `state`.
-  MSGPACK_DEFINE(registerName, membersVersion, state, source);
+  NodeId changeLogSource;  ///< An acceptor whose log reaches the version before `state`.
+  MSGPACK_DEFINE(registerName, membersVersion, state, changeLogSource);
 };
 
 /// Answer to `AcceptRequest`.
-struct AcceptAnswer {
+struct AcceptReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 4;
   std::string registerName;
@@ -90,8 +91,8 @@
   MSGPACK_DEFINE(registerName, ballot, verdict, storeId, promised, membersVersion);
 };
 
-/// Asks an acceptor for ledger entries from `fromVersion` up to `upToVersion`.
-struct LedgerRequest {
+/// Asks an acceptor for the applied changes from `fromVersion` up to `upToVersion`.
+struct ChangeLogRequest {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 5;
   std::string registerName;
@@ -100,16 +101,16 @@
   MSGPACK_DEFINE(registerName, fromVersion, upToVersion);
 };
 
-/// A part of a ledger; `chainBefore` is the chain before its first entry. `fromVersion` is above
-/// the one asked for only if the source has evicted the older entries.
-struct LedgerPart {
+/// A chunk of an applied-change log; `chainBefore` is the chain before its first entry.
+/// `fromVersion` is above the one asked for only if the source has evicted the older entries.
+struct ChangeLogChunk {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 6;
   std::string registerName;
   std::uint64_t fromVersion = 1;
   std::uint64_t firstVersion = 1;  ///< Oldest version that the source lists.
   Digest chainBefore;
-  std::vector<LedgerEntry> entries;
+  std::vector<AppliedChange> entries;
   MSGPACK_DEFINE(registerName, fromVersion, firstVersion, chainBefore, entries);
 };
 
@@ -124,7 +125,7 @@
   MSGPACK_DEFINE(requestId, membersVersion, known);
 };
 
-/// One register in a `ReadAnswer`.
+/// One register in a `ReadReply`.
 struct ReadRow {
   std::string registerName;
   Ballot ballot;
@@ -134,7 +135,7 @@
 };
 
 /// Answer to `ReadRequest`.
-struct ReadAnswer {
+struct ReadReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 8;
   std::uint64_t requestId = 0;
@@ -153,14 +154,14 @@
 };
 
 /// Answer to `IdentityRequest`.
-struct IdentityAnswer {
+struct IdentityReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 10;
   std::uint64_t requestId = 0;
-  std::string storeId;               ///< Empty without a disk.
-  std::uint64_t membersVersion = 0;  ///< Accepted version of the member list; 0 if none.
-  std::uint64_t initialContent = 0;  ///< Hash of its fleet's first member list; 0 if none.
-  MSGPACK_DEFINE(requestId, storeId, membersVersion, initialContent);
+  std::string storeId;                   ///< Empty without a disk.
+  std::uint64_t membersVersion = 0;      ///< Accepted version of the member list; 0 if none.
+  std::uint64_t initialMembersHash = 0;  ///< Hash of its fleet's first member list; 0 if none.
+  MSGPACK_DEFINE(requestId, storeId, membersVersion, initialMembersHash);
 };
 
 /// Orders a machine to become an acceptor of a new fleet.
@@ -173,7 +174,7 @@
 };
 
 /// Answer to `FormRequest`.
-struct FormAnswer {
+struct FormReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 12;
   std::uint64_t requestId = 0;
@@ -191,7 +192,7 @@
 };
 
 /// Answer to `MembersCommitted`, sent once the knowledge is synced.
-struct MembersNoted {
+struct MembersAcknowledged {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 14;
   std::uint64_t requestId = 0;
--- a/src/register/register_options.h
+++ b/src/register/register_options.h
@@ -35,9 +35,9 @@
 inline constexpr Duration kRoundResend = std::chrono::milliseconds(60);
 /// Time that a majority which does not agree waits for the other acceptors' promises.
 inline constexpr Duration kAgreementGrace = std::chrono::milliseconds(30);
-/// Shortest and longest pause before the second round; the longest doubles up to `kBackoffMost`.
-inline constexpr Duration kBackoffLeast = std::chrono::milliseconds(5);
-inline constexpr Duration kBackoffFirst = std::chrono::milliseconds(30);
-inline constexpr Duration kBackoffMost = std::chrono::milliseconds(400);
+/// Shortest and longest pause before the second round; the longest doubles up to `kMaxBackoff`.
+inline constexpr Duration kMinBackoff = std::chrono::milliseconds(5);
+inline constexpr Duration kInitialMaxBackoff = std::chrono::milliseconds(30);
+inline constexpr Duration kMaxBackoff = std::chrono::milliseconds(400);
 
 }  // namespace shedshed
--- a/src/register/retirements.cpp
+++ b/src/register/retirements.cpp
@@ -1,6 +1,7 @@
 #include "register/retirements.h"
 
 #include "kernel/message.h"
+#include "register/member_lists.h"
 
 #include <algorithm>
 
@@ -12,11 +13,6 @@
   return list ? std::move(list.value()) : RetirementList{};
 }
 
-bool isMember(const std::vector<MemberList::Member>& members, const NodeId& id) {
-  return std::any_of(members.begin(), members.end(),
-                     [&](const MemberList::Member& member) { return member.id == id; });
-}
-
 std::vector<Retirement>::iterator findName(RetirementList& list, const std::string& name) {
   return std::find_if(list.entries.begin(), list.entries.end(),
                       [&](const Retirement& entry) { return entry.name == name; });
@@ -58,7 +54,7 @@
 Status Retirements::addEntry(const std::string& name, RetirementList& list) const {
   const std::shared_ptr<const NodeTable> table = directory_.table();
   const NodeInfo* target = nullptr;
-  std::size_t spares = 0;
+  std::size_t standbys = 0;
   for (const NodeInfo& node : table->nodes) {
     if (node.role != NodeRole::Store) {
       continue;
@@ -68,17 +64,17 @@
     }
     const bool leaves = std::any_of(list.entries.begin(), list.entries.end(),
                                     [&](const Retirement& entry) { return entry.node == node.id; });
-    const bool spare = node.state != NodeState::Dead && !isMember(stores_, node.id) && !leaves;
-    spares += spare && node.name != name ? 1 : 0;
+    const bool isStandby = node.state != NodeState::Dead && !isListed(stores_, node.id) && !leaves;
+    standbys += isStandby && node.name != name ? 1 : 0;
   }
   if (target == nullptr) {
     return makeError(ErrorCode::NotFound, "no store is named " + name);
   }
-  const bool member = isMember(stores_, target->id);
+  const bool member = isListed(stores_, target->id);
   const auto waiting = static_cast<std::size_t>(
       std::count_if(list.entries.begin(), list.entries.end(),
                     [](const Retirement& entry) { return !entry.completed; }));
-  if (member && spares <= waiting) {
+  if (member && standbys <= waiting) {
     return makeError(ErrorCode::StoreUnavailable, "no other store could take its place");
   }
   list.entries.push_back({target->id, name, {}, !member});
@@ -90,7 +86,7 @@
   ChangeRequest request;
   request.registerName = kRetirementsRegister;
   request.baseVersion = base.version;
-  request.orderId = order + " on " + std::to_string(base.version);
+  request.idempotencyKey = order + " on " + std::to_string(base.version);
   request.value = encodeRecord(list);
   registers_.change(std::move(request), [done](const Result<ChangeOutcome>& outcome) {
     done(outcome ? okStatus() : Status(outcome.error()));
--- a/src/register/successor_core.cpp
+++ b/src/register/successor_core.cpp
@@ -1,5 +1,7 @@
 #include "register/successor_core.h"
 
+#include "register/member_lists.h"
+
 #include <algorithm>
 
 namespace shedshed {
@@ -12,9 +14,9 @@
 
 SuccessorCore::SuccessorCore(CoreContext& context, const RegisterCore& registers,
                              const Directory& directory, Retirements& retirements,
-                             std::function<bool()> holdsAllData, std::function<bool()> isSettled)
+                             const ReplicaStatus& replicas)
     : context_(context), registers_(registers), directory_(directory), retirements_(retirements),
-      holdsAllData_(std::move(holdsAllData)), isSettled_(std::move(isSettled)) {}
+      replicas_(replicas) {}
 
 void SuccessorCore::start() {
   context_.startTimer(kCheckTimer, kCheckInterval);
@@ -29,23 +31,21 @@
   }
 }
 
-std::vector<NodeId> SuccessorCore::placesToTake() const {
-  std::vector<NodeId> places;
+std::vector<NodeId> SuccessorCore::replaceableMembers() const {
+  std::vector<NodeId> members;
   for (const Retirement& entry : retirements_.open()) {
     if (entry.successor == context_.self()) {
-      places.push_back(entry.node);
+      members.push_back(entry.node);
     }
   }
-  return places;
+  return members;
 }
 
 bool SuccessorCore::isMember(const NodeId& id) const {
-  const std::vector<MemberList::Member>& stores = registers_.knownMembers().list.stores;
-  return std::any_of(stores.begin(), stores.end(),
-                     [&](const MemberList::Member& member) { return member.id == id; });
+  return isListed(registers_.knownMembers().list.stores, id);
 }
 
-bool SuccessorCore::isFirstSpare() const {
+bool SuccessorCore::isFirstStandby() const {
   const std::vector<NodeId> leaving = retirements_.nodes();
   for (const NodeId& id : directory_.table()->live(NodeRole::Store)) {
     const bool leaves = std::find(leaving.begin(), leaving.end(), id) != leaving.end();
@@ -61,13 +61,13 @@
   const NodeInfo* named = directory_.table()->find(entry.successor);
   const bool lost = !isMember(entry.successor) && isMember(entry.node) &&
                     (named == nullptr || named->state == NodeState::Dead);
-  if ((entry.successor.empty() || lost) && isFirstSpare() && holdsAllData_()) {
+  if ((entry.successor.empty() || lost) && isFirstStandby() && replicas_.isCaughtUp()) {
     next.successor = context_.self();
     retirements_.update(next);
     return;
   }
   const bool replaced = entry.successor == context_.self() && !isMember(entry.node);
-  if (replaced && isSettled_()) {
+  if (replaced && replicas_.isReplacementComplete()) {
     next.completed = true;
     context_.logEvent(TraceEvent("RetirementCompleted").field("node", entry.name));
     retirements_.update(next);
--- a/tests/compatibility/message_format_test.cpp
+++ b/tests/compatibility/message_format_test.cpp
@@ -20,12 +20,12 @@
 #include "partition/partition_replica.h"
 #include "partition/partition_store.h"
 #include "partition/partition_types.h"
+#include "register/applied_change_log.h"
 #include "register/ballot.h"
 #include "register/configuration_messages.h"
 #include "register/configuration_register.h"
-#include "register/ledger.h"
-#include "register/member_sightings.h"
 #include "register/quorum_reader.h"
+#include "register/reachability_quorum.h"
 #include "register/register_messages.h"
 #include "register/retirements.h"
 #include "register/value_history.h"
@@ -112,23 +112,23 @@
   checkMessage<HeartbeatRequest>(checked);
   checkMessage<HeartbeatReply>(checked);
   checkMessage<PullRequest>(checked);
-  checkMessage<PullAnswer>(checked);
-  checkMessage<SightingRequest>(checked);
-  checkMessage<SightingAnswer>(checked);
+  checkMessage<PullReply>(checked);
+  checkMessage<ReachabilityRequest>(checked);
+  checkMessage<ReachabilityReply>(checked);
   checkMessage<PrepareRequest>(checked);
-  checkMessage<PrepareAnswer>(checked);
+  checkMessage<PrepareReply>(checked);
   checkMessage<AcceptRequest>(checked);
-  checkMessage<AcceptAnswer>(checked);
-  checkMessage<LedgerRequest>(checked);
-  checkMessage<LedgerPart>(checked);
+  checkMessage<AcceptReply>(checked);
+  checkMessage<ChangeLogRequest>(checked);
+  checkMessage<ChangeLogChunk>(checked);
   checkMessage<ReadRequest>(checked);
-  checkMessage<ReadAnswer>(checked);
+  checkMessage<ReadReply>(checked);
   checkMessage<IdentityRequest>(checked);
-  checkMessage<IdentityAnswer>(checked);
+  checkMessage<IdentityReply>(checked);
   checkMessage<FormRequest>(checked);
-  checkMessage<FormAnswer>(checked);
+  checkMessage<FormReply>(checked);
   checkMessage<MembersCommitted>(checked);
-  checkMessage<MembersNoted>(checked);
+  checkMessage<MembersAcknowledged>(checked);
   checkMessage<AcquireSlot>(checked);
   checkMessage<AcquireSlotReply>(checked);
   checkMessage<ReleaseSlot>(checked);
@@ -184,8 +184,8 @@
   checkFormat<MemberList>("register.member_list", checked);
   checkFormat<RegisterValue>("register.register_value", checked);
   checkFormat<Digest>("register.digest", checked);
-  checkFormat<LedgerEntry>("register.ledger_entry", checked);
-  checkFormat<LedgerBlock>("register.ledger_block", checked);
+  checkFormat<AppliedChange>("register.ledger_entry", checked);
+  checkFormat<AppliedChangeBlock>("register.ledger_block", checked);
   checkFormat<NamedValue>("register.named_value", checked);
   checkFormat<AcceptedState>("register.accepted_state", checked);
   checkFormat<ReadRow>("register.read_row", checked);
@@ -235,7 +235,7 @@
   BOOST_TEST(number(AcceptorVerdict::Granted) == 1);
   BOOST_TEST(number(AcceptorVerdict::Outranked) == 2);
   BOOST_TEST(number(AcceptorVerdict::StaleMembers) == 3);
-  BOOST_TEST(number(AcceptorVerdict::NeedLedger) == 4);
+  BOOST_TEST(number(AcceptorVerdict::ChangeLogMissing) == 4);
   BOOST_TEST(number(TableKind::Slots) == 1);
   BOOST_TEST(number(TableKind::Batches) == 2);
   BOOST_TEST(number(ItemState::Pending) == 1);
--- a/tests/ctl/shedctl_test.cpp
+++ b/tests/ctl/shedctl_test.cpp
@@ -116,10 +116,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(exit_codes_tell_what_to_do) {
-  const std::map<ErrorCode, ExitCode> expected = {{ErrorCode::InvalidArgument, ExitCode::Refused},
-                                                  {ErrorCode::OrderIdReused, ExitCode::Conflict},
-                                                  {ErrorCode::NoQuorum, ExitCode::Unavailable},
-                                                  {ErrorCode::Unauthenticated, ExitCode::Denied}};
+  const std::map<ErrorCode, ExitCode> expected = {
+      {ErrorCode::InvalidArgument, ExitCode::Refused},
+      {ErrorCode::IdempotencyKeyReused, ExitCode::Conflict},
+      {ErrorCode::NoQuorum, ExitCode::Unavailable},
+      {ErrorCode::Unauthenticated, ExitCode::Denied}};
   for (const auto& entry : expected) {
     Shell shell;
     shell.answer(kFirst, "GET", makeError(entry.first, "why"));
--- a/tests/operators/fake_services.h
+++ b/tests/operators/fake_services.h
@@ -20,16 +20,16 @@
     }
     RegisterValue& current = values[request.registerName];
     const std::string& content = request.content.empty() ? request.value : request.content;
-    const auto applied = ledger.find(request.orderId);
+    const auto applied = ledger.find(request.idempotencyKey);
     if (applied != ledger.end() && applied->second.first != content) {
-      done(makeError(ErrorCode::OrderIdReused, "the order id stands for another change"));
+      done(makeError(ErrorCode::IdempotencyKeyReused, "the order id stands for another change"));
     } else if (applied != ledger.end()) {
       done(ChangeOutcome{applied->second.second, true});
     } else if (request.baseVersion != current.version) {
       done(makeError(ErrorCode::VersionConflict, "the newest version is another"));
     } else {
       current = {current.version + 1, request.value};
-      ledger[request.orderId] = {content, current.version};
+      ledger[request.idempotencyKey] = {content, current.version};
       done(ChangeOutcome{current.version, false});
     }
   }
--- a/tests/register/configuration_test.cpp
+++ b/tests/register/configuration_test.cpp
@@ -84,13 +84,13 @@
   std::size_t forged = 0;
   const auto real = fleet.harness.filter;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
-    const bool answer = envelope.to.address == "d1" && envelope.message.kind == PullAnswer::kKind &&
+    const bool answer = envelope.to.address == "d1" && envelope.message.kind == PullReply::kKind &&
                         envelope.message.service == ServiceId::Configuration;
-    const auto decoded = answer ? decodeRecord<PullAnswer>(envelope.message.payload)
-                                : Result<PullAnswer>(PullAnswer{});
+    const auto decoded =
+        answer ? decodeRecord<PullReply>(envelope.message.payload) : Result<PullReply>(PullReply{});
     if (decoded && !decoded.value().patches.empty()) {
       ++forged;
-      PullAnswer wrong = decoded.value();
+      PullReply wrong = decoded.value();
       wrong.patches[0].patches[0].resultHash += 1;
       fleet.configuration("d1").receive(envelope.from, encodeMessage(wrong));
       return false;
@@ -166,16 +166,16 @@
   fleet.island = {"a1", "a2"};
   BOOST_REQUIRE(fleet.change("d2", 9000, "with-a6", "value"));
   BOOST_TEST(fleet.change("d2", 17, "order-17", "value").value().version == 18U);
-  BOOST_TEST_MESSAGE("largest ledger part: " << fleet.largest[LedgerPart::kKind]);
+  BOOST_TEST_MESSAGE("largest ledger part: " << fleet.largest[ChangeLogChunk::kKind]);
   fleet.crash("a6");
   fleet.start("a6");
   BOOST_TEST(fleet.change("d1", 8123, "order-8123", "value").value().version == 8124U);
 }
 
 BOOST_AUTO_TEST_CASE(ledger_is_bounded_and_survives_in_blocks) {
-  Ledger ledger;
+  AppliedChangeLog ledger;
   MemoryRecords records;
-  const std::uint64_t count = Ledger::kCapacity + 1000;
+  const std::uint64_t count = AppliedChangeLog::kCapacity + 1000;
   for (std::uint64_t number = 1; number <= count; ++number) {
     ledger.append({digestOf(std::to_string(number)), number});
     records.apply(ledger.takeMutations("l/"));
@@ -183,14 +183,15 @@
   BOOST_TEST(ledger.version() == count);
   BOOST_TEST(!ledger.versionOf(digestOf("1")));
   BOOST_TEST(*ledger.versionOf(digestOf("2000")) == 2000U);
-  BOOST_TEST(records.rows.size() <= Ledger::kCapacity / Ledger::kBlockEntries + 2);
+  BOOST_TEST(records.rows.size() <=
+             AppliedChangeLog::kCapacity / AppliedChangeLog::kBlockEntries + 2);
   ledger.truncate(count - 70);
   records.apply(ledger.takeMutations("l/"));
-  const Result<Ledger> loaded = Ledger::load(records, "l/", count - 70);
+  const Result<AppliedChangeLog> loaded = AppliedChangeLog::load(records, "l/", count - 70);
   BOOST_REQUIRE(loaded);
   BOOST_TEST((loaded.value().chain() == ledger.chain()));
   BOOST_TEST(loaded.value().firstVersion() == ledger.firstVersion());
-  BOOST_TEST(!Ledger::load(records, "l/", count));
+  BOOST_TEST(!AppliedChangeLog::load(records, "l/", count));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/register/self_admission_test.cpp
+++ b/tests/register/membership_join_core_test.cpp
@@ -1,5 +1,6 @@
-/// Machines that take the place of lost or retiring members.
-#include "register/self_admission.h"
+/// @file
+/// Machines that replace lost or retiring members.
+#include "register/membership_join_core.h"
 
 #include "fixed_directory.h"
 #include "register/successor_core.h"
@@ -14,29 +15,38 @@
 
 namespace {
 
-struct AdmissionFleet {
-  explicit AdmissionFleet(int acceptors = 3) : fleet(acceptors, 0) {
+/// Join conditions that the test sets.
+struct FakeJoinConditions : JoinConditions {
+  bool isCaughtUp() const override { return caughtUp; }
+  std::vector<NodeId> replaceableMembers() const override { return replaceable; }
+  std::vector<NodeId> retiringNodes() const override { return retiring; }
+  bool caughtUp = true;
+  std::vector<NodeId> replaceable;
+  std::vector<NodeId> retiring;
+};
+
+struct JoinFleet {
+  explicit JoinFleet(int acceptors = 3) : fleet(acceptors, 0) {
     BOOST_REQUIRE(fleet.form());
     for (const NodeId& id : fleet.acceptorIds) {
       directory.add(id.address, NodeRole::Register);
-      admit(id.address);
+      startJoin(id.address);
     }
   }
-  /// The machine's process ends, and all others hold it dead.
+  /// The machine's process ends, and all others confirm it dead.
   void end(const std::string& id) {
     fleet.crash(id);
     cores.erase(id);
-    fleet.harness.context(id, ServiceId::Admission);
+    fleet.harness.context(id, ServiceId::MembershipJoin);
     directory.set(id, NodeRole::Register, NodeState::Dead);
   }
-  SelfAdmissionCore& admit(const std::string& id) { return admit(id, directory); }
+  MembershipJoinCore& startJoin(const std::string& id) { return startJoin(id, directory); }
   /// Starts the core with a directory of its own.
-  SelfAdmissionCore& admit(const std::string& id, const Directory& view) {
-    HarnessContext& context = fleet.harness.context(id, ServiceId::Admission);
-    cores[id] = std::make_unique<SelfAdmissionCore>(
-        context, fleet.registers(id), view, SelfAdmissionCore::Kind::Acceptor,
-        fleet.nodes[id].options.storeId, [this] { return holdsAll; },
-        [this] { return placesToTake; }, [this] { return leaving; }, options);
+  MembershipJoinCore& startJoin(const std::string& id, const Directory& view) {
+    HarnessContext& context = fleet.harness.context(id, ServiceId::MembershipJoin);
+    cores[id] = std::make_unique<MembershipJoinCore>(
+        context, fleet.registers(id), view, MembershipJoinCore::Kind::Acceptor,
+        fleet.nodes[id].options.storeId, conditions, options);
     fleet.harness.attach(context, *cores[id]);
     cores[id]->start();
     return *cores[id];
@@ -49,57 +59,55 @@
   }
   RegisterFleet fleet;
   FixedDirectory directory;
-  std::map<std::string, std::unique_ptr<SelfAdmissionCore>> cores;
-  bool holdsAll = true;
-  std::vector<NodeId> placesToTake;
-  std::vector<NodeId> leaving;
-  SelfAdmissionOptions options;
+  std::map<std::string, std::unique_ptr<MembershipJoinCore>> cores;
+  FakeJoinConditions conditions;
+  MembershipJoinOptions options;
 };
 
-struct FiveAcceptors : AdmissionFleet {
-  FiveAcceptors() : AdmissionFleet(5) {}
+struct FiveAcceptors : JoinFleet {
+  FiveAcceptors() : JoinFleet(5) {}
 };
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(self_admission)
+BOOST_AUTO_TEST_SUITE(membership_join)
 
-BOOST_FIXTURE_TEST_CASE(an_emptied_machine_takes_its_own_place_again, AdmissionFleet) {
+BOOST_FIXTURE_TEST_CASE(an_emptied_machine_replaces_itself, JoinFleet) {
   fleet.emptyDisk("a1");
   fleet.start("a1");
   BOOST_TEST(!isMember("a1"));
-  admit("a1");
+  startJoin("a1");
   fleet.harness.advance(seconds(2));
   BOOST_TEST(isMember("a1"));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_machine_that_does_not_hold_all_data_waits, AdmissionFleet) {
-  holdsAll = false;
+BOOST_FIXTURE_TEST_CASE(a_machine_that_is_not_caught_up_does_not_join, JoinFleet) {
+  conditions.caughtUp = false;
   fleet.emptyDisk("a1");
   fleet.start("a1");
-  admit("a1");
+  startJoin("a1");
   fleet.harness.advance(seconds(3));
   BOOST_TEST(!isMember("a1"));
-  holdsAll = true;
+  conditions.caughtUp = true;
   fleet.harness.advance(seconds(2));
   BOOST_TEST(isMember("a1"));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_newcomer_takes_the_place_of_a_dead_member, AdmissionFleet) {
+BOOST_FIXTURE_TEST_CASE(a_new_machine_replaces_a_dead_member, JoinFleet) {
   fleet.crash("a1");
   directory.set("a1", NodeRole::Register, NodeState::Dead);
   fleet.addControl("a4");
   directory.add("a4", NodeRole::Register);
-  admit("a4");
+  startJoin("a4");
   fleet.harness.advance(seconds(4));
   BOOST_TEST(isMember("a4"));
   BOOST_TEST(!isMember("a1"));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_machine_that_stood_by_replaces_no_silent_member, AdmissionFleet) {
+BOOST_FIXTURE_TEST_CASE(a_standby_does_not_replace_an_unreachable_member, JoinFleet) {
   fleet.addControl("a4");
   directory.add("a4", NodeRole::Register);
-  admit("a4");
+  startJoin("a4");
   fleet.harness.advance(seconds(4));
   BOOST_TEST(!isMember("a4"));
   directory.set("a1", NodeRole::Register, NodeState::Dead);
@@ -108,12 +116,12 @@
   BOOST_TEST(isMember("a1"));
 }
 
-// A successor that runs before its predecessor is stopped had seen it alive and never took its
-// place; the next loss left no majority.
-BOOST_FIXTURE_TEST_CASE(a_machine_that_stood_by_replaces_a_member_that_left, AdmissionFleet) {
+// A standby that runs before its predecessor is stopped had seen it alive and never replaced it;
+// the next loss left no majority.
+BOOST_FIXTURE_TEST_CASE(a_standby_replaces_a_departed_member, JoinFleet) {
   fleet.addControl("a4");
   directory.add("a4", NodeRole::Register);
-  admit("a4");
+  startJoin("a4");
   fleet.harness.advance(seconds(4));
   directory.set("a1", NodeRole::Register, NodeState::Draining);
   fleet.harness.advance(seconds(4));
@@ -124,10 +132,10 @@
   BOOST_TEST(!isMember("a1"));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_member_that_restarts_keeps_its_place, AdmissionFleet) {
+BOOST_FIXTURE_TEST_CASE(a_restarting_member_is_not_replaced, JoinFleet) {
   fleet.addControl("a4");
   directory.add("a4", NodeRole::Register);
-  admit("a4");
+  startJoin("a4");
   fleet.harness.advance(seconds(4));
   directory.set("a1", NodeRole::Register, NodeState::Draining);
   fleet.harness.advance(milliseconds(500));
@@ -140,27 +148,27 @@
   BOOST_TEST(isMember("a1"));
 }
 
-// A machine that stood by for longer comes first in the order but may replace no silent member; the
-// newcomer that may waited for it.
-BOOST_FIXTURE_TEST_CASE(a_newcomer_does_not_wait_for_a_machine_that_stood_by, AdmissionFleet) {
+// A standby that runs for longer comes first in the order of ids but may not replace an unreachable
+// member; the new machine, which may, waited for it.
+BOOST_FIXTURE_TEST_CASE(a_new_machine_does_not_wait_for_a_standby, JoinFleet) {
   fleet.addControl("a4");
   directory.add("a4", NodeRole::Register);
-  admit("a4");
+  startJoin("a4");
   fleet.harness.advance(seconds(4));
   fleet.crash("a1");
   directory.set("a1", NodeRole::Register, NodeState::Dead);
   fleet.addControl("a5");
   directory.add("a5", NodeRole::Register);
-  admit("a5");
+  startJoin("a5");
   fleet.harness.advance(seconds(4));
   BOOST_TEST(isMember("a5"));
 }
 
-BOOST_FIXTURE_TEST_CASE(two_newcomers_take_two_places, FiveAcceptors) {
+BOOST_FIXTURE_TEST_CASE(two_standbys_replace_two_departed_members, FiveAcceptors) {
   for (const char* id : {"a6", "a7"}) {
     fleet.addControl(id);
     directory.add(id, NodeRole::Register);
-    admit(id);
+    startJoin(id);
   }
   fleet.harness.advance(seconds(2));
   for (const char* id : {"a1", "a3"}) {
@@ -175,64 +183,64 @@
   BOOST_TEST(isMember("a7"));
 }
 
-// Two healthy machines that had not heard of each other took each other's place again and again.
-BOOST_FIXTURE_TEST_CASE(a_member_that_only_this_machine_misses_keeps_its_place, AdmissionFleet) {
+// Two healthy machines that did not know each other replaced each other again and again.
+BOOST_FIXTURE_TEST_CASE(a_member_unreachable_from_one_machine_only_is_not_replaced, JoinFleet) {
   FixedDirectory withoutMember;
   for (const char* id : {"a1", "a2", "a4"}) {
     withoutMember.add(id, NodeRole::Register);
   }
   fleet.addControl("a4");
-  admit("a4", withoutMember);
+  startJoin("a4", withoutMember);
   fleet.harness.advance(seconds(20));
   BOOST_TEST(!isMember("a4"));
   BOOST_TEST(isMember("a3"));
   BOOST_TEST(fleet.registers("a2").knownMembers().version == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_member_that_answers_keeps_its_place_though_nobody_lists_it,
-                        AdmissionFleet) {
+BOOST_FIXTURE_TEST_CASE(a_member_that_replies_is_not_replaced_though_no_directory_lists_it,
+                        JoinFleet) {
   FixedDirectory withoutMember;
   for (const char* id : {"a1", "a2", "a4"}) {
     withoutMember.add(id, NodeRole::Register);
   }
   fleet.addControl("a4");
   for (const char* id : {"a1", "a2", "a4"}) {
-    admit(id, withoutMember);
+    startJoin(id, withoutMember);
   }
   fleet.harness.advance(seconds(20));
   BOOST_TEST(isMember("a3"));
   BOOST_TEST(fleet.registers("a2").knownMembers().version == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_member_is_not_replaced_on_the_word_of_a_minority, FiveAcceptors) {
+BOOST_FIXTURE_TEST_CASE(a_minority_cannot_confirm_that_a_member_is_unreachable, FiveAcceptors) {
   FixedDirectory withoutMember;
   for (const char* id : {"a1", "a2", "a4", "a5", "a6"}) {
     withoutMember.add(id, NodeRole::Register);
   }
   fleet.addControl("a6");
   for (const char* id : {"a1", "a2", "a6"}) {
-    admit(id, withoutMember);
+    startJoin(id, withoutMember);
   }
   for (const char* id : {"a4", "a5"}) {
-    fleet.harness.context(id, ServiceId::Admission);
+    fleet.harness.context(id, ServiceId::MembershipJoin);
   }
   end("a3");
   fleet.harness.advance(seconds(20));
   BOOST_TEST(!isMember("a6"));
   for (const char* id : {"a4", "a5"}) {
-    admit(id, withoutMember);
+    startJoin(id, withoutMember);
   }
   fleet.harness.advance(seconds(4));
   BOOST_TEST(isMember("a6"));
 }
 
 // A fleet that was formed before its last acceptor was heard of stayed with too few of them.
-BOOST_FIXTURE_TEST_CASE(late_acceptors_are_added_until_there_are_enough, AdmissionFleet) {
+BOOST_FIXTURE_TEST_CASE(late_acceptors_are_added_until_there_are_enough, JoinFleet) {
   options.acceptorsNeeded = 5;
   for (const char* id : {"a4", "a5", "a6"}) {
     fleet.addControl(id);
     directory.add(id, NodeRole::Register);
-    admit(id);
+    startJoin(id);
   }
   fleet.harness.advance(seconds(10));
   BOOST_TEST(fleet.registers("a2").knownMembers().list.acceptors.size() == 5U);
@@ -246,27 +254,27 @@
   BOOST_TEST(fleet.read("a4").value().value == "value");
 }
 
-BOOST_FIXTURE_TEST_CASE(no_acceptor_is_added_to_a_fleet_that_has_enough, AdmissionFleet) {
+BOOST_FIXTURE_TEST_CASE(no_acceptor_is_added_to_a_fleet_that_has_enough, JoinFleet) {
   options.acceptorsNeeded = 3;
   fleet.addControl("a4");
   directory.add("a4", NodeRole::Register);
-  admit("a4");
+  startJoin("a4");
   fleet.harness.advance(seconds(10));
   BOOST_TEST(!isMember("a4"));
   BOOST_TEST(fleet.registers("a2").knownMembers().version == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_successor_takes_the_place_of_a_retiring_member, AdmissionFleet) {
+BOOST_FIXTURE_TEST_CASE(a_successor_replaces_a_retiring_member, JoinFleet) {
   fleet.addControl("a4");
   directory.add("a4", NodeRole::Register);
-  admit("a4");
-  placesToTake = {NodeId{"a3"}};
-  leaving = {NodeId{"a3"}};
+  startJoin("a4");
+  conditions.replaceable = {NodeId{"a3"}};
+  conditions.retiring = {NodeId{"a3"}};
   fleet.harness.advance(seconds(3));
   BOOST_TEST(isMember("a4"));
   BOOST_TEST(!isMember("a3"));
-  admit("a3");
-  placesToTake.clear();
+  startJoin("a3");
+  conditions.replaceable.clear();
   fleet.harness.advance(seconds(5));
   BOOST_TEST(!isMember("a3"));
 }
@@ -275,7 +283,7 @@
 
 BOOST_AUTO_TEST_SUITE(retirements)
 
-BOOST_FIXTURE_TEST_CASE(orders_are_refused_kept_and_followed, AdmissionFleet) {
+BOOST_FIXTURE_TEST_CASE(retirements_are_validated_stored_and_completed, JoinFleet) {
   directory.add("s1", NodeRole::Store);
   Retirements first(fleet.registers("a1"), fleet.configuration("a1"), directory);
   Retirements second(fleet.registers("a2"), fleet.configuration("a2"), directory);
--- a/tests/register/register_test.cpp
+++ b/tests/register/register_test.cpp
@@ -79,7 +79,7 @@
   BOOST_REQUIRE(again);
   BOOST_TEST(again.value().version == 1U);
   BOOST_TEST(again.value().repeated);
-  BOOST_TEST((errorOf(fleet.change("a4", 0, "first", "other")) == ErrorCode::OrderIdReused));
+  BOOST_TEST((errorOf(fleet.change("a4", 0, "first", "other")) == ErrorCode::IdempotencyKeyReused));
   BOOST_TEST((errorOf(fleet.change("a4", 7, "late", "x")) == ErrorCode::VersionConflict));
   BOOST_TEST((errorOf(fleet.change("a4", 900, "early", "x")) == ErrorCode::VersionConflict));
   BOOST_TEST(fleet.read("a5").value().version == 301U);
