--- /dev/null
+++ b/src/register/accept_set.h
@@ -0,0 +1,28 @@
+/// @file
+/// The acceptors that have accepted a proposer's state at one ballot.
+#pragma once
+
+#include "register/quorum.h"
+
+#include <map>
+#include <string>
+#include <vector>
+
+namespace shedshed {
+
+/// Accepts by acceptor, with the store id that each gave.
+class AcceptSet {
+ public:
+  void add(const NodeId& from, const std::string& storeId) { storeIds_[from] = storeId; }
+  void clear() { storeIds_.clear(); }
+  bool contains(const NodeId& acceptor) const { return storeIds_.count(acceptor) != 0; }
+
+  /// True if a majority of @p voters has accepted, each with the disk that is listed.
+  bool isMajorityOf(const std::vector<MemberList::Member>& voters,
+                    const RegisterSafeguards& safeguards) const;
+
+ private:
+  std::map<NodeId, std::string> storeIds_;
+};
+
+}  // namespace shedshed
--- a/src/register/acceptor.cpp
+++ b/src/register/acceptor.cpp
@@ -1,6 +1,7 @@
 #include "register/acceptor.h"
 
 #include "kernel/rendezvous.h"
+#include "register/member_lists.h"
 
 #include <algorithm>
 
@@ -8,39 +9,9 @@
 
 namespace {
 
-/// Order id under which the first member list stands in the log.
+/// Idempotency key under which the first member list stands in its applied-change log.
 constexpr const char* kFormationKey = "fleet formation";
 
-std::string promisedKey(const std::string& name) {
-  return "register/" + name + "/promised";
-}
-
-std::string acceptedKey(const std::string& name) {
-  return "register/" + name + "/accepted";
-}
-
-std::string changeLogPrefix(const std::string& name) {
-  return "register/" + name + "/ledger/";
-}
-
-/// Reads one record into @p target, which keeps its value if the record is absent.
-template <class T>
-Status readRecord(const RecordReader& records, const std::string& key, T& target) {
-  Result<std::optional<std::string>> bytes = records.read(key);
-  if (!bytes) {
-    return bytes.error();
-  }
-  if (!bytes.value()) {
-    return okStatus();
-  }
-  Result<T> decoded = decodeRecord<T>(*bytes.value());
-  if (!decoded) {
-    return makeError(ErrorCode::StorageCorrupt, key);
-  }
-  target = std::move(decoded).value();
-  return okStatus();
-}
-
 }  // namespace
 
 const std::vector<std::string>& registerNames() {
@@ -62,40 +33,31 @@
 Acceptor::Acceptor(CoreContext& context, SyncedOutbox& outbox, const RegisterOptions& options)
     : context_(context), outbox_(outbox), options_(options) {
   for (const std::string& name : registerNames()) {
-    registers_[name];
+    registers_.emplace(name, name);
   }
 }
 
 Status Acceptor::load() {
-  const RecordReader& records = context_.records();
   for (auto& entry : registers_) {
-    const std::string& name = entry.first;
-    Register& loaded = entry.second;
-    Status status = readRecord(records, promisedKey(name), loaded.promised);
-    if (!status) {
-      return status;
-    }
-    status = readRecord(records, acceptedKey(name), loaded.accepted);
+    const Status status = entry.second.load(context_.records());
     if (!status) {
       return status;
     }
-    Result<AppliedChangeLog> log =
-        AppliedChangeLog::load(records, changeLogPrefix(name), loaded.accepted.version);
-    if (!log) {
-      return log.error();
-    }
-    loaded.log = std::move(log).value();
   }
   return okStatus();
 }
 
-Acceptor::Register* Acceptor::find(const std::string& name) {
+AcceptorRegister* Acceptor::find(const std::string& name) {
   const auto found = registers_.find(name);
   return found == registers_.end() ? nullptr : &found->second;
 }
 
+const AcceptorRegister& Acceptor::membersRegister() const {
+  return registers_.at(kMembersRegister);
+}
+
 std::uint64_t Acceptor::membersVersion() const {
-  return registers_.at(kMembersRegister).accepted.version;
+  return membersRegister().accepted().version;
 }
 
 bool Acceptor::mayVote() const {
@@ -103,7 +65,7 @@
 }
 
 std::uint64_t Acceptor::initialMembersHash() const {
-  const AppliedChange* first = registers_.at(kMembersRegister).log.at(1);
+  const AppliedChange* first = membersRegister().log().at(1);
   return first == nullptr ? 0 : first->contentHash;
 }
 
@@ -113,160 +75,97 @@
 }
 
 void Acceptor::prepare(const NodeId& from, const PrepareRequest& request) {
-  Register* target = find(request.registerName);
+  AcceptorRegister* target = find(request.registerName);
   if (target == nullptr || !mayVote()) {
     return;
   }
-  PrepareReply answer;
-  answer.registerName = request.registerName;
-  answer.ballot = request.ballot;
-  answer.storeId = options_.storeId;
-  answer.membersVersion = membersVersion();
-  answer.promised = target->promised;
+  PrepareReply reply;
+  reply.registerName = request.registerName;
+  reply.ballot = request.ballot;
+  reply.storeId = options_.storeId;
+  reply.membersVersion = membersVersion();
   if (isStale(request.registerName, request.membersVersion)) {
-    answer.verdict = AcceptorVerdict::StaleMembers;
-    outbox_.send(from, answer);
-    return;
-  }
-  if (request.ballot < target->promised) {
-    answer.verdict = AcceptorVerdict::Outranked;
-    outbox_.send(from, answer);
-    return;
-  }
-  if (target->promised < request.ballot) {
-    target->promised = request.ballot;
-    outbox_.persist({{promisedKey(request.registerName), encodeRecord(target->promised)}});
+    reply.verdict = AcceptorVerdict::StaleMembers;
+  } else if (request.ballot < target->promised()) {
+    reply.verdict = AcceptorVerdict::Outranked;
+  } else {
+    target->promise(request.ballot, outbox_);
+    addPromise(*target, request, reply);
   }
-  answer.promised = target->promised;
-  answer.accepted = target->accepted;
-  answer.firstLoggedVersion = target->log.firstVersion();
-  if (const auto version = target->log.versionOf(request.keyDigest)) {
-    answer.appliedVersion = *version;
-    answer.appliedContentHash = target->log.at(*version)->contentHash;
+  reply.promised = target->promised();
+  outbox_.send(from, reply);
+}
+
+void Acceptor::addPromise(const AcceptorRegister& target, const PrepareRequest& request,
+                          PrepareReply& reply) const {
+  reply.accepted = target.accepted();
+  reply.firstLoggedVersion = target.log().firstVersion();
+  if (const auto version = target.log().versionOf(request.keyDigest)) {
+    reply.appliedVersion = *version;
+    reply.appliedContentHash = target.log().at(*version)->contentHash;
   }
-  outbox_.send(from, answer);
 }
 
 void Acceptor::accept(const NodeId& from, const AcceptRequest& request) {
-  Register* target = find(request.registerName);
-  const bool admits = request.registerName == kMembersRegister && request.state.version > 0;
-  if (target == nullptr || (!mayVote() && !admits)) {
+  AcceptorRegister* target = find(request.registerName);
+  // A member list may be accepted by an empty disk: this is how it joins a fleet.
+  const bool joins = request.registerName == kMembersRegister && request.state.version > 0;
+  if (target == nullptr || (!mayVote() && !joins)) {
     return;
   }
-  AcceptReply answer;
-  answer.registerName = request.registerName;
-  answer.ballot = request.state.ballot;
-  answer.storeId = options_.storeId;
-  answer.membersVersion = membersVersion();
-  answer.promised = target->promised;
-  if (isStale(request.registerName, request.membersVersion)) {
-    answer.verdict = AcceptorVerdict::StaleMembers;
-  } else if (request.state.ballot < target->promised) {
-    answer.verdict = AcceptorVerdict::Outranked;
-  } else if (target->accepted.ballot == request.state.ballot) {
-    answer.verdict = AcceptorVerdict::Granted;  // The same request again.
-  } else if (!completeChangeLog(*target, request.state)) {
-    answer.verdict = AcceptorVerdict::ChangeLogMissing;
-    fetchChangeLog(*target, request);
-  } else {
-    target->promised = request.state.ballot;
-    target->accepted = request.state;
-    persistAccepted(request.registerName, *target);
-    answer.promised = target->promised;
+  AcceptReply reply;
+  reply.registerName = request.registerName;
+  reply.ballot = request.state.ballot;
+  reply.storeId = options_.storeId;
+  reply.membersVersion = membersVersion();
+  reply.verdict = decideAccept(*target, request);
+  reply.promised = target->promised();
+  if (reply.verdict == AcceptorVerdict::ChangeLogMissing) {
+    outbox_.send(request.changeLogSource, target->fetchLog(request.state.version - 1));
   }
-  outbox_.send(from, answer);
+  outbox_.send(from, reply);
 }
 
-void Acceptor::persistAccepted(const std::string& name, Register& changed) {
-  std::vector<Mutation> mutations = changed.log.takeMutations(changeLogPrefix(name));
-  mutations.push_back({promisedKey(name), encodeRecord(changed.promised)});
-  mutations.push_back({acceptedKey(name), encodeRecord(changed.accepted)});
-  outbox_.persist(std::move(mutations));
-}
-
-bool Acceptor::completeChangeLog(Register& target, const AcceptedState& state) {
-  if (state.version == 0) {
-    target.log.truncate(0);
-    return target.log.version() == 0;
-  }
-  const std::uint64_t base = state.version - 1;
-  if (target.log.chainAt(base) != state.baseChain && target.staging) {
-    AppliedChangeLog& staged = target.staging->log;
-    if (staged.chainAt(base) == state.baseChain) {
-      staged.supersede(target.log);
-      target.log = std::move(staged);
-      target.staging.reset();
-    }
+AcceptorVerdict Acceptor::decideAccept(AcceptorRegister& target, const AcceptRequest& request) {
+  if (isStale(request.registerName, request.membersVersion)) {
+    return AcceptorVerdict::StaleMembers;
   }
-  if (target.log.chainAt(base) != state.baseChain) {
-    return false;
+  if (request.state.ballot < target.promised()) {
+    return AcceptorVerdict::Outranked;
   }
-  target.log.truncate(base);
-  target.log.append(state.entry);
-  target.staging.reset();
-  return true;
-}
-
-void Acceptor::fetchChangeLog(Register& target, const AcceptRequest& request) {
-  const std::uint64_t base = request.state.version - 1;
-  if (!target.staging || target.staging->upToVersion != base) {
-    // The newest local entry may be of a state that was never committed: fetch it again too.
-    target.staging = std::make_unique<Staging>();
-    target.staging->log = target.log;
-    const std::uint64_t common = std::min(target.log.version(), base);
-    target.staging->log.truncate(common == 0 ? 0 : common - 1);
-    target.staging->upToVersion = base;
+  const bool isRepeated = target.accepted().ballot == request.state.ballot;
+  if (isRepeated || target.accept(request.state, outbox_)) {
+    return AcceptorVerdict::Granted;
   }
-  ChangeLogRequest fetch;
-  fetch.registerName = request.registerName;
-  fetch.fromVersion = target.staging->log.version() + 1;
-  fetch.upToVersion = base;
-  outbox_.send(request.changeLogSource, fetch);
+  return AcceptorVerdict::ChangeLogMissing;
 }
 
 void Acceptor::sendChangeLog(const NodeId& from, const ChangeLogRequest& request) {
-  Register* source = find(request.registerName);
+  const AcceptorRegister* source = find(request.registerName);
   if (source == nullptr) {
     return;
   }
-  ChangeLogChunk part;
-  part.registerName = request.registerName;
-  part.firstVersion = source->log.firstVersion();
-  part.fromVersion = std::max(request.fromVersion, part.firstVersion);
-  const auto chain = source->log.chainAt(part.fromVersion - 1);
+  const AppliedChangeLog& log = source->log();
+  ChangeLogChunk chunk;
+  chunk.registerName = request.registerName;
+  chunk.firstVersion = log.firstVersion();
+  chunk.fromVersion = std::max(request.fromVersion, chunk.firstVersion);
+  const auto chain = log.chainAt(chunk.fromVersion - 1);
   if (!chain) {
     return;
   }
-  part.chainBefore = *chain;
-  part.entries = source->log.slice(part.fromVersion, request.upToVersion, kMaxChunkEntries);
-  outbox_.send(from, part);
+  chunk.chainBefore = *chain;
+  chunk.entries = log.slice(chunk.fromVersion, request.upToVersion, kMaxChunkEntries);
+  outbox_.send(from, chunk);
 }
 
-void Acceptor::addChangeLogChunk(const NodeId& from, const ChangeLogChunk& part) {
-  Register* target = find(part.registerName);
-  if (target == nullptr || !target->staging) {
-    return;
-  }
-  Staging& staging = *target->staging;
-  const bool skipsEvicted =
-      part.fromVersion > staging.log.version() + 1 && part.fromVersion == part.firstVersion;
-  if (skipsEvicted) {
-    staging.log.restartAfter(part.fromVersion - 1, part.chainBefore);
-  }
-  if (part.fromVersion != staging.log.version() + 1) {
+void Acceptor::addChangeLogChunk(const NodeId& from, const ChangeLogChunk& chunk) {
+  AcceptorRegister* target = find(chunk.registerName);
+  if (target == nullptr) {
     return;
   }
-  if (part.chainBefore != staging.log.chain()) {
-    staging.log.restartAfter(0, Digest{});
-  } else {
-    for (const AppliedChange& entry : part.entries) {
-      staging.log.append(entry);
-    }
-  }
-  const bool progressed = part.chainBefore != staging.log.chain();
-  if (progressed && staging.log.version() < staging.upToVersion) {
-    outbox_.send(
-        from, ChangeLogRequest{part.registerName, staging.log.version() + 1, staging.upToVersion});
+  if (const std::optional<ChangeLogRequest> next = target->addLogChunk(chunk)) {
+    outbox_.send(from, *next);
   }
 }
 
@@ -274,48 +173,41 @@
   if (!mayVote()) {
     return;
   }
-  ReadReply answer;
-  answer.requestId = request.requestId;
-  answer.storeId = options_.storeId;
-  answer.membersVersion = membersVersion();
+  ReadReply reply;
+  reply.requestId = request.requestId;
+  reply.storeId = options_.storeId;
+  reply.membersVersion = membersVersion();
   for (const auto& entry : registers_) {
-    const AcceptedState& accepted = entry.second.accepted;
+    const AcceptedState& accepted = entry.second.accepted();
     ReadRow row{entry.first, accepted.ballot, accepted.version, {}};
     const auto known = request.known.find(entry.first);
     if (known == request.known.end() || known->second < accepted.version) {
       row.value = accepted.value;
     }
-    answer.rows.push_back(std::move(row));
+    reply.rows.push_back(std::move(row));
   }
-  outbox_.send(from, answer);
+  outbox_.send(from, reply);
 }
 
 void Acceptor::sendIdentity(const NodeId& from, const IdentityRequest& request) {
-  IdentityReply answer;
-  answer.requestId = request.requestId;
-  answer.storeId = options_.storeId;
-  answer.membersVersion = membersVersion();
-  answer.initialMembersHash = initialMembersHash();
-  outbox_.send(from, answer);
+  IdentityReply reply;
+  reply.requestId = request.requestId;
+  reply.storeId = options_.storeId;
+  reply.membersVersion = membersVersion();
+  reply.initialMembersHash = initialMembersHash();
+  outbox_.send(from, reply);
 }
 
 bool Acceptor::form(const FormRequest& request) {
   const AcceptedState initial = initialMembersState(request.members);
-  Register& members = registers_.at(kMembersRegister);
-  const bool isListed =
-      std::any_of(request.members.acceptors.begin(), request.members.acceptors.end(),
-                  [this](const MemberList::Member& member) {
-                    return member.id == context_.self() && member.storeId == options_.storeId;
-                  });
+  const MemberList::Member self{context_.self(), options_.storeId};
+  const bool isMember = isListed(request.members.acceptors, self);
   const bool isFresh = membersVersion() == 0 && initialMembersHash() == 0;
-  if (isFresh && isListed) {
-    members.promised = std::max(members.promised, initial.ballot);
-    members.accepted = initial;
-    members.log.append(initial.entry);
-    persistAccepted(kMembersRegister, members);
+  if (isFresh && isMember) {
+    registers_.at(kMembersRegister).acceptInitial(initial, outbox_);
     context_.logEvent(TraceEvent("AcceptorFormed").field("store_id", options_.storeId));
   }
-  return isListed && initialMembersHash() == initial.entry.contentHash;
+  return isMember && initialMembersHash() == initial.entry.contentHash;
 }
 
 }  // namespace shedshed
--- a/src/register/acceptor.h
+++ b/src/register/acceptor.h
@@ -14,17 +14,17 @@
 /// register again under the present list before the next list is proposed.
 #pragma once
 
+#include "register/acceptor_register.h"
 #include "register/register_messages.h"
 #include "register/register_options.h"
 #include "register/synced_outbox.h"
 
 #include <map>
-#include <memory>
 #include <string>
 
 namespace shedshed {
 
-/// Changes in one `ChangeLogChunk`: about 120 KB.
+/// Most applied changes in one `ChangeLogChunk`: about 120 KB.
 inline constexpr std::size_t kMaxChunkEntries = 4000;
 
 /// Returns the names of all registers, sorted.
@@ -33,7 +33,8 @@
 /// Returns the state that forming a fleet writes into the members register as version 1.
 AcceptedState initialMembersState(const MemberList& members);
 
-/// The acceptor of one node.
+/// The acceptor of one node: the checks of the protocol over the registers that it keeps. Requests
+/// may be repeated and reordered. Core thread only.
 class Acceptor {
  public:
   Acceptor(CoreContext& context, SyncedOutbox& outbox, const RegisterOptions& options);
@@ -41,43 +42,42 @@
   /// Restores the registers from the node's records; fails with `StorageCorrupt`.
   Status load();
 
+  /// Promises to accept nothing below the ballot, unless a higher one was promised.
   void prepare(const NodeId& from, const PrepareRequest& request);
+  /// Accepts the state, unless a higher ballot was promised or the log has to be fetched first.
   void accept(const NodeId& from, const AcceptRequest& request);
+  /// Replies with the accepted state of all registers.
   void read(const NodeId& from, const ReadRequest& request);
+  /// Replies with a chunk of a log, to an acceptor that completes its own.
   void sendChangeLog(const NodeId& from, const ChangeLogRequest& request);
-  void addChangeLogChunk(const NodeId& from, const ChangeLogChunk& part);
+  /// Takes a chunk that this acceptor has requested, and requests the next one.
+  void addChangeLogChunk(const NodeId& from, const ChangeLogChunk& chunk);
+  /// Replies with the id of the disk and what it knows of its fleet.
   void sendIdentity(const NodeId& from, const IdentityRequest& request);
 
   /// Becomes an acceptor of a new fleet. @return false if this disk belongs to another one.
   bool form(const FormRequest& request);
 
  private:
-  /// A log that is being completed from another acceptor.
-  struct Staging {
-    std::uint64_t upToVersion = 0;
-    AppliedChangeLog log;
-  };
-  struct Register {
-    Ballot promised;
-    AcceptedState accepted;
-    AppliedChangeLog log;
-    std::unique_ptr<Staging> staging;
-  };
-
-  Register* find(const std::string& name);
+  AcceptorRegister* find(const std::string& name);
+  const AcceptorRegister& membersRegister() const;
   std::uint64_t membersVersion() const;
-  /// An empty disk takes no part until a fleet is formed with it or admits it.
+  /// An empty disk takes no part until a fleet is formed with it or adds it.
   bool mayVote() const;
+  /// Hash of the first member list of this disk's fleet; 0 if it belongs to none.
   std::uint64_t initialMembersHash() const;
+  /// True if a proposer that goes by @p membersVersion must be refused for register @p name.
   bool isStale(const std::string& name, std::uint64_t membersVersion) const;
-  bool completeChangeLog(Register& target, const AcceptedState& state);
-  void fetchChangeLog(Register& target, const AcceptRequest& request);
-  void persistAccepted(const std::string& name, Register& changed);
+  /// Fills @p reply to a prepare that has been granted by @p target.
+  void addPromise(const AcceptorRegister& target, const PrepareRequest& request,
+                  PrepareReply& reply) const;
+  /// Accepts the state of @p request unless a check forbids it.
+  AcceptorVerdict decideAccept(AcceptorRegister& target, const AcceptRequest& request);
 
   CoreContext& context_;
   SyncedOutbox& outbox_;
   const RegisterOptions options_;
-  std::map<std::string, Register> registers_;
+  std::map<std::string, AcceptorRegister> registers_;
 };
 
 }  // namespace shedshed
--- /dev/null
+++ b/src/register/change_log_fetch.cpp
@@ -0,0 +1,43 @@
+#include "register/change_log_fetch.h"
+
+#include <algorithm>
+
+namespace shedshed {
+
+ChangeLogFetch::ChangeLogFetch(const AppliedChangeLog& local, std::uint64_t upToVersion)
+    : upToVersion_(upToVersion), log_(local) {
+  // The newest local entry may be of a state that was never committed: fetch it again too.
+  const std::uint64_t common = std::min(local.version(), upToVersion);
+  log_.truncate(common == 0 ? 0 : common - 1);
+}
+
+ChangeLogRequest ChangeLogFetch::nextRequest(const std::string& registerName) const {
+  return ChangeLogRequest{registerName, log_.version() + 1, upToVersion_};
+}
+
+bool ChangeLogFetch::add(const ChangeLogChunk& chunk) {
+  const bool skipsEvicted =
+      chunk.fromVersion > log_.version() + 1 && chunk.fromVersion == chunk.firstVersion;
+  if (skipsEvicted) {
+    log_.restartAfter(chunk.fromVersion - 1, chunk.chainBefore);
+  }
+  if (chunk.fromVersion != log_.version() + 1) {
+    return false;
+  }
+  if (chunk.chainBefore != log_.chain()) {
+    log_.restartAfter(0, Digest{});
+  } else {
+    for (const AppliedChange& entry : chunk.entries) {
+      log_.append(entry);
+    }
+  }
+  const bool progressed = chunk.chainBefore != log_.chain();
+  return progressed && log_.version() < upToVersion_;
+}
+
+AppliedChangeLog ChangeLogFetch::takeInPlaceOf(const AppliedChangeLog& replaced) {
+  log_.supersede(replaced);
+  return std::move(log_);
+}
+
+}  // namespace shedshed
--- a/src/register/configuration_core.h
+++ b/src/register/configuration_core.h
@@ -4,26 +4,24 @@
 
 #include "membership/directory.h"
 #include "register/configuration_messages.h"
+#include "register/configuration_values.h"
+#include "register/freshness_proof.h"
+#include "register/pull_source.h"
 #include "register/register_core.h"
 
-#include <atomic>
 #include <functional>
-#include <map>
-#include <set>
 #include <string>
 #include <vector>
 
 namespace shedshed {
 
-/// Time for which a proof lets a node accept new calls. Bounds how long a withdrawn key works.
-inline constexpr Duration kFreshnessLease = std::chrono::seconds(4);
 /// Interval of a control node's quorum reads.
 inline constexpr Duration kProofInterval = std::chrono::milliseconds(500);
 /// Delay of the additional quorum read after this node's acceptor took part in a change.
 inline constexpr Duration kProofAfterAccept = std::chrono::milliseconds(50);
 /// Interval of a data node's pulls.
 inline constexpr Duration kPullInterval = std::chrono::milliseconds(500);
-/// Pause after a pull that brought no proof, before the first proof. Until then a node serves
+/// Delay after a pull that brought no proof, before the first proof. Until then a node serves
 /// nothing, and after the loss of all processes no node has one.
 inline constexpr Duration kFirstProofInterval = std::chrono::milliseconds(100);
 /// Time after which a pull is sent to the next control node.
@@ -37,7 +35,7 @@
   bool isControl = false;     ///< Proves itself by quorum reads and answers pulls.
 };
 
-/// Core of `ServiceId::Configuration`.
+/// Core of `ServiceId::Configuration`. Core thread only, but for `freshUntil`.
 ///
 /// A proof is a moment on this node's clock at which all adopted values were current. A quorum
 /// read proves the moment at which it was sent. An answered pull proves the moment at which the
@@ -48,7 +46,7 @@
 /// with it, since ages only grow.
 class ConfigurationCore : public Core, public ConfigurationSource {
  public:
-  /// @param directory may be null; then only the seeds and the members are asked
+  /// @param directory may be null; then it pulls from the members and the seeds only
   ConfigurationCore(CoreContext& context, Directory* directory, RegisterCore& registers,
                     ConfigurationOptions options);
 
@@ -62,39 +60,25 @@
   void timerExpired(TimerId timer) override;
 
  private:
-  std::map<std::string, std::uint64_t> versions() const;
-  void adopt(const std::string& registerName, const RegisterValue& value);
-  bool adoptPatches(const NamedPatches& named);
-  void recordProof(Time moment);
-  bool hasProof() const;
   void proveByQuorum();
+  /// Lets an open quorum read finish, then proves what was accepted after it was sent.
+  void proveAfterAccept();
   void tick();
-  bool neverProved() const { return provedAt_ == Time::min(); }
-  std::vector<NodeId> sources() const;
-  void chooseNextSource();
   void pull();
   void replyToPull(const NodeId& from, const PullRequest& request);
-  void appendUpdates(const std::string& registerName, const RegisterValue& value,
-                     const PullRequest& request, PullReply& answer) const;
-  void onPullReply(const PullReply& answer);
+  void onPullReply(const PullReply& reply);
 
   CoreContext& context_;
-  Directory* const directory_;
   RegisterCore& registers_;
-  const ConfigurationOptions options_;
-  std::map<std::string, RegisterValue> values_;
-  std::map<std::string, ValueHistory> histories_;  ///< Control nodes only.
-  std::set<std::string> needsFullValue_;           ///< Registers to be pulled whole.
-  std::map<std::string, std::vector<std::function<void(const RegisterValue&)>>> listeners_;
+  const bool isControl_;
+  ConfigurationValues values_;
+  FreshnessProof proof_;
+  PullSource source_;
   Time startedAt_{};
-  Time provedAt_ = Time::min();
-  std::atomic<Duration::rep> freshUntil_;
-  NodeId source_;
-  std::uint64_t pullId_ = 0;
+  std::uint64_t pullId_ = 0;  ///< Id of the newest pull; replies to older ones are ignored.
   Time pullSentAt_{};
-  std::uint32_t pulls_ = 0;
-  bool afterAcceptRuns_ = false;
-  Time readSentAt_{};
+  bool afterAcceptTimerRuns_ = false;
+  Time readSentAt_{};  ///< When the newest quorum read was sent.
   bool readIsOpen_ = false;
 };
 
--- a/src/register/fleet_formation.cpp
+++ b/src/register/fleet_formation.cpp
@@ -23,11 +23,11 @@
 
 }  // namespace
 
-FleetFormation::FleetFormation(ProposalHost& host, OperationId id, std::vector<NodeId> acceptors,
+FleetFormation::FleetFormation(OperationHost& host, OperationId id, std::vector<NodeId> acceptors,
                                std::vector<NodeId> stores, std::uint32_t replicas,
-                               FormationDone done)
-    : host_(host), id_(id), acceptors_(std::move(acceptors)), stores_(std::move(stores)),
-      replicas_(replicas), done_(std::move(done)) {
+                               MembershipDone done)
+    : MembershipOperation(host, id, std::move(done)), acceptors_(std::move(acceptors)),
+      stores_(std::move(stores)), replicas_(replicas) {
   sortAndUnify(acceptors_);
   dropRepeated(stores_);
 }
@@ -37,12 +37,11 @@
     finish(makeError(ErrorCode::InvalidArgument, "acceptors: must not be empty"));
     return;
   }
-  host_.startTimer(id_, OperationTimer::Deadline, kOperationDeadline);
-  sendRequests();
+  startRequests();
 }
 
 void FleetFormation::sendRequests() {
-  host_.startTimer(id_, OperationTimer::Resend, kRoundResend);
+  startResendTimer();
   if (list_) {
     for (const NodeId& acceptor : acceptors_) {
       if (formed_.count(acceptor) == 0) {
@@ -51,31 +50,33 @@
     }
     return;
   }
-  std::set<NodeId> machines(acceptors_.begin(), acceptors_.end());
-  machines.insert(stores_.begin(), stores_.end());
-  for (const NodeId& machine : machines) {
+  for (const NodeId& machine : machines()) {
     if (identities_.count(machine) == 0) {
       host_.context().send(machine, IdentityRequest{id_});
     }
   }
 }
 
-void FleetFormation::onIdentityReply(const NodeId& from, const IdentityReply& answer) {
-  if (isFinished() || list_ || answer.requestId != id_) {
+void FleetFormation::onIdentityReply(const NodeId& from, const IdentityReply& reply) {
+  if (isFinished() || list_ || reply.requestId != id_) {
     return;
   }
-  if (answer.storeId.empty()) {
+  if (reply.storeId.empty()) {
     finish(makeError(ErrorCode::InvalidArgument, from.address + ": has no disk"));
     return;
   }
-  identities_[from] = answer;
-  std::set<NodeId> machines(acceptors_.begin(), acceptors_.end());
-  machines.insert(stores_.begin(), stores_.end());
-  if (identities_.size() == machines.size()) {
+  identities_[from] = reply;
+  if (identities_.size() == machines().size()) {
     buildList();
   }
 }
 
+std::set<NodeId> FleetFormation::machines() const {
+  std::set<NodeId> machines(acceptors_.begin(), acceptors_.end());
+  machines.insert(stores_.begin(), stores_.end());
+  return machines;
+}
+
 std::vector<MemberList::Member> FleetFormation::membersOf(const std::vector<NodeId>& ids) const {
   std::vector<MemberList::Member> members;
   for (const NodeId& id : ids) {
@@ -102,11 +103,11 @@
   sendRequests();
 }
 
-void FleetFormation::onFormReply(const NodeId& from, const FormReply& answer) {
-  if (isFinished() || !list_ || answer.requestId != id_) {
+void FleetFormation::onFormReply(const NodeId& from, const FormReply& reply) {
+  if (isFinished() || !list_ || reply.requestId != id_) {
     return;
   }
-  if (!answer.formed) {
+  if (!reply.formed) {
     finish(makeError(ErrorCode::AlreadyExists, from.address + ": is formed with other members"));
     return;
   }
@@ -117,24 +118,9 @@
   }
 }
 
-void FleetFormation::timerExpired(OperationTimer timer) {
-  if (isFinished()) {
-    return;
-  }
-  if (timer == OperationTimer::Resend) {
-    sendRequests();
-    return;
-  }
-  if (timer == OperationTimer::Deadline) {
-    finish(makeError(list_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum,
-                     "not every machine answered"));
-  }
-}
-
-void FleetFormation::finish(Result<MemberList> result) {
-  host_.stopTimer(id_, OperationTimer::Deadline);
-  host_.stopTimer(id_, OperationTimer::Resend);
-  result_ = std::move(result);
+Error FleetFormation::deadlineError() const {
+  return makeError(list_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum,
+                   "not every machine answered");
 }
 
 }  // namespace shedshed
--- a/src/register/fleet_formation.h
+++ b/src/register/fleet_formation.h
@@ -1,8 +1,8 @@
 /// @file
-/// The explicit order that makes a fleet out of empty disks.
+/// The explicit request that makes a fleet out of empty disks.
 #pragma once
 
-#include "register/proposal.h"
+#include "register/membership_operation.h"
 
 #include <functional>
 #include <map>
@@ -11,42 +11,34 @@
 
 namespace shedshed {
 
-using FormationDone = std::function<void(Result<MemberList>)>;
-
 /// Collects the store id of every listed machine, then writes the first member list to all
-/// acceptors. Nothing is written before every machine has answered, and nothing if one of them
+/// acceptors. Nothing is written before every machine has replied, and nothing if one of them
 /// belongs to a fleet with another first list. An emptied machine has another store id and so makes
 /// another list: machines that lost their disks cannot form a second history together with one
 /// that did not. Empty disks by themselves never form anything.
-class FleetFormation {
+class FleetFormation : public MembershipOperation {
  public:
-  FleetFormation(ProposalHost& host, OperationId id, std::vector<NodeId> acceptors,
-                 std::vector<NodeId> stores, std::uint32_t replicas, FormationDone done);
-
-  void start();
-  void onIdentityReply(const NodeId& from, const IdentityReply& answer);
-  void onFormReply(const NodeId& from, const FormReply& answer);
-  void timerExpired(OperationTimer timer);
+  FleetFormation(OperationHost& host, OperationId id, std::vector<NodeId> acceptors,
+                 std::vector<NodeId> stores, std::uint32_t replicas, MembershipDone done);
 
-  bool isFinished() const { return result_.has_value(); }
-  void report() { done_(std::move(*result_)); }
+  void start() override;
+  void onIdentityReply(const NodeId& from, const IdentityReply& reply) override;
+  void onFormReply(const NodeId& from, const FormReply& reply) override;
 
  private:
-  void sendRequests();
+  void sendRequests() override;
+  Error deadlineError() const override;
   void buildList();
+  /// All machines of both lists.
+  std::set<NodeId> machines() const;
   std::vector<MemberList::Member> membersOf(const std::vector<NodeId>& ids) const;
-  void finish(Result<MemberList> result);
 
-  ProposalHost& host_;
-  const OperationId id_;
   std::vector<NodeId> acceptors_;
   std::vector<NodeId> stores_;
   const std::uint32_t replicas_;
-  FormationDone done_;
-  std::optional<Result<MemberList>> result_;
-  std::map<NodeId, IdentityReply> identities_;
-  std::optional<MemberList> list_;  ///< Set once all identities are known.
-  std::set<NodeId> formed_;
+  std::map<NodeId, IdentityReply> identities_;  ///< Of the machines that replied.
+  std::optional<MemberList> list_;              ///< Set once all identities are known.
+  std::set<NodeId> formed_;                     ///< Acceptors that hold `list_`.
 };
 
 }  // namespace shedshed
--- a/src/register/member_replacement.cpp
+++ b/src/register/member_replacement.cpp
@@ -31,19 +31,18 @@
 
 }  // namespace
 
-MemberReplacement::MemberReplacement(ProposalHost& host, OperationId id, MemberChange change,
+MemberReplacement::MemberReplacement(OperationHost& host, OperationId id, MemberChange change,
                                      NodeId oldId, NodeId newId, RunProposal runProposal,
-                                     ReplacementDone done)
-    : host_(host), id_(id), change_(change), oldId_(std::move(oldId)), newId_(std::move(newId)),
-      runProposal_(std::move(runProposal)), done_(std::move(done)) {}
+                                     MembershipDone done)
+    : MembershipOperation(host, id, std::move(done)), change_(change), oldId_(std::move(oldId)),
+      newId_(std::move(newId)), runProposal_(std::move(runProposal)) {}
 
 void MemberReplacement::start() {
-  host_.startTimer(id_, OperationTimer::Deadline, kOperationDeadline);
-  sendRequests();
+  startRequests();
 }
 
 void MemberReplacement::sendRequests() {
-  host_.startTimer(id_, OperationTimer::Resend, kRoundResend);
+  startResendTimer();
   if (!isAnnouncing_) {
     host_.context().send(newId_, IdentityRequest{id_});
     return;
@@ -56,42 +55,32 @@
   }
 }
 
-void MemberReplacement::onIdentityReply(const NodeId& from, const IdentityReply& answer) {
-  const bool expected = from == newId_ && answer.requestId == id_ && joining_.storeId.empty();
+void MemberReplacement::onIdentityReply(const NodeId& from, const IdentityReply& reply) {
+  const bool expected = from == newId_ && reply.requestId == id_ && joining_.storeId.empty();
   if (isFinished() || !expected) {
     return;
   }
-  if (answer.storeId.empty()) {
+  if (reply.storeId.empty()) {
     finish(makeError(ErrorCode::InvalidArgument, newId_.address + ": has no disk"));
     return;
   }
-  host_.stopTimer(id_, OperationTimer::Deadline);
-  host_.stopTimer(id_, OperationTimer::Resend);
-  joining_ = {newId_, answer.storeId};
+  stopTimers();
+  joining_ = {newId_, reply.storeId};
   readMembers();
 }
 
-void MemberReplacement::timerExpired(OperationTimer timer) {
-  if (isFinished()) {
-    return;
-  }
-  if (timer == OperationTimer::Resend) {
-    sendRequests();
-    return;
-  }
-  if (timer == OperationTimer::Deadline) {
-    finish(makeError(isAnnouncing_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum,
-                     newId_.address + ": does not answer"));
-  }
+Error MemberReplacement::deadlineError() const {
+  return makeError(isAnnouncing_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum,
+                   newId_.address + ": does not answer");
 }
 
 void MemberReplacement::readMembers() {
   ProposalSpec spec;
   spec.registerName = kMembersRegister;
-  runProposal_(spec, [this](Result<ProposalOutcome> read) { membersRead(read); });
+  runProposal_(spec, [this](Result<ProposalOutcome> read) { onMembersRead(read); });
 }
 
-void MemberReplacement::membersRead(const Result<ProposalOutcome>& read) {
+void MemberReplacement::onMembersRead(const Result<ProposalOutcome>& read) {
   if (!read) {
     finish(read.error());
     return;
@@ -104,16 +93,8 @@
   baseVersion_ = read.value().value.version;
   list_ = std::move(list).value();
   isMemberNow_ = isListed(list_.acceptors, joining_) || isListed(list_.stores, joining_);
-  if (!isMemberNow_ && !isAddition() && !isListed(list_, oldId_)) {
-    finish(makeError(ErrorCode::NotFound, oldId_.address + ": is no member"));
-    return;
-  }
-  if (!isMemberNow_ && (isAddition() || newId_ != oldId_) && isListed(list_, newId_)) {
-    finish(makeError(ErrorCode::AlreadyExists, newId_.address + ": is a member with another disk"));
-    return;
-  }
-  if (isMemberNow_ && !isAddition() && newId_ != oldId_ && isListed(list_, oldId_)) {
-    finish(makeError(ErrorCode::AlreadyExists, newId_.address + ": is another member"));
+  if (std::optional<Error> error = validate()) {
+    finish(std::move(*error));
     return;
   }
   if (isMemberNow_) {
@@ -123,18 +104,23 @@
   }
 }
 
-void MemberReplacement::announceMembers() {
-  isAnnouncing_ = true;
-  host_.startTimer(id_, OperationTimer::Deadline, kOperationDeadline);
-  sendRequests();
+std::optional<Error> MemberReplacement::validate() const {
+  if (isMemberNow_) {
+    const bool isAnother = !isAddition() && newId_ != oldId_ && isListed(list_, oldId_);
+    return isAnother ? std::make_optional(makeError(ErrorCode::AlreadyExists,
+                                                    newId_.address + ": is another member"))
+                     : std::nullopt;
+  }
+  if (!isAddition() && !isListed(list_, oldId_)) {
+    return makeError(ErrorCode::NotFound, oldId_.address + ": is no member");
+  }
+  if ((isAddition() || newId_ != oldId_) && isListed(list_, newId_)) {
+    return makeError(ErrorCode::AlreadyExists, newId_.address + ": is a member with another disk");
+  }
+  return std::nullopt;
 }
 
-void MemberReplacement::onMembersAcknowledged(const NodeId& from,
-                                              const MembersAcknowledged& answer) {
-  if (isFinished() || !isAnnouncing_ || answer.requestId != id_) {
-    return;
-  }
-  acknowledgedBy_[from] = answer.storeId;
+bool MemberReplacement::isAcknowledgedByMajority() const {
   std::size_t acknowledged = 0;
   bool joiningAcknowledged = !isListed(list_.acceptors, joining_);
   for (const MemberList::Member& member : list_.acceptors) {
@@ -145,12 +131,25 @@
     ++acknowledged;
     joiningAcknowledged = joiningAcknowledged || member.id == newId_;
   }
-  if (!joiningAcknowledged || acknowledged < majorityOf(list_.acceptors.size())) {
+  return joiningAcknowledged && acknowledged >= majorityOf(list_.acceptors.size());
+}
+
+void MemberReplacement::announceMembers() {
+  isAnnouncing_ = true;
+  startRequests();
+}
+
+void MemberReplacement::onMembersAcknowledged(const NodeId& from,
+                                              const MembersAcknowledged& reply) {
+  if (isFinished() || !isAnnouncing_ || reply.requestId != id_) {
+    return;
+  }
+  acknowledgedBy_[from] = reply.storeId;
+  if (!isAcknowledgedByMajority()) {
     return;
   }
   isAnnouncing_ = false;
-  host_.stopTimer(id_, OperationTimer::Deadline);
-  host_.stopTimer(id_, OperationTimer::Resend);
+  stopTimers();
   copyRegisters(0);
 }
 
@@ -204,10 +203,4 @@
   });
 }
 
-void MemberReplacement::finish(Result<MemberList> result) {
-  host_.stopTimer(id_, OperationTimer::Deadline);
-  host_.stopTimer(id_, OperationTimer::Resend);
-  result_ = std::move(result);
-}
-
 }  // namespace shedshed
--- a/src/register/member_replacement.h
+++ b/src/register/member_replacement.h
@@ -2,6 +2,7 @@
 /// Replaces one machine of the member list, or adds an acceptor to it.
 #pragma once
 
+#include "register/membership_operation.h"
 #include "register/proposal.h"
 
 #include <functional>
@@ -11,14 +12,12 @@
 
 namespace shedshed {
 
-using ReplacementDone = std::function<void(Result<MemberList>)>;
-
-/// Starts a proposal; its answer goes back to the replacement.
+/// Starts a proposal; its outcome goes back to the replacement.
 using RunProposal = std::function<void(ProposalSpec, std::function<void(Result<ProposalOutcome>)>)>;
 
 /// What becomes of the member list.
 enum class MemberChange {
-  Replacement,       ///< The joining member takes the place of a member.
+  Replacement,       ///< The joining member replaces a member.
   AcceptorAddition,  ///< The joining member becomes one more acceptor; nobody leaves.
 };
 
@@ -34,38 +33,34 @@
 ///    of the old list that would prove it may be gone by then;
 /// 5. commit every register again under the new list. Only now is the replacement reported done.
 /// The old and the new id may be equal: an emptied machine that comes back at its address.
-class MemberReplacement {
+class MemberReplacement : public MembershipOperation {
  public:
   /// @p oldId is not used for an addition.
-  MemberReplacement(ProposalHost& host, OperationId id, MemberChange change, NodeId oldId,
-                    NodeId newId, RunProposal runProposal, ReplacementDone done);
-
-  void start();
-  void onIdentityReply(const NodeId& from, const IdentityReply& answer);
-  void onMembersAcknowledged(const NodeId& from, const MembersAcknowledged& answer);
-  void timerExpired(OperationTimer timer);
+  MemberReplacement(OperationHost& host, OperationId id, MemberChange change, NodeId oldId,
+                    NodeId newId, RunProposal runProposal, MembershipDone done);
 
-  bool isFinished() const { return result_.has_value(); }
-  void report() { done_(std::move(*result_)); }
+  void start() override;
+  void onIdentityReply(const NodeId& from, const IdentityReply& reply) override;
+  void onMembersAcknowledged(const NodeId& from, const MembersAcknowledged& reply) override;
 
  private:
   void readMembers();
-  void membersRead(const Result<ProposalOutcome>& read);
+  void onMembersRead(const Result<ProposalOutcome>& read);
+  /// The reason why the change does not fit the present list, if any.
+  std::optional<Error> validate() const;
+  /// True if the present list has the joining machine and a majority has acknowledged it.
+  bool isAcknowledgedByMajority() const;
   void copyRegisters(std::size_t index);
   void changeMembers();
   bool isAddition() const { return change_ == MemberChange::AcceptorAddition; }
   void announceMembers();
-  void sendRequests();
-  void finish(Result<MemberList> result);
+  void sendRequests() override;
+  Error deadlineError() const override;
 
-  ProposalHost& host_;
-  const OperationId id_;
   const MemberChange change_;
   const NodeId oldId_;
   const NodeId newId_;
   RunProposal runProposal_;
-  ReplacementDone done_;
-  std::optional<Result<MemberList>> result_;
   MemberList::Member joining_;
   std::uint64_t baseVersion_ = 0;
   MemberList list_;           ///< The list after the replacement.
--- a/src/register/proposal.cpp
+++ b/src/register/proposal.cpp
@@ -1,7 +1,5 @@
 #include "register/proposal.h"
 
-#include "kernel/rendezvous.h"
-
 #include <algorithm>
 #include <random>
 
@@ -9,26 +7,22 @@
 
 namespace {
 
-/// Pause before an acceptor that fetches log entries is asked again.
+/// Delay before an accept is sent again to an acceptor that fetches applied changes.
 constexpr Duration kChangeLogRetry = std::chrono::milliseconds(10);
 
-/// Hashes what an order stands for. A resend names the same base version and content.
-std::uint64_t hashOfContent(const ChangeRequest& change) {
-  std::string text = std::to_string(change.baseVersion);
-  text.push_back('\n');
-  text += change.content.empty() ? change.value : change.content;
-  return hash64(text);
+/// Moves the change out of @p spec: its value may be large.
+std::optional<ProposedChange> takeChange(ProposalSpec& spec) {
+  if (!spec.change) {
+    return std::nullopt;
+  }
+  return std::make_optional<ProposedChange>(std::move(*spec.change));
 }
 
 }  // namespace
 
-Proposal::Proposal(ProposalHost& host, OperationId id, ProposalSpec spec, Done done)
-    : host_(host), id_(id), spec_(std::move(spec)), done_(std::move(done)) {
-  if (spec_.change) {
-    keyDigest_ = digestOf(spec_.change->idempotencyKey);
-    contentHash_ = hashOfContent(*spec_.change);
-  }
-}
+Proposal::Proposal(OperationHost& host, OperationId id, ProposalSpec spec, Done done)
+    : host_(host), id_(id), change_(takeChange(spec)), spec_(std::move(spec)),
+      done_(std::move(done)) {}
 
 void Proposal::start() {
   host_.startTimer(id_, OperationTimer::Deadline, kOperationDeadline);
@@ -39,7 +33,7 @@
   members_ = host_.members();
   promises_.clear();
   rejections_.clear();
-  acceptedBy_.clear();
+  accepts_.clear();
   nextVoters_.clear();
   graceExpired_ = false;
   graceTimerStarted_ = false;
@@ -56,50 +50,52 @@
 void Proposal::sendRequests() {
   host_.startTimer(id_, OperationTimer::Resend, kRoundResend);
   if (phase_ == Phase::Preparing) {
-    const PrepareRequest request{spec_.registerName, ballot_, members_.version, keyDigest_};
-    for (const MemberList::Member& member : members_.list.acceptors) {
-      if (promises_.count(member.id) == 0) {
-        host_.context().send(member.id, request);
-      }
+    sendPrepares();
+  } else {
+    sendAccepts();
+  }
+}
+
+void Proposal::sendPrepares() {
+  const Digest keyDigest = change_ ? change_->keyDigest() : Digest{};
+  const PrepareRequest request{spec_.registerName, ballot_, members_.version, keyDigest};
+  for (const MemberList::Member& member : members_.list.acceptors) {
+    if (!promises_.contains(member.id)) {
+      host_.context().send(member.id, request);
     }
-    return;
   }
-  std::set<NodeId> targets;
+}
+
+void Proposal::sendAccepts() {
+  std::set<NodeId> receivers;
   for (const MemberList::Member& member : members_.list.acceptors) {
-    targets.insert(member.id);
+    receivers.insert(member.id);
   }
   for (const MemberList::Member& member : nextVoters_) {
-    targets.insert(member.id);
+    receivers.insert(member.id);
   }
   if (spec_.joiningMember) {
-    targets.insert(spec_.joiningMember->id);
+    receivers.insert(spec_.joiningMember->id);
   }
-  for (const NodeId& target : targets) {
-    if (acceptedBy_.count(target) == 0) {
-      sendAccept(target);
+  const AcceptRequest request{spec_.registerName, members_.version, proposed_, changeLogSource_};
+  for (const NodeId& receiver : receivers) {
+    if (!accepts_.contains(receiver)) {
+      host_.context().send(receiver, request);
     }
   }
 }
 
-void Proposal::sendAccept(const NodeId& to) {
-  AcceptRequest request;
-  request.registerName = spec_.registerName;
-  request.membersVersion = members_.version;
-  request.state = proposed_;
-  request.changeLogSource = changeLogSource_;
-  host_.context().send(to, request);
-}
-
 void Proposal::backOff() {
   phase_ = Phase::BackingOff;
   host_.stopTimer(id_, OperationTimer::Round);
   host_.stopTimer(id_, OperationTimer::Resend);
   std::uniform_int_distribution<std::int64_t> pause(kMinBackoff.count(), maxBackoff_.count());
   maxBackoff_ = std::min(maxBackoff_ * 2, kMaxBackoff);
-  host_.startTimer(id_, OperationTimer::Pause, Duration(pause(host_.context().random())));
+  host_.startTimer(id_, OperationTimer::Delay, Duration(pause(host_.context().random())));
 }
 
-bool Proposal::onRejection(const NodeId& from, AcceptorVerdict verdict, const Ballot& promised) {
+bool Proposal::handleRejection(const NodeId& from, AcceptorVerdict verdict,
+                               const Ballot& promised) {
   if (verdict == AcceptorVerdict::Granted) {
     return false;
   }
@@ -114,50 +110,44 @@
   return true;
 }
 
-void Proposal::onPrepareReply(const NodeId& from, const PrepareReply& answer) {
-  if (isFinished() || phase_ != Phase::Preparing || answer.ballot != ballot_) {
+void Proposal::onPrepareReply(const NodeId& from, const PrepareReply& reply) {
+  if (isFinished() || phase_ != Phase::Preparing || reply.ballot != ballot_) {
     return;
   }
-  if (!isVoteOfAny(host_.safeguards(), members_.list.acceptors, from, answer.storeId)) {
+  if (!isVoteOfAny(host_.safeguards(), members_.list.acceptors, from, reply.storeId)) {
     return;
   }
-  if (answer.verdict == AcceptorVerdict::StaleMembers) {
+  if (reply.verdict == AcceptorVerdict::StaleMembers) {
     host_.membersOutdated(members_.version);
   }
-  if (onRejection(from, answer.verdict, answer.promised)) {
+  if (handleRejection(from, reply.verdict, reply.promised)) {
     return;
   }
-  promises_[from] = answer;
+  promises_.add(from, reply);
   evaluatePromises();
 }
 
 void Proposal::evaluatePromises() {
-  if (promises_.size() < majorityOf(members_.list.acceptors.size())) {
+  const std::size_t voters = members_.list.acceptors.size();
+  if (promises_.size() < majorityOf(voters)) {
     return;
   }
-  const PrepareReply* newest = nullptr;
-  NodeId holder;
-  for (const auto& entry : promises_) {
-    if (newest == nullptr || newest->accepted.ballot < entry.second.accepted.ballot) {
-      newest = &entry.second;
-      holder = entry.first;
-    }
-  }
-  const std::size_t agreeing =
-      std::count_if(promises_.begin(), promises_.end(), [&](const auto& entry) {
-        return entry.second.accepted.ballot == newest->accepted.ballot;
-      });
-  const bool committed = isCommitted(newest->accepted, agreeing);
-  const bool allAnswered = promises_.size() == members_.list.acceptors.size();
-  if (!committed && !allAnswered && !graceExpired_) {
-    if (!graceTimerStarted_) {
-      graceTimerStarted_ = true;
-      host_.startTimer(id_, OperationTimer::Pause, kAgreementGrace);
-    }
+  const PromiseSet::Newest newest = promises_.newest();
+  const bool committed = isCommitted(newest.promise.accepted, newest.agreeing);
+  if (!committed && promises_.size() != voters && !graceExpired_) {
+    startAgreementGrace();
     return;
   }
-  changeLogSource_ = holder;
-  decide(*newest, committed);
+  newest_ = newest.promise;
+  changeLogSource_ = newest.acceptor;
+  decide(committed);
+}
+
+void Proposal::startAgreementGrace() {
+  if (!graceTimerStarted_) {
+    graceTimerStarted_ = true;
+    host_.startTimer(id_, OperationTimer::Delay, kAgreementGrace);
+  }
 }
 
 bool Proposal::isCommitted(const AcceptedState& newest, std::size_t agreeing) const {
@@ -169,83 +159,56 @@
   return agreeing >= majorityOf(members_.list.acceptors.size()) && !isNextList;
 }
 
-void Proposal::decide(const PrepareReply& newest, bool committed) {
-  newest_ = newest;
-  host_.stopTimer(id_, OperationTimer::Pause);
+void Proposal::decide(bool committed) {
+  host_.stopTimer(id_, OperationTimer::Delay);
   const bool trusted = committed || !host_.safeguards().finishBeforeAnswer;
-  const bool mustCommit = !trusted || (!spec_.change && (spec_.recommit || spec_.joiningMember));
+  const bool mustCommit = !trusted || (!change_ && (spec_.recommit || spec_.joiningMember));
   if (mustCommit) {
     AcceptedState same = newest_.accepted;
     same.ballot = ballot_;
-    startAccepts(Phase::Committing, std::move(same), changeLogSource_);
+    startAccepts(Phase::Committing, std::move(same));
     return;
   }
   host_.committed(spec_.registerName, {newest_.accepted.version, newest_.accepted.value});
-  if (spec_.change && judge(newest_) == Judgement::Build) {
-    startAccepts(Phase::Proposing, nextState(), changeLogSource_);
+  if (change_ && change_->judge(newest_) == ProposedChange::Verdict::Proposable) {
+    startAccepts(Phase::Proposing, change_->nextState(newest_.accepted, ballot_));
     return;
   }
   conclude();
 }
 
-Proposal::Judgement Proposal::judge(const PrepareReply& newest) const {
-  const ChangeRequest& change = *spec_.change;
-  if (newest.appliedVersion != 0) {
-    return newest.appliedContentHash == contentHash_ ? Judgement::Applied : Judgement::Reused;
-  }
-  if (newest.accepted.version == change.baseVersion) {
-    return Judgement::Build;
-  }
-  // An order can only have produced the version after its base. If that entry has left the log,
-  // nobody can tell any more whether this order produced it.
-  const std::uint64_t produced = change.baseVersion + 1;
-  return produced < newest.firstLoggedVersion ? Judgement::TooOld : Judgement::Conflict;
-}
-
-AcceptedState Proposal::nextState() const {
-  const AcceptedState& base = newest_.accepted;
-  AcceptedState next;
-  next.ballot = ballot_;
-  next.version = base.version + 1;
-  next.value = spec_.change->value;
-  next.baseChain = base.version == 0 ? Digest{} : nextChain(base.baseChain, base.entry);
-  next.entry = AppliedChange{keyDigest_, contentHash_};
-  return next;
-}
-
 void Proposal::conclude() {
   ProposalOutcome outcome;
   outcome.value = {newest_.accepted.version, newest_.accepted.value};
-  if (!spec_.change) {
+  if (!change_) {
     finish(outcome);
     return;
   }
-  switch (judge(newest_)) {
-  case Judgement::Build:
+  switch (change_->judge(newest_)) {
+  case ProposedChange::Verdict::Proposable:
     beginRound();
     return;
-  case Judgement::Applied:
+  case ProposedChange::Verdict::Applied:
     outcome.outcome = {newest_.appliedVersion, !mayTakeEffect_};
     finish(outcome);
     return;
-  case Judgement::Reused:
+  case ProposedChange::Verdict::KeyReused:
     finish(
         makeError(ErrorCode::IdempotencyKeyReused, "the order id was applied with other content"));
     return;
-  case Judgement::Conflict:
+  case ProposedChange::Verdict::Conflict:
     finish(makeError(ErrorCode::VersionConflict,
                      "current version is " + std::to_string(newest_.accepted.version)));
     return;
-  case Judgement::TooOld:
+  case ProposedChange::Verdict::Unknown:
     finish(makeError(ErrorCode::OutcomeUnknown, "the order is older than the ledger"));
     return;
   }
 }
 
-void Proposal::startAccepts(Phase phase, AcceptedState state, const NodeId& source) {
+void Proposal::startAccepts(Phase phase, AcceptedState state) {
   phase_ = phase;
   proposed_ = std::move(state);
-  changeLogSource_ = source;
   rejections_.clear();
   mayTakeEffect_ = mayTakeEffect_ || phase == Phase::Proposing;
   if (spec_.registerName == kMembersRegister && proposed_.version > members_.version) {
@@ -258,43 +221,34 @@
   sendRequests();
 }
 
-void Proposal::onAcceptReply(const NodeId& from, const AcceptReply& answer) {
+void Proposal::onAcceptReply(const NodeId& from, const AcceptReply& reply) {
   const bool accepting = phase_ == Phase::Committing || phase_ == Phase::Proposing;
-  if (isFinished() || !accepting || answer.ballot != ballot_) {
+  if (isFinished() || !accepting || reply.ballot != ballot_) {
     return;
   }
-  if (answer.verdict == AcceptorVerdict::ChangeLogMissing) {
+  if (reply.verdict == AcceptorVerdict::ChangeLogMissing) {
     host_.startTimer(id_, OperationTimer::Resend, kChangeLogRetry);
     return;
   }
-  if (answer.verdict == AcceptorVerdict::StaleMembers) {
+  if (reply.verdict == AcceptorVerdict::StaleMembers) {
     host_.membersOutdated(members_.version);
   }
-  if (onRejection(from, answer.verdict, answer.promised)) {
+  if (handleRejection(from, reply.verdict, reply.promised)) {
     return;
   }
-  acceptedBy_[from] = answer.storeId;
+  accepts_.add(from, reply.storeId);
   evaluateAccepts();
 }
 
-bool Proposal::isAcceptedBy(const std::vector<MemberList::Member>& voters) const {
-  const std::size_t accepted =
-      std::count_if(voters.begin(), voters.end(), [this](const MemberList::Member& member) {
-        const auto found = acceptedBy_.find(member.id);
-        return found != acceptedBy_.end() &&
-               isVoteOf(host_.safeguards(), member, found->first, found->second);
-      });
-  return accepted >= majorityOf(voters.size());
-}
-
 void Proposal::evaluateAccepts() {
-  if (!isAcceptedBy(members_.list.acceptors)) {
+  const RegisterSafeguards& safeguards = host_.safeguards();
+  if (!accepts_.isMajorityOf(members_.list.acceptors, safeguards)) {
     return;
   }
-  if (!nextVoters_.empty() && !isAcceptedBy(nextVoters_)) {
+  if (!nextVoters_.empty() && !accepts_.isMajorityOf(nextVoters_, safeguards)) {
     return;
   }
-  if (spec_.joiningMember && !isAcceptedBy({*spec_.joiningMember})) {
+  if (spec_.joiningMember && !accepts_.isMajorityOf({*spec_.joiningMember}, safeguards)) {
     return;
   }
   lastCommittedBallot_ = ballot_;
@@ -321,7 +275,7 @@
   case OperationTimer::Resend:
     sendRequests();
     return;
-  case OperationTimer::Pause:
+  case OperationTimer::Delay:
     if (phase_ == Phase::BackingOff) {
       beginRound();
     } else if (phase_ == Phase::Preparing) {
@@ -334,7 +288,7 @@
 
 void Proposal::finish(Result<ProposalOutcome> result) {
   for (OperationTimer timer : {OperationTimer::Deadline, OperationTimer::Round,
-                               OperationTimer::Resend, OperationTimer::Pause}) {
+                               OperationTimer::Resend, OperationTimer::Delay}) {
     host_.stopTimer(id_, timer);
   }
   result_ = std::move(result);
--- a/src/register/proposal.h
+++ b/src/register/proposal.h
@@ -2,11 +2,12 @@
 /// One operation on one register: a change, or a read with a majority.
 #pragma once
 
-#include "register/quorum.h"
-#include "register/register_messages.h"
-#include "register/register_options.h"
+#include "register/accept_set.h"
+#include "register/operation.h"
+#include "register/promise_set.h"
+#include "register/proposed_change.h"
 
-#include <map>
+#include <functional>
 #include <optional>
 #include <set>
 #include <string>
@@ -14,32 +15,7 @@
 
 namespace shedshed {
 
-/// Identifies an operation of this process.
-using OperationId = std::uint64_t;
-
-/// Timers of one operation.
-enum class OperationTimer : std::uint8_t { Deadline = 0, Round = 1, Resend = 2, Pause = 3 };
-
-/// What a proposal needs of its node.
-class ProposalHost {
- public:
-  virtual ~ProposalHost() = default;
-  virtual CoreContext& context() = 0;
-  virtual const RegisterSafeguards& safeguards() const = 0;
-  /// The newest member list that is known to be committed.
-  virtual const KnownMembers& members() const = 0;
-  /// A ballot above all that were seen, never used before.
-  virtual Ballot nextBallot() = 0;
-  virtual void observeBallot(const Ballot& ballot) = 0;
-  /// An acceptor holds a newer member list than @p version.
-  virtual void membersOutdated(std::uint64_t version) = 0;
-  /// @p value is proved to be committed.
-  virtual void committed(const std::string& registerName, const RegisterValue& value) = 0;
-  virtual void startTimer(OperationId operation, OperationTimer timer, Duration after) = 0;
-  virtual void stopTimer(OperationId operation, OperationTimer timer) = 0;
-};
-
-/// What an operation is to do.
+/// What a proposal is to do.
 struct ProposalSpec {
   std::string registerName;
   std::optional<ChangeRequest> change;  ///< A read if absent.
@@ -49,7 +25,7 @@
   std::optional<MemberList::Member> joiningMember;
 };
 
-/// What an operation came to.
+/// What a proposal came to.
 struct ProposalOutcome {
   RegisterValue value;    ///< The committed value that it ended with.
   ChangeOutcome outcome;  ///< For a change.
@@ -61,54 +37,51 @@
 /// 1. if that state is not known to be committed, commit it at this ballot before anything is said
 ///    of it. Only then is it certain that no older, half-done accept (also one of this very
 ///    operation) can still come into force;
-/// 2. then judge the change against the committed state: answer from its log, refuse it, or go
-///    on to propose the next version at a new ballot.
+/// 2. then judge the change against the committed state: answer from its log, reject it, or go on
+///    to propose the next version at a new ballot.
 /// A change is reported as rejected only after step 1, so a rejected change never takes effect
-/// later.
-class Proposal {
+/// later. Other proposers may run at any time; ballots decide between them. A crash of this node
+/// leaves at most an accept on a minority, which the next proposer finishes or overrides.
+class Proposal : public Operation {
  public:
   using Done = std::function<void(Result<ProposalOutcome>)>;
 
-  Proposal(ProposalHost& host, OperationId id, ProposalSpec spec, Done done);
-
-  void start();
-  void onPrepareReply(const NodeId& from, const PrepareReply& answer);
-  void onAcceptReply(const NodeId& from, const AcceptReply& answer);
-  void timerExpired(OperationTimer timer);
+  Proposal(OperationHost& host, OperationId id, ProposalSpec spec, Done done);
 
-  const std::string& registerName() const { return spec_.registerName; }
-  bool isFinished() const { return result_.has_value(); }
-  /// Reports the outcome. Only once, when finished.
-  void report() { done_(std::move(*result_)); }
+  void start() override;
+  void onPrepareReply(const NodeId& from, const PrepareReply& reply) override;
+  void onAcceptReply(const NodeId& from, const AcceptReply& reply) override;
+  void timerExpired(OperationTimer timer) override;
+  bool isFinished() const override { return result_.has_value(); }
+  void report() override { done_(std::move(*result_)); }
 
  private:
   enum class Phase { BackingOff, Preparing, Committing, Proposing };
-  enum class Judgement { Build, Applied, Reused, Conflict, TooOld };
 
   void beginRound();
   void sendRequests();
-  void sendAccept(const NodeId& to);
+  void sendPrepares();
+  void sendAccepts();
   void backOff();
-  bool onRejection(const NodeId& from, AcceptorVerdict verdict, const Ballot& promised);
+  /// Counts a rejection; backs off once no majority is left. @return false if @p verdict is none.
+  bool handleRejection(const NodeId& from, AcceptorVerdict verdict, const Ballot& promised);
   void evaluatePromises();
+  void startAgreementGrace();
   bool isCommitted(const AcceptedState& newest, std::size_t agreeing) const;
-  void decide(const PrepareReply& newest, bool committed);
-  Judgement judge(const PrepareReply& newest) const;
+  void decide(bool committed);
+  /// Reports the outcome against `newest_`, which is committed, or begins the round that proposes.
   void conclude();
-  void startAccepts(Phase phase, AcceptedState state, const NodeId& source);
-  bool isAcceptedBy(const std::vector<MemberList::Member>& voters) const;
+  void startAccepts(Phase phase, AcceptedState state);
   void evaluateAccepts();
-  AcceptedState nextState() const;
   void finish(Result<ProposalOutcome> result);
 
-  ProposalHost& host_;
+  OperationHost& host_;
   const OperationId id_;
-  const ProposalSpec spec_;
+  const std::optional<ProposedChange> change_;  ///< Absent for a read.
+  const ProposalSpec spec_;                     ///< Without its change.
   Done done_;
   std::optional<Result<ProposalOutcome>> result_;
 
-  Digest keyDigest_;
-  std::uint64_t contentHash_ = 0;
   bool mayTakeEffect_ = false;  ///< An accept of the change itself has been sent.
   Ballot lastCommittedBallot_;  ///< The last ballot at which this operation committed a state.
   Duration maxBackoff_ = kInitialMaxBackoff;
@@ -118,13 +91,13 @@
   KnownMembers members_;  ///< The list that this round goes by.
   bool graceExpired_ = false;
   bool graceTimerStarted_ = false;
-  std::map<NodeId, PrepareReply> promises_;
+  PromiseSet promises_;
   std::set<NodeId> rejections_;
   PrepareReply newest_;
   AcceptedState proposed_;
-  NodeId changeLogSource_;
+  NodeId changeLogSource_;                      ///< The acceptor that promised with `newest_`.
   std::vector<MemberList::Member> nextVoters_;  ///< Voters of a member list being committed.
-  std::map<NodeId, std::string> acceptedBy_;    ///< Store id of each acceptor that accepted.
+  AcceptSet accepts_;
 };
 
 }  // namespace shedshed
--- a/src/register/quorum_reader.cpp
+++ b/src/register/quorum_reader.cpp
@@ -1,6 +1,7 @@
 #include "register/quorum_reader.h"
 
 #include "register/acceptor.h"
+#include "register/quorum.h"
 
 #include <algorithm>
 
@@ -24,7 +25,7 @@
   requestId_ = host_.context().random()();  // Also unlike any before a restart.
   members_ = host_.members();
   known_ = std::move(known);
-  answers_.clear();
+  replies_.clear();
   done_ = std::move(done);
   const ReadRequest request{requestId_, members_.version, known_};
   for (const MemberList::Member& member : members_.list.acceptors) {
@@ -32,18 +33,18 @@
   }
 }
 
-void QuorumReader::answered(const NodeId& from, const ReadReply& answer) {
-  if (!done_ || answer.requestId != requestId_) {
+void QuorumReader::onReadReply(const NodeId& from, const ReadReply& reply) {
+  if (!done_ || reply.requestId != requestId_) {
     return;
   }
-  if (!isVoteOfAny(host_.safeguards(), members_.list.acceptors, from, answer.storeId)) {
+  if (!isVoteOfAny(host_.safeguards(), members_.list.acceptors, from, reply.storeId)) {
     return;
   }
-  if (answer.membersVersion > members_.version) {
+  if (reply.membersVersion > members_.version) {
     host_.membersOutdated(members_.version);
     return;
   }
-  answers_[from] = answer;
+  replies_[from] = reply;
   std::vector<NamedValue> values;
   for (const std::string& name : registerNames()) {
     const ReadRow* row = agreed(name);
@@ -62,8 +63,8 @@
 
 const ReadRow* QuorumReader::agreed(const std::string& registerName) const {
   std::map<Ballot, std::size_t> votes;
-  for (const auto& answer : answers_) {
-    for (const ReadRow& row : answer.second.rows) {
+  for (const auto& entry : replies_) {
+    for (const ReadRow& row : entry.second.rows) {
       if (row.registerName != registerName) {
         continue;
       }
@@ -76,7 +77,7 @@
 }
 
 void QuorumReader::countDisagreements() {
-  if (answers_.size() < majorityOf(members_.list.acceptors.size())) {
+  if (replies_.size() < majorityOf(members_.list.acceptors.size())) {
     return;
   }
   for (const std::string& name : registerNames()) {
--- a/src/register/quorum_reader.h
+++ b/src/register/quorum_reader.h
@@ -3,7 +3,7 @@
 /// register.
 #pragma once
 
-#include "register/proposal.h"
+#include "register/operation.h"
 
 #include <functional>
 #include <map>
@@ -23,33 +23,33 @@
 ///
 /// A register is proved when a majority has accepted at the same ballot: that state is committed.
 /// Anything committed before the read was sent is held by some member of that majority, so nothing
-/// newer had been committed by then. Answers of acceptors with a newer member list do not count.
+/// newer had been committed by then. Replies of acceptors with a newer member list do not count.
 class QuorumReader {
  public:
   using Done = std::function<void(Result<std::vector<NamedValue>>)>;
 
   /// @param repair called with the name of a register on which acceptors disagreed in two reads
-  QuorumReader(ProposalHost& host, std::function<void(const std::string&)> repair)
+  QuorumReader(OperationHost& host, std::function<void(const std::string&)> repair)
       : host_(host), repair_(std::move(repair)) {}
 
-  /// Starts a read and gives up the one before. @p done is called with the values above the
-  /// versions in @p known, or with `NoQuorum` if the read is given up.
+  /// Starts a read and abandons the one before. @p done is called with the values above the
+  /// versions in @p known, or with `NoQuorum` if the read is abandoned.
   void start(std::map<std::string, std::uint64_t> known, Done done);
 
-  void answered(const NodeId& from, const ReadReply& answer);
+  void onReadReply(const NodeId& from, const ReadReply& reply);
 
  private:
   /// The row that a majority agrees on, or nullptr.
   const ReadRow* agreed(const std::string& registerName) const;
   void countDisagreements();
 
-  ProposalHost& host_;
+  OperationHost& host_;
   std::function<void(const std::string&)> repair_;
   Done done_;
   std::uint64_t requestId_ = 0;
   KnownMembers members_;
   std::map<std::string, std::uint64_t> known_;
-  std::map<NodeId, ReadReply> answers_;
+  std::map<NodeId, ReadReply> replies_;
   std::map<std::string, int> disagreements_;  ///< Reads in a row without agreement.
 };
 
--- a/src/register/register_core.h
+++ b/src/register/register_core.h
@@ -2,21 +2,25 @@
 /// The register service of one node: proposers on every node, an acceptor on nodes with a disk.
 #pragma once
 
+#include "kernel/core.h"
 #include "register/acceptor.h"
+#include "register/committed_members.h"
 #include "register/configuration_register.h"
-#include "register/fleet_formation.h"
-#include "register/member_replacement.h"
-#include "register/proposal.h"
-#include "register/quorum_reader.h"
+#include "register/register_proposer.h"
+#include "register/synced_outbox.h"
 
+#include <functional>
 #include <map>
 #include <memory>
 #include <set>
+#include <string>
+#include <vector>
 
 namespace shedshed {
 
-/// Core of `ServiceId::Register`.
-class RegisterCore : public Core, public ConfigurationRegister, private ProposalHost {
+/// Core of `ServiceId::Register`. Gives requests to the acceptor and replies to the proposer of
+/// this node, which share the knowledge of the committed member list. Core thread only.
+class RegisterCore : public Core, public ConfigurationRegister {
  public:
   RegisterCore(CoreContext& context, RegisterOptions options);
   ~RegisterCore() override;
@@ -32,35 +36,34 @@
   void setAcceptedListener(std::function<void()> listener);
 
   /// Calls @p listener once for each node that reads from this node's acceptor, at its first read
-  /// in this life of the process.
+  /// since this process started.
   void setNewReaderListener(std::function<void()> listener);
 
-  /// The settings and engines registers only: the members register changes by `replaceMember`.
+  /// All registers but the members register, which changes by `replaceMember` and `addAcceptor`.
   void change(ChangeRequest request, std::function<void(Result<ChangeOutcome>)> done) override;
   void read(const std::string& registerName,
             std::function<void(Result<RegisterValue>)> done) override;
 
   /// Proves with a majority which values are newest and returns those above the versions in
-  /// @p known. One at a time; a read that is still open is given up with `NoQuorum`.
+  /// @p known. One at a time; a read that is still open is abandoned with `NoQuorum`.
   void proveCurrent(std::map<std::string, std::uint64_t> known, QuorumReader::Done done);
 
   /// Forms a fleet of the machines at these addresses, in which @p replicas stores hold each
   /// partition, neighbours in the order of @p stores; 0 means all. Idempotent for the same lists
-  /// and disks;
-  /// otherwise fails with `AlreadyExists`. `NoQuorum`: nothing was written; `OutcomeUnknown`: send
-  /// the same order again.
+  /// and disks; otherwise fails with `AlreadyExists`. `NoQuorum`: nothing was written;
+  /// `OutcomeUnknown`: send the same request again.
   void formFleet(std::vector<NodeId> acceptors, std::vector<NodeId> stores, std::uint32_t replicas,
-                 FormationDone done);
+                 MembershipDone done);
 
-  /// Replaces one member; `done` holds the new list once the joining member has every register.
-  /// Safe to send again after any failure.
-  void replaceMember(const NodeId& oldId, const NodeId& newId, ReplacementDone done);
+  /// Replaces one member; @p done gets the new list once the joining member has every register.
+  /// Safe to repeat after any failure.
+  void replaceMember(const NodeId& oldId, const NodeId& newId, MembershipDone done);
 
   /// Makes a machine that is no member one more acceptor. Otherwise as `replaceMember`.
-  void addAcceptor(const NodeId& newId, ReplacementDone done);
+  void addAcceptor(const NodeId& newId, MembershipDone done);
 
   /// The newest member list that this node knows to be committed; version 0 if none.
-  const KnownMembers& knownMembers() const { return members_; }
+  const KnownMembers& knownMembers() const { return members_.known(); }
 
   void start() override;
   void receive(const NodeId& from, const Message& message) override;
@@ -68,46 +71,25 @@
   void persisted(PersistId id, const Status& status) override;
 
  private:
-  ProposalHost& host() { return *this; }
-  CoreContext& context() override { return context_; }
-  const RegisterSafeguards& safeguards() const override { return options_.safeguards; }
-  const KnownMembers& members() const override { return members_; }
-  Ballot nextBallot() override;
-  void observeBallot(const Ballot& ballot) override;
-  void membersOutdated(std::uint64_t version) override;
-  void committed(const std::string& registerName, const RegisterValue& value) override;
-  void startTimer(OperationId operation, OperationTimer timer, Duration after) override;
-  void stopTimer(OperationId operation, OperationTimer timer) override;
-
-  void changeMember(MemberChange change, const NodeId& oldId, const NodeId& newId,
-                    ReplacementDone done);
-  void loadMembers();
-  void learnMembers(const RegisterValue& value);
-  void runProposal(ProposalSpec spec, Proposal::Done done);
-  void repair(const std::string& registerName);
-  bool receiveAsAcceptor(const NodeId& from, const Message& message);
-  void receiveAsProposer(const NodeId& from, const Message& message);
+  void loadAcceptor();
+  /// @return true if @p message was a request.
+  bool receiveRequest(const NodeId& from, const Message& message);
+  bool receivePaxosRequest(const NodeId& from, const Message& message);
+  bool receiveMembershipRequest(const NodeId& from, const Message& message);
+  void onAcceptRequest(const NodeId& from, const AcceptRequest& request);
   void onReadRequest(const NodeId& from, const ReadRequest& request);
-  void formed(const NodeId& from, const FormRequest& request);
-  void reportFinished();
+  void onMembersCommitted(const NodeId& from, const MembersCommitted& announcement);
+  void onFormRequest(const NodeId& from, const FormRequest& request);
 
   CoreContext& context_;
   const RegisterOptions options_;
   SyncedOutbox outbox_;
+  CommittedMembers members_;
   std::unique_ptr<Acceptor> acceptor_;  ///< Null without a disk, or if its records are corrupt.
-  KnownMembers members_;
-  QuorumReader reader_;
-  std::function<void(const std::string&, const RegisterValue&)> committedListener_;
+  RegisterProposer proposer_;
   std::function<void()> acceptedListener_;
   std::function<void()> newReaderListener_;
   std::set<NodeId> readers_;
-  std::uint64_t incarnation_ = 0;
-  std::uint64_t highestRound_ = 0;
-  OperationId lastOperation_ = 0;
-  std::map<OperationId, std::unique_ptr<Proposal>> proposals_;
-  std::map<OperationId, std::unique_ptr<FleetFormation>> formations_;
-  std::map<OperationId, std::unique_ptr<MemberReplacement>> replacements_;
-  std::set<std::string> repairing_;
 };
 
 }  // namespace shedshed
