--- a/src/register/member_replacement.cpp
+++ b/src/register/member_replacement.cpp
@@ -1,6 +1,7 @@
 #include "register/member_replacement.h"
 
 #include "register/acceptor.h"
+#include "register/member_lists.h"
 
 #include <algorithm>
 
@@ -8,26 +9,15 @@
 
 namespace {
 
-bool isListed(const std::vector<MemberList::Member>& members, const NodeId& id) {
-  return std::any_of(members.begin(), members.end(),
-                     [&](const MemberList::Member& member) { return member.id == id; });
-}
-
 bool isListed(const MemberList& list, const NodeId& id) {
   return isListed(list.acceptors, id) || isListed(list.stores, id);
 }
 
-bool isListedWith(const std::vector<MemberList::Member>& members, const MemberList::Member& who) {
-  return std::any_of(members.begin(), members.end(), [&](const MemberList::Member& member) {
-    return member.id == who.id && member.storeId == who.storeId;
-  });
-}
-
 void replaceIn(std::vector<MemberList::Member>& members, const NodeId& old,
-               const MemberList::Member& newcomer) {
+               const MemberList::Member& joiningMember) {
   for (MemberList::Member& member : members) {
     if (member.id == old) {
-      member = newcomer;
+      member = joiningMember;
     }
   }
 }
@@ -41,67 +31,56 @@
 
 }  // namespace
 
-MemberReplacement::MemberReplacement(ProposalHost& host, OperationId id, MemberChange change,
+MemberReplacement::MemberReplacement(OperationHost& host, OperationId id, MemberChange change,
                                      NodeId oldId, NodeId newId, RunProposal runProposal,
-                                     ReplacementDone done)
-    : host_(host), id_(id), change_(change), oldId_(std::move(oldId)), newId_(std::move(newId)),
-      runProposal_(std::move(runProposal)), done_(std::move(done)) {}
+                                     MembershipDone done)
+    : MembershipOperation(host, id, std::move(done)), change_(change), oldId_(std::move(oldId)),
+      newId_(std::move(newId)), runProposal_(std::move(runProposal)) {}
 
 void MemberReplacement::start() {
-  host_.startTimer(id_, OperationTimer::Deadline, kOperationDeadline);
-  sendRequests();
+  startRequests();
 }
 
 void MemberReplacement::sendRequests() {
-  host_.startTimer(id_, OperationTimer::Resend, kRoundResend);
+  startResendTimer();
   if (!isAnnouncing_) {
     host_.context().send(newId_, IdentityRequest{id_});
     return;
   }
   const MembersCommitted announcement{id_, {baseVersion_, encodeRecord(list_)}};
   for (const MemberList::Member& member : list_.acceptors) {
-    if (notedBy_.count(member.id) == 0) {
+    if (acknowledgedBy_.count(member.id) == 0) {
       host_.context().send(member.id, announcement);
     }
   }
 }
 
-void MemberReplacement::identityAnswered(const NodeId& from, const IdentityAnswer& answer) {
-  const bool expected = from == newId_ && answer.requestId == id_ && newcomer_.storeId.empty();
+void MemberReplacement::onIdentityReply(const NodeId& from, const IdentityReply& reply) {
+  const bool expected = from == newId_ && reply.requestId == id_ && joining_.storeId.empty();
   if (isFinished() || !expected) {
     return;
   }
-  if (answer.storeId.empty()) {
+  if (reply.storeId.empty()) {
     finish(makeError(ErrorCode::InvalidArgument, newId_.address + ": has no disk"));
     return;
   }
-  host_.stopTimer(id_, OperationTimer::Deadline);
-  host_.stopTimer(id_, OperationTimer::Resend);
-  newcomer_ = {newId_, answer.storeId};
+  stopTimers();
+  joining_ = {newId_, reply.storeId};
   readMembers();
 }
 
-void MemberReplacement::timerExpired(OperationTimer timer) {
-  if (isFinished()) {
-    return;
-  }
-  if (timer == OperationTimer::Resend) {
-    sendRequests();
-    return;
-  }
-  if (timer == OperationTimer::Deadline) {
-    finish(makeError(isAnnouncing_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum,
-                     newId_.address + ": does not answer"));
-  }
+Error MemberReplacement::deadlineError() const {
+  return makeError(isAnnouncing_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum,
+                   newId_.address + ": does not answer");
 }
 
 void MemberReplacement::readMembers() {
   ProposalSpec spec;
   spec.registerName = kMembersRegister;
-  runProposal_(spec, [this](Result<ProposalOutcome> read) { membersRead(read); });
+  runProposal_(spec, [this](Result<ProposalOutcome> read) { onMembersRead(read); });
 }
 
-void MemberReplacement::membersRead(const Result<ProposalOutcome>& read) {
+void MemberReplacement::onMembersRead(const Result<ProposalOutcome>& read) {
   if (!read) {
     finish(read.error());
     return;
@@ -113,17 +92,9 @@
   }
   baseVersion_ = read.value().value.version;
   list_ = std::move(list).value();
-  isMemberNow_ = isListedWith(list_.acceptors, newcomer_) || isListedWith(list_.stores, newcomer_);
-  if (!isMemberNow_ && !isAddition() && !isListed(list_, oldId_)) {
-    finish(makeError(ErrorCode::NotFound, oldId_.address + ": is no member"));
-    return;
-  }
-  if (!isMemberNow_ && (isAddition() || newId_ != oldId_) && isListed(list_, newId_)) {
-    finish(makeError(ErrorCode::AlreadyExists, newId_.address + ": is a member with another disk"));
-    return;
-  }
-  if (isMemberNow_ && !isAddition() && newId_ != oldId_ && isListed(list_, oldId_)) {
-    finish(makeError(ErrorCode::AlreadyExists, newId_.address + ": is another member"));
+  isMemberNow_ = isListed(list_.acceptors, joining_) || isListed(list_.stores, joining_);
+  if (std::optional<Error> error = validate()) {
+    finish(std::move(*error));
     return;
   }
   if (isMemberNow_) {
@@ -133,33 +104,52 @@
   }
 }
 
-void MemberReplacement::announceMembers() {
-  isAnnouncing_ = true;
-  host_.startTimer(id_, OperationTimer::Deadline, kOperationDeadline);
-  sendRequests();
+std::optional<Error> MemberReplacement::validate() const {
+  if (isMemberNow_) {
+    const bool isAnother = !isAddition() && newId_ != oldId_ && isListed(list_, oldId_);
+    return isAnother ? std::make_optional(makeError(ErrorCode::AlreadyExists,
+                                                    newId_.address + ": is another member"))
+                     : std::nullopt;
+  }
+  if (!isAddition() && !isListed(list_, oldId_)) {
+    return makeError(ErrorCode::NotFound, oldId_.address + ": is no member");
+  }
+  if ((isAddition() || newId_ != oldId_) && isListed(list_, newId_)) {
+    return makeError(ErrorCode::AlreadyExists, newId_.address + ": is a member with another disk");
+  }
+  return std::nullopt;
 }
 
-void MemberReplacement::membersNoted(const NodeId& from, const MembersNoted& answer) {
-  if (isFinished() || !isAnnouncing_ || answer.requestId != id_) {
-    return;
-  }
-  notedBy_[from] = answer.storeId;
-  std::size_t noted = 0;
-  bool newcomerNoted = !isListedWith(list_.acceptors, newcomer_);
+bool MemberReplacement::isAcknowledgedByMajority() const {
+  std::size_t acknowledged = 0;
+  bool joiningAcknowledged = !isListed(list_.acceptors, joining_);
   for (const MemberList::Member& member : list_.acceptors) {
-    const auto found = notedBy_.find(member.id);
-    if (found == notedBy_.end() || found->second != member.storeId) {
+    const auto found = acknowledgedBy_.find(member.id);
+    if (found == acknowledgedBy_.end() || found->second != member.storeId) {
       continue;
     }
-    ++noted;
-    newcomerNoted = newcomerNoted || member.id == newId_;
+    ++acknowledged;
+    joiningAcknowledged = joiningAcknowledged || member.id == newId_;
+  }
+  return joiningAcknowledged && acknowledged >= majorityOf(list_.acceptors.size());
+}
+
+void MemberReplacement::announceMembers() {
+  isAnnouncing_ = true;
+  startRequests();
+}
+
+void MemberReplacement::onMembersAcknowledged(const NodeId& from,
+                                              const MembersAcknowledged& reply) {
+  if (isFinished() || !isAnnouncing_ || reply.requestId != id_) {
+    return;
   }
-  if (!newcomerNoted || noted < majorityOf(list_.acceptors.size())) {
+  acknowledgedBy_[from] = reply.storeId;
+  if (!isAcknowledgedByMajority()) {
     return;
   }
   isAnnouncing_ = false;
-  host_.stopTimer(id_, OperationTimer::Deadline);
-  host_.stopTimer(id_, OperationTimer::Resend);
+  stopTimers();
   copyRegisters(0);
 }
 
@@ -175,7 +165,7 @@
   ProposalSpec spec;
   spec.registerName = copyOrder()[index];
   spec.recommit = true;
-  spec.newcomer = newcomer_;
+  spec.joiningMember = joining_;
   runProposal_(spec, [this, index](Result<ProposalOutcome> copied) {
     if (!copied) {
       finish(makeError(isMemberNow_ ? ErrorCode::OutcomeUnknown : copied.error().code,
@@ -188,16 +178,16 @@
 
 void MemberReplacement::changeMembers() {
   if (isAddition()) {
-    list_.acceptors.push_back(newcomer_);
+    list_.acceptors.push_back(joining_);
   } else {
-    replaceIn(list_.acceptors, oldId_, newcomer_);
-    replaceIn(list_.stores, oldId_, newcomer_);
+    replaceIn(list_.acceptors, oldId_, joining_);
+    replaceIn(list_.stores, oldId_, joining_);
   }
   ChangeRequest change;
   change.registerName = kMembersRegister;
   change.baseVersion = baseVersion_;
-  change.orderId = "replace " + oldId_.address + " by " + newId_.address + " " + newcomer_.storeId +
-                   " in " + std::to_string(baseVersion_);
+  change.idempotencyKey = "replace " + oldId_.address + " by " + newId_.address + " " +
+                          joining_.storeId + " in " + std::to_string(baseVersion_);
   change.value = encodeRecord(list_);
   ProposalSpec spec;
   spec.registerName = kMembersRegister;
@@ -213,10 +203,4 @@
   });
 }
 
-void MemberReplacement::finish(Result<MemberList> result) {
-  host_.stopTimer(id_, OperationTimer::Deadline);
-  host_.stopTimer(id_, OperationTimer::Resend);
-  result_ = std::move(result);
-}
-
 }  // namespace shedshed
--- a/src/register/member_replacement.h
+++ b/src/register/member_replacement.h
@@ -2,6 +2,7 @@
 /// Replaces one machine of the member list, or adds an acceptor to it.
 #pragma once
 
+#include "register/membership_operation.h"
 #include "register/proposal.h"
 
 #include <functional>
@@ -11,66 +12,62 @@
 
 namespace shedshed {
 
-using ReplacementDone = std::function<void(Result<MemberList>)>;
-
-/// Starts a proposal; its answer goes back to the replacement.
+/// Starts a proposal; its outcome goes back to the replacement.
 using RunProposal = std::function<void(ProposalSpec, std::function<void(Result<ProposalOutcome>)>)>;
 
 /// What becomes of the member list.
 enum class MemberChange {
-  Replacement,       ///< The newcomer takes the place of a member.
-  AcceptorAddition,  ///< The newcomer becomes one more acceptor; nobody leaves.
+  Replacement,       ///< The joining member replaces a member.
+  AcceptorAddition,  ///< The joining member becomes one more acceptor; nobody leaves.
 };
 
 /// The steps of one replacement or addition, all of which may be repeated:
-/// 1. ask the newcomer for its store id;
-/// 2. commit every register again under the present list, with the newcomer as an additional
+/// 1. ask the joining member for its store id;
+/// 2. commit every register again under the present list, with the joining member as an additional
 ///    acceptor that must accept too: then it holds all the data, and whatever older lists committed
 ///    is on a majority of the present one;
 /// 3. change the members register, committed by majorities of the old and of the new list;
-/// 4. let a majority of the new list, the newcomer among it, note that the new list is committed.
+/// 4. let a majority of the new list, the joining member among it, note that the new list is
+/// committed.
 ///    Otherwise only this node would know, and with it lost the others could not tell: the machines
 ///    of the old list that would prove it may be gone by then;
 /// 5. commit every register again under the new list. Only now is the replacement reported done.
 /// The old and the new id may be equal: an emptied machine that comes back at its address.
-class MemberReplacement {
+class MemberReplacement : public MembershipOperation {
  public:
   /// @p oldId is not used for an addition.
-  MemberReplacement(ProposalHost& host, OperationId id, MemberChange change, NodeId oldId,
-                    NodeId newId, RunProposal runProposal, ReplacementDone done);
-
-  void start();
-  void identityAnswered(const NodeId& from, const IdentityAnswer& answer);
-  void membersNoted(const NodeId& from, const MembersNoted& answer);
-  void timerExpired(OperationTimer timer);
+  MemberReplacement(OperationHost& host, OperationId id, MemberChange change, NodeId oldId,
+                    NodeId newId, RunProposal runProposal, MembershipDone done);
 
-  bool isFinished() const { return result_.has_value(); }
-  void report() { done_(std::move(*result_)); }
+  void start() override;
+  void onIdentityReply(const NodeId& from, const IdentityReply& reply) override;
+  void onMembersAcknowledged(const NodeId& from, const MembersAcknowledged& reply) override;
 
  private:
   void readMembers();
-  void membersRead(const Result<ProposalOutcome>& read);
+  void onMembersRead(const Result<ProposalOutcome>& read);
+  /// The reason why the change does not fit the present list, if any.
+  std::optional<Error> validate() const;
+  /// True if the present list has the joining machine and a majority has acknowledged it.
+  bool isAcknowledgedByMajority() const;
   void copyRegisters(std::size_t index);
   void changeMembers();
   bool isAddition() const { return change_ == MemberChange::AcceptorAddition; }
   void announceMembers();
-  void sendRequests();
-  void finish(Result<MemberList> result);
+  void sendRequests() override;
+  Error deadlineError() const override;
 
-  ProposalHost& host_;
-  const OperationId id_;
   const MemberChange change_;
   const NodeId oldId_;
   const NodeId newId_;
   RunProposal runProposal_;
-  ReplacementDone done_;
-  std::optional<Result<MemberList>> result_;
-  MemberList::Member newcomer_;
+  MemberList::Member joining_;
   std::uint64_t baseVersion_ = 0;
   MemberList list_;           ///< The list after the replacement.
   bool isMemberNow_ = false;  ///< The members register holds `list_`.
   bool isAnnouncing_ = false;
-  std::map<NodeId, std::string> notedBy_;  ///< Store id of each acceptor that noted `list_`.
+  std::map<NodeId, std::string>
+      acknowledgedBy_;  ///< Store id of each acceptor that acknowledged `list_`.
 };
 
 }  // namespace shedshed
--- a/src/register/proposal.cpp
+++ b/src/register/proposal.cpp
@@ -1,7 +1,5 @@
 #include "register/proposal.h"
 
-#include "kernel/rendezvous.h"
-
 #include <algorithm>
 #include <random>
 
@@ -9,31 +7,22 @@
 
 namespace {
 
-/// Pause before an acceptor that fetches ledger entries is asked again.
-constexpr Duration kLedgerRetry = std::chrono::milliseconds(10);
+/// Delay before an accept is sent again to an acceptor that fetches applied changes.
+constexpr Duration kChangeLogRetry = std::chrono::milliseconds(10);
 
-/// Hashes what an order stands for. A resend names the same base version and content.
-std::uint64_t hashOfContent(const ChangeRequest& change) {
-  std::string text = std::to_string(change.baseVersion);
-  text.push_back('\n');
-  text += change.content.empty() ? change.value : change.content;
-  return hash64(text);
+/// Moves the change out of @p spec: its value may be large.
+std::optional<ProposedChange> takeChange(ProposalSpec& spec) {
+  if (!spec.change) {
+    return std::nullopt;
+  }
+  return std::make_optional<ProposedChange>(std::move(*spec.change));
 }
 
 }  // namespace
 
-bool speaksFor(const RegisterSafeguards& safeguards, const MemberList::Member& member,
-               const NodeId& from, const std::string& storeId) {
-  return member.id == from && (member.storeId == storeId || !safeguards.storeIdCheck);
-}
-
-Proposal::Proposal(ProposalHost& host, OperationId id, ProposalSpec spec, Done done)
-    : host_(host), id_(id), spec_(std::move(spec)), done_(std::move(done)) {
-  if (spec_.change) {
-    orderDigest_ = digestOf(spec_.change->orderId);
-    contentHash_ = hashOfContent(*spec_.change);
-  }
-}
+Proposal::Proposal(OperationHost& host, OperationId id, ProposalSpec spec, Done done)
+    : host_(host), id_(id), change_(takeChange(spec)), spec_(std::move(spec)),
+      done_(std::move(done)) {}
 
 void Proposal::start() {
   host_.startTimer(id_, OperationTimer::Deadline, kOperationDeadline);
@@ -43,13 +32,13 @@
 void Proposal::beginRound() {
   members_ = host_.members();
   promises_.clear();
-  refusals_.clear();
-  acceptedBy_.clear();
+  rejections_.clear();
+  accepts_.clear();
   nextVoters_.clear();
-  graceOver_ = false;
-  graceRuns_ = false;
+  graceExpired_ = false;
+  graceTimerStarted_ = false;
   if (members_.version == 0) {
-    pauseBeforeNextRound();
+    backOff();
     return;
   }
   ballot_ = host_.nextBallot();
@@ -61,117 +50,108 @@
 void Proposal::sendRequests() {
   host_.startTimer(id_, OperationTimer::Resend, kRoundResend);
   if (phase_ == Phase::Preparing) {
-    const PrepareRequest request{spec_.registerName, ballot_, members_.version, orderDigest_};
-    for (const MemberList::Member& member : members_.list.acceptors) {
-      if (promises_.count(member.id) == 0) {
-        host_.context().send(member.id, request);
-      }
+    sendPrepares();
+  } else {
+    sendAccepts();
+  }
+}
+
+void Proposal::sendPrepares() {
+  const Digest keyDigest = change_ ? change_->keyDigest() : Digest{};
+  const PrepareRequest request{spec_.registerName, ballot_, members_.version, keyDigest};
+  for (const MemberList::Member& member : members_.list.acceptors) {
+    if (!promises_.contains(member.id)) {
+      host_.context().send(member.id, request);
     }
-    return;
   }
-  std::set<NodeId> targets;
+}
+
+void Proposal::sendAccepts() {
+  std::set<NodeId> receivers;
   for (const MemberList::Member& member : members_.list.acceptors) {
-    targets.insert(member.id);
+    receivers.insert(member.id);
   }
   for (const MemberList::Member& member : nextVoters_) {
-    targets.insert(member.id);
+    receivers.insert(member.id);
   }
-  if (spec_.newcomer) {
-    targets.insert(spec_.newcomer->id);
+  if (spec_.joiningMember) {
+    receivers.insert(spec_.joiningMember->id);
   }
-  for (const NodeId& target : targets) {
-    if (acceptedBy_.count(target) == 0) {
-      sendAccept(target);
+  const AcceptRequest request{spec_.registerName, members_.version, proposed_, changeLogSource_};
+  for (const NodeId& receiver : receivers) {
+    if (!accepts_.contains(receiver)) {
+      host_.context().send(receiver, request);
     }
   }
 }
 
-void Proposal::sendAccept(const NodeId& to) {
-  AcceptRequest request;
-  request.registerName = spec_.registerName;
-  request.membersVersion = members_.version;
-  request.state = proposed_;
-  request.source = ledgerSource_;
-  host_.context().send(to, request);
-}
-
-void Proposal::pauseBeforeNextRound() {
-  phase_ = Phase::Pausing;
+void Proposal::backOff() {
+  phase_ = Phase::BackingOff;
   host_.stopTimer(id_, OperationTimer::Round);
   host_.stopTimer(id_, OperationTimer::Resend);
-  std::uniform_int_distribution<std::int64_t> pause(kBackoffLeast.count(), longestPause_.count());
-  longestPause_ = std::min(longestPause_ * 2, kBackoffMost);
-  host_.startTimer(id_, OperationTimer::Pause, Duration(pause(host_.context().random())));
+  std::uniform_int_distribution<std::int64_t> pause(kMinBackoff.count(), maxBackoff_.count());
+  maxBackoff_ = std::min(maxBackoff_ * 2, kMaxBackoff);
+  host_.startTimer(id_, OperationTimer::Delay, Duration(pause(host_.context().random())));
 }
 
-bool Proposal::refused(const NodeId& from, AcceptorVerdict verdict, const Ballot& promised) {
+bool Proposal::handleRejection(const NodeId& from, AcceptorVerdict verdict,
+                               const Ballot& promised) {
   if (verdict == AcceptorVerdict::Granted) {
     return false;
   }
   if (verdict == AcceptorVerdict::Outranked) {
-    host_.sawBallot(promised);
+    host_.observeBallot(promised);
   }
-  refusals_.insert(from);
+  rejections_.insert(from);
   const std::size_t voters = members_.list.acceptors.size();
-  if (refusals_.size() > voters - majorityOf(voters)) {
-    pauseBeforeNextRound();
+  if (rejections_.size() > voters - majorityOf(voters)) {
+    backOff();
   }
   return true;
 }
 
-void Proposal::prepareAnswered(const NodeId& from, const PrepareAnswer& answer) {
-  if (isFinished() || phase_ != Phase::Preparing || answer.ballot != ballot_) {
+void Proposal::onPrepareReply(const NodeId& from, const PrepareReply& reply) {
+  if (isFinished() || phase_ != Phase::Preparing || reply.ballot != ballot_) {
     return;
   }
-  const auto& voters = members_.list.acceptors;
-  const bool counts =
-      std::any_of(voters.begin(), voters.end(), [&](const MemberList::Member& member) {
-        return speaksFor(host_.safeguards(), member, from, answer.storeId);
-      });
-  if (!counts) {
+  if (!isVoteOfAny(host_.safeguards(), members_.list.acceptors, from, reply.storeId)) {
     return;
   }
-  if (answer.verdict == AcceptorVerdict::StaleMembers) {
+  if (reply.verdict == AcceptorVerdict::StaleMembers) {
     host_.membersOutdated(members_.version);
   }
-  if (refused(from, answer.verdict, answer.promised)) {
+  if (handleRejection(from, reply.verdict, reply.promised)) {
     return;
   }
-  promises_[from] = answer;
+  promises_.add(from, reply);
   evaluatePromises();
 }
 
 void Proposal::evaluatePromises() {
-  if (promises_.size() < majorityOf(members_.list.acceptors.size())) {
+  const std::size_t voters = members_.list.acceptors.size();
+  if (promises_.size() < majorityOf(voters)) {
     return;
   }
-  const PrepareAnswer* newest = nullptr;
-  NodeId holder;
-  for (const auto& entry : promises_) {
-    if (newest == nullptr || newest->accepted.ballot < entry.second.accepted.ballot) {
-      newest = &entry.second;
-      holder = entry.first;
-    }
-  }
-  const std::size_t agreeing =
-      std::count_if(promises_.begin(), promises_.end(), [&](const auto& entry) {
-        return entry.second.accepted.ballot == newest->accepted.ballot;
-      });
-  const bool committed = isCommitted(newest->accepted, agreeing);
-  const bool allAnswered = promises_.size() == members_.list.acceptors.size();
-  if (!committed && !allAnswered && !graceOver_) {
-    if (!graceRuns_) {
-      graceRuns_ = true;
-      host_.startTimer(id_, OperationTimer::Pause, kAgreementGrace);
-    }
+  const PromiseSet::Newest newest = promises_.newest();
+  const bool committed = isCommitted(newest.promise.accepted, newest.agreeing);
+  if (!committed && promises_.size() != voters && !graceExpired_) {
+    startAgreementGrace();
     return;
   }
-  ledgerSource_ = holder;
-  decide(*newest, committed);
+  newest_ = newest.promise;
+  changeLogSource_ = newest.acceptor;
+  decide(committed);
+}
+
+void Proposal::startAgreementGrace() {
+  if (!graceTimerStarted_) {
+    graceTimerStarted_ = true;
+    host_.startTimer(id_, OperationTimer::Delay, kAgreementGrace);
+  }
 }
 
 bool Proposal::isCommitted(const AcceptedState& newest, std::size_t agreeing) const {
-  if (!newest.ballot.isZero() && newest.ballot == ownCommit_) {
+  if (!newest.ballot.isZero() && newest.ballot == lastCommittedBallot_) {
     return true;
   }
   const bool isNextList =
@@ -179,83 +159,57 @@
   return agreeing >= majorityOf(members_.list.acceptors.size()) && !isNextList;
 }
 
-void Proposal::decide(const PrepareAnswer& newest, bool committed) {
-  newest_ = newest;
-  host_.stopTimer(id_, OperationTimer::Pause);
+void Proposal::decide(bool committed) {
+  host_.stopTimer(id_, OperationTimer::Delay);
   const bool trusted = committed || !host_.safeguards().finishBeforeAnswer;
-  const bool mustCommit = !trusted || (!spec_.change && (spec_.recommit || spec_.newcomer));
+  const bool mustCommit = !trusted || (!change_ && (spec_.recommit || spec_.joiningMember));
   if (mustCommit) {
     AcceptedState same = newest_.accepted;
     same.ballot = ballot_;
-    startAccepts(Phase::Committing, std::move(same), ledgerSource_);
+    startAccepts(Phase::Committing, std::move(same));
     return;
   }
   host_.committed(spec_.registerName, {newest_.accepted.version, newest_.accepted.value});
-  if (spec_.change && judge(newest_) == Judgement::Build) {
-    startAccepts(Phase::Proposing, nextState(), ledgerSource_);
+  if (change_ && change_->judge(newest_) == ProposedChange::Verdict::Proposable) {
+    startAccepts(Phase::Proposing, change_->nextState(newest_.accepted, ballot_));
     return;
   }
   conclude();
 }
 
-Proposal::Judgement Proposal::judge(const PrepareAnswer& newest) const {
-  const ChangeRequest& change = *spec_.change;
-  if (newest.orderVersion != 0) {
-    return newest.orderContent == contentHash_ ? Judgement::Applied : Judgement::Reused;
-  }
-  if (newest.accepted.version == change.baseVersion) {
-    return Judgement::Build;
-  }
-  // An order can only have produced the version after its base. If that entry has left the ledger,
-  // nobody can tell any more whether this order produced it.
-  const std::uint64_t produced = change.baseVersion + 1;
-  return produced < newest.ledgerFirst ? Judgement::TooOld : Judgement::Conflict;
-}
-
-AcceptedState Proposal::nextState() const {
-  const AcceptedState& base = newest_.accepted;
-  AcceptedState next;
-  next.ballot = ballot_;
-  next.version = base.version + 1;
-  next.value = spec_.change->value;
-  next.baseChain = base.version == 0 ? Digest{} : nextChain(base.baseChain, base.entry);
-  next.entry = LedgerEntry{orderDigest_, contentHash_};
-  return next;
-}
-
 void Proposal::conclude() {
   ProposalOutcome outcome;
   outcome.value = {newest_.accepted.version, newest_.accepted.value};
-  if (!spec_.change) {
+  if (!change_) {
     finish(outcome);
     return;
   }
-  switch (judge(newest_)) {
-  case Judgement::Build:
+  switch (change_->judge(newest_)) {
+  case ProposedChange::Verdict::Proposable:
     beginRound();
     return;
-  case Judgement::Applied:
-    outcome.outcome = {newest_.orderVersion, !mayTakeEffect_};
+  case ProposedChange::Verdict::Applied:
+    outcome.outcome = {newest_.appliedVersion, !mayTakeEffect_};
     finish(outcome);
     return;
-  case Judgement::Reused:
-    finish(makeError(ErrorCode::OrderIdReused, "the order id was applied with other content"));
+  case ProposedChange::Verdict::KeyReused:
+    finish(
+        makeError(ErrorCode::IdempotencyKeyReused, "the order id was applied with other content"));
     return;
-  case Judgement::Conflict:
+  case ProposedChange::Verdict::Conflict:
     finish(makeError(ErrorCode::VersionConflict,
                      "current version is " + std::to_string(newest_.accepted.version)));
     return;
-  case Judgement::TooOld:
+  case ProposedChange::Verdict::Unknown:
     finish(makeError(ErrorCode::OutcomeUnknown, "the order is older than the ledger"));
     return;
   }
 }
 
-void Proposal::startAccepts(Phase phase, AcceptedState state, const NodeId& source) {
+void Proposal::startAccepts(Phase phase, AcceptedState state) {
   phase_ = phase;
   proposed_ = std::move(state);
-  ledgerSource_ = source;
-  refusals_.clear();
+  rejections_.clear();
   mayTakeEffect_ = mayTakeEffect_ || phase == Phase::Proposing;
   if (spec_.registerName == kMembersRegister && proposed_.version > members_.version) {
     Result<MemberList> next = decodeRecord<MemberList>(proposed_.value);
@@ -267,46 +221,37 @@
   sendRequests();
 }
 
-void Proposal::acceptAnswered(const NodeId& from, const AcceptAnswer& answer) {
+void Proposal::onAcceptReply(const NodeId& from, const AcceptReply& reply) {
   const bool accepting = phase_ == Phase::Committing || phase_ == Phase::Proposing;
-  if (isFinished() || !accepting || answer.ballot != ballot_) {
+  if (isFinished() || !accepting || reply.ballot != ballot_) {
     return;
   }
-  if (answer.verdict == AcceptorVerdict::NeedLedger) {
-    host_.startTimer(id_, OperationTimer::Resend, kLedgerRetry);
+  if (reply.verdict == AcceptorVerdict::ChangeLogMissing) {
+    host_.startTimer(id_, OperationTimer::Resend, kChangeLogRetry);
     return;
   }
-  if (answer.verdict == AcceptorVerdict::StaleMembers) {
+  if (reply.verdict == AcceptorVerdict::StaleMembers) {
     host_.membersOutdated(members_.version);
   }
-  if (refused(from, answer.verdict, answer.promised)) {
+  if (handleRejection(from, reply.verdict, reply.promised)) {
     return;
   }
-  acceptedBy_[from] = answer.storeId;
+  accepts_.add(from, reply.storeId);
   evaluateAccepts();
 }
 
-bool Proposal::isAcceptedBy(const std::vector<MemberList::Member>& voters) const {
-  const std::size_t accepted =
-      std::count_if(voters.begin(), voters.end(), [this](const MemberList::Member& member) {
-        const auto found = acceptedBy_.find(member.id);
-        return found != acceptedBy_.end() &&
-               speaksFor(host_.safeguards(), member, found->first, found->second);
-      });
-  return accepted >= majorityOf(voters.size());
-}
-
 void Proposal::evaluateAccepts() {
-  if (!isAcceptedBy(members_.list.acceptors)) {
+  const RegisterSafeguards& safeguards = host_.safeguards();
+  if (!accepts_.isMajorityOf(members_.list.acceptors, safeguards)) {
     return;
   }
-  if (!nextVoters_.empty() && !isAcceptedBy(nextVoters_)) {
+  if (!nextVoters_.empty() && !accepts_.isMajorityOf(nextVoters_, safeguards)) {
     return;
   }
-  if (spec_.newcomer && !isAcceptedBy({*spec_.newcomer})) {
+  if (spec_.joiningMember && !accepts_.isMajorityOf({*spec_.joiningMember}, safeguards)) {
     return;
   }
-  ownCommit_ = ballot_;
+  lastCommittedBallot_ = ballot_;
   const RegisterValue value{proposed_.version, proposed_.value};
   host_.committed(spec_.registerName, value);
   if (phase_ == Phase::Committing) {
@@ -325,16 +270,16 @@
     finish(makeError(mayTakeEffect_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum));
     return;
   case OperationTimer::Round:
-    pauseBeforeNextRound();
+    backOff();
     return;
   case OperationTimer::Resend:
     sendRequests();
     return;
-  case OperationTimer::Pause:
-    if (phase_ == Phase::Pausing) {
+  case OperationTimer::Delay:
+    if (phase_ == Phase::BackingOff) {
       beginRound();
     } else if (phase_ == Phase::Preparing) {
-      graceOver_ = true;
+      graceExpired_ = true;
       evaluatePromises();
     }
     return;
@@ -343,7 +288,7 @@
 
 void Proposal::finish(Result<ProposalOutcome> result) {
   for (OperationTimer timer : {OperationTimer::Deadline, OperationTimer::Round,
-                               OperationTimer::Resend, OperationTimer::Pause}) {
+                               OperationTimer::Resend, OperationTimer::Delay}) {
     host_.stopTimer(id_, timer);
   }
   result_ = std::move(result);
