--- a/bench/scale/hollow_main.cpp
+++ b/bench/scale/hollow_main.cpp
@@ -61,7 +61,7 @@
   self.role = NodeRole::Data;
   self.zone = "zone-" + std::to_string((arguments.firstIndex + i) % arguments.zones);
   self.operatorsAddress = "127.0.0.1:" + std::to_string(arguments.firstPort + i);
-  self.callersAddress = self.operatorsAddress;
+  self.clientAddress = self.operatorsAddress;
   return self;
 }
 
--- a/src/data/data_process.cpp
+++ b/src/data/data_process.cpp
@@ -47,7 +47,7 @@
                        engineClient_,
                        servingMetrics_,
                        [this] { return process_.metrics().text(); }},
-      callers_(servingServices_, settings.callersAddress), operatorServices_{cores_.registers} {
+      callers_(servingServices_, settings.clientAddress), operatorServices_{cores_.registers} {
   cores_.addRunner(process_.runtime(), engineRunner_);
   cores_.configuration.subscribe(kSettingsRegister,
                                  [this](const RegisterValue& value) { publishSettings(value); });
--- a/src/engines/engine_watch_core.cpp
+++ b/src/engines/engine_watch_core.cpp
@@ -122,7 +122,7 @@
 }
 
 void EngineWatchCore::noticeDoubt() {
-  if (directory_.missesPeers()) {
+  if (directory_.hasUnresponsivePeers()) {
     verify();
   }
 }
--- a/src/membership/directory.h
+++ b/src/membership/directory.h
@@ -15,17 +15,17 @@
 
 /// What a node is for. The numeric values travel on the wire.
 enum class NodeRole : std::uint8_t {
-  Data = 1,      ///< `shedshed-data`: callers' HTTP, routing, batch runners.
+  Data = 1,      ///< `shedshed-data`: client HTTP, routing, batch runners.
   Register = 2,  ///< `shedshed-control` on a small disk: acceptor of the registers only.
   Store = 3,     ///< `shedshed-control` on a store machine: acceptor and partitions.
 };
 
-/// Liveness of a node as this node believes it. The numeric values travel on the wire.
+/// FailureDetector of a node as this node believes it. The numeric values travel on the wire.
 enum class NodeState : std::uint8_t {
   Alive = 1,
-  Suspect = 2,   ///< One watcher misses it; still counts as live.
+  Suspect = 2,   ///< One monitor suspects it; still counts as live.
   Draining = 3,  ///< Alive, takes no new work.
-  Dead = 4,      ///< Confirmed by more than one watcher, or left by itself.
+  Dead = 4,      ///< Confirmed by more than one monitor, or departed.
 };
 
 /// One node of the fleet.
@@ -37,10 +37,10 @@
   std::uint64_t incarnation = 0;  ///< Rises at each restart and each refutation.
   std::string storeId;            ///< Random id of the data folder; empty without a disk.
   std::string operatorsAddress;   ///< "a.b.c.d:port" of the operators' HTTP; may be empty.
-  std::string callersAddress;     ///< "a.b.c.d:port" of the callers' HTTP; data nodes only.
+  std::string clientAddress;      ///< "a.b.c.d:port" of the client HTTP; data nodes only.
   std::string name;               ///< Name of the machine for operators; may be empty.
 
-  MSGPACK_DEFINE(id, role, state, zone, incarnation, storeId, operatorsAddress, callersAddress,
+  MSGPACK_DEFINE(id, role, state, zone, incarnation, storeId, operatorsAddress, clientAddress,
                  name);
 };
 
@@ -51,7 +51,7 @@
   /// Returns the ids of nodes with @p role whose state is not `Dead`, sorted.
   std::vector<NodeId> live(NodeRole role) const;
 
-  /// The same with those that are held dead: one of them may only be frozen or cut off.
+  /// The same with the dead ones: one of them may only be stalled or isolated.
   std::vector<NodeId> known(NodeRole role) const;
 
   /// Returns the node or nullptr.
@@ -70,12 +70,12 @@
   /// Calls @p listener on the core thread after each change of the table.
   virtual void addListener(std::function<void(const NodeTable&)> listener) = 0;
 
-  /// True while a node that this node pings, and that is not held dead, owes it an answer for more
-  /// than one interval. Either that node fails or this one is cut off: what this node knows from
-  /// others may be old.
-  virtual bool missesPeers() const { return false; }
+  /// True while a node that this node monitors, and that is not confirmed dead, has left a ping
+  /// unacknowledged for more than one interval. Either that node fails or this one is isolated:
+  /// what this node knows from others may be stale.
+  virtual bool hasUnresponsivePeers() const { return false; }
 
-  /// Announces that this node drains (true) or takes work again.
+  /// Announces that this node drains (true) or accepts work again.
   virtual void announceDraining(bool draining) = 0;
 };
 
--- a/src/membership/directory_core.h
+++ b/src/membership/directory_core.h
@@ -1,25 +1,27 @@
 /// @file
-/// The directory: who is in the fleet, who lives, and the gossip that carries it.
+/// The directory: the fleet's members, their liveness, and the gossip that carries both.
 ///
-/// Dissemination: see `GossipExchange`. Each interval a node compares the hash of its version
-/// vector with one random live node.
+/// Dissemination and anti-entropy: see `GossipExchange`. Failure detection follows SWIM: see
+/// `PeerMonitor` for the pings and `FailureDetector` for what follows from the suspicions.
 ///
-/// Computed traffic at 390 nodes, payload bytes per node: pings 2 x 3 x ~12 B/s and hashes
-/// 2 x ~12 B/s: ~100 B/s; a difference costs 64 hashes of 8 B and the entries of the buckets that
-/// differ, ~6 x 32 B each; a change of ~150 B is received and passed on four times: ~1.2 KB.
+/// Computed traffic at 390 nodes, payload bytes per node: pings 2 x 3 x ~12 B/s and digests
+/// 2 x ~12 B/s: ~100 B/s; a difference costs 64 digests of 8 B and the entries of the buckets that
+/// differ, ~6 x 32 B each; a change of ~150 B is received and forwarded four times: ~1.2 KB.
 #pragma once
 
 #include "kernel/core.h"
-#include "kernel/snapshot.h"
 #include "membership/directory.h"
 #include "membership/directory_options.h"
 #include "membership/gossip_exchange.h"
-#include "membership/gossip_store.h"
+#include "membership/gossip_peers.h"
+#include "membership/gossip_record_store.h"
 #include "membership/gossip_topics.h"
-#include "membership/liveness.h"
+#include "membership/local_node.h"
+#include "membership/node_table_publisher.h"
 #include "membership/peer_monitor.h"
+#include "membership/topic_subscriptions.h"
 
-#include <map>
+#include <functional>
 #include <memory>
 #include <set>
 #include <string>
@@ -27,15 +29,16 @@
 
 namespace shedshed {
 
-/// The directory service of one node.
-///
-/// Incarnations rise without a clock or a disk: the upper bits count, the lower ones are random
-/// for each run. A node that meets a record of itself which it did not write (from an earlier run)
-/// or a doubt about its present incarnation takes a count above it and sends its records anew.
-class DirectoryCore : public Core, public Directory, public GossipTopics {
+/// The directory service of one node: connects the local record, the gossip, the failure detector
+/// and the published table. It keeps nothing on disk: a restarted node joins again through its
+/// seeds and takes an incarnation above the one that others remember (see `LocalNode`).
+class DirectoryCore : public Core,
+                      public Directory,
+                      public GossipTopics,
+                      private GossipExchange::Delegate {
  public:
   /// @p self describes this node; its incarnation and state are set by the core. @p seeds are the
-  /// nodes asked first. @p context must outlive the core.
+  /// nodes through which it joins. @p context must outlive the core.
   DirectoryCore(CoreContext& context, NodeInfo self, std::vector<NodeId> seeds,
                 DirectoryOptions options = {});
 
@@ -43,59 +46,51 @@
   void receive(const NodeId& from, const Message& message) override;
   void timerExpired(TimerId timer) override;
 
-  std::shared_ptr<const NodeTable> table() const override { return table_.read(); }
+  std::shared_ptr<const NodeTable> table() const override { return publisher_.table(); }
   void addListener(std::function<void(const NodeTable&)> listener) override;
   void announceDraining(bool draining) override;
-  bool missesPeers() const override { return monitor_.missesAny(*table()); }
+  bool hasUnresponsivePeers() const override { return monitor_.hasUnresponsiveNode(*table()); }
 
   void publish(const std::string& topic, const std::string& bytes) override;
   void subscribe(const std::string& topic, Listener listener) override;
 
  private:
+  std::set<NodeId> withheldOrigins() const override { return publisher_.withheldNodes(); }
+  const std::vector<NodeId>& gossipPeers() override { return peers_.live(table()); }
+  void onOwnVersionSeen(const GossipVersion& seen) override;
+
   void onPing(const NodeId& from, const Ping& ping);
   void onPong(const NodeId& from, const Pong& pong);
-  void onDoubt(std::uint64_t doubtedIncarnation);
 
-  void recordChanged(const NodeId& origin, const GossipVersion& version, const std::string& topic,
-                     const std::string& bytes);
-  void setNode(const NodeId& origin, const std::string& bytes);
-  void tick();
-  void pingWatched();
-  /// Tells some of the nodes that are held dead here that they are, so that they can refute it.
-  void doubtTheDead();
+  void onRecordChanged(const NodeId& origin, const GossipVersion& version, const std::string& topic,
+                       const std::string& bytes);
+  void onInterval();
+  void pingMonitoredNodes();
+  /// Notifies some of the nodes that are confirmed dead here, so that they can refute it.
+  void notifyDeadNodes();
   void publishSuspicions();
-  void compareWithSomeone();
-  void forgetOldDead();
-  void raiseAbove(std::uint64_t incarnation);
-  void checkOwnRecord(const GossipVersion& seen);
-  void refreshTable();
+  void startAntiEntropy();
+  void forgetExpiredNodes();
+
+  /// Takes a higher incarnation if @p deadIncarnation is the present one or a later one.
+  void refuteDeath(std::uint64_t deadIncarnation);
+  void raiseIncarnationAbove(std::uint64_t incarnation);
 
-  std::set<NodeId> hiddenOrigins() const;
-  std::uint64_t doubtAbout(const NodeId& node) const;
-  std::vector<NodeId> peers(bool dead) const;
-  /// The live nodes that this one compares itself with and passes changes on to: all of a small
-  /// fleet, `directTargets` of a large one, so that it has few links.
-  const std::vector<NodeId>& gossipPeers();
-  std::string ownNodeBytes() const;
+  /// The incarnation of @p node that is confirmed dead here; 0, as on the wire, if it is not.
+  std::uint64_t deadIncarnationOf(const NodeId& node) const;
+  std::vector<NodeId> deadNodes() const { return otherNodes(*table(), local_.id(), true); }
+  std::string encodedLocalNode() const;
 
   CoreContext& context_;
   const DirectoryOptions options_;
-  std::vector<NodeId> seeds_;
-  NodeInfo self_;
-  const std::uint64_t runTag_;  ///< Random lower bits of this run's incarnations.
-  GossipStore store_;
+  LocalNode local_;
+  GossipPeers peers_;
+  GossipRecordStore store_;
   GossipExchange exchange_;
   PeerMonitor monitor_;
-  Liveness liveness_;
-  std::map<NodeId, NodeInfo> nodes_;  ///< What each node says of itself.
-  std::vector<Suspicion> publishedSuspicions_;
-  bool dirty_ = false;  ///< Something that the table is made of has changed.
-  Snapshot<NodeTable> table_;
-  std::vector<std::function<void(const NodeTable&)>> listeners_;
-  std::map<std::string, std::vector<Listener>> subscribers_;
-  std::uint64_t ticks_ = 0;
-  std::shared_ptr<const NodeTable> gossipPeersOf_;  ///< The table that `gossipPeers_` follows from.
-  std::vector<NodeId> gossipPeers_;
+  NodeTablePublisher publisher_;
+  TopicSubscriptions subscriptions_;
+  std::uint64_t intervals_ = 0;  ///< Number of ping intervals since the start.
 };
 
 }  // namespace shedshed
--- a/src/membership/gossip_exchange.h
+++ b/src/membership/gossip_exchange.h
@@ -1,84 +1,93 @@
 /// @file
-/// Keeps the `GossipStore` of this node in step with those of other nodes.
+/// Keeps the `GossipRecordStore` of this node consistent with those of other nodes.
 #pragma once
 
 #include "kernel/core.h"
 #include "membership/directory_options.h"
-#include "membership/gossip_store.h"
+#include "membership/gossip_forwarder.h"
+#include "membership/gossip_record_store.h"
 #include "membership/membership_messages.h"
 
-#include <functional>
+#include <cstdint>
 #include <map>
 #include <set>
 #include <vector>
 
 namespace shedshed {
 
-/// Spreads this node's changes, passes others' changes on, and pulls what is missing.
+/// Disseminates the changes of this node, forwards those of others, and pulls what is missing.
 ///
-/// Spreading. A change goes to `directTargets` nodes. In a fleet with more peers each node that
-/// finds it new passes it on to `forwardTargets` random ones, so that no node has links to all.
-/// Comparing. Two nodes compare the hash of their version vectors; if it differs, in a large fleet
-/// the hashes of its buckets; then the vectors of the buckets that differ; then each sends the
-/// records that the other lacks. The cost follows what differs, not the size of the fleet.
+/// Dissemination: a change is pushed to `directTargets` nodes. In a fleet with more peers each node
+/// that it is new to forwards it to `forwardTargets` random ones, so that no node has links to all.
+/// Anti-entropy: two nodes compare the digest of their version vectors; if it differs, in a large
+/// fleet the digests of its buckets; then the vectors of the buckets that differ; then each sends
+/// the records that the other lacks. The cost follows what differs, not the size of the fleet. A
+/// lost or repeated message does no harm: records are applied by version, and the next comparison
+/// finds what is still missing.
+///
+/// Not thread-safe.
 class GossipExchange {
  public:
-  /// @p hidden returns the origins that are not to be offered to others; @p livePeers the nodes
-  /// that changes are passed on to; @p ownRecordSeen is called with the version of each record of
-  /// this node that another one holds. All references must outlive the exchange.
-  GossipExchange(CoreContext& context, GossipStore& store, const DirectoryOptions& options,
-                 std::function<std::set<NodeId>()> hidden,
-                 std::function<std::vector<NodeId>()> livePeers,
-                 std::function<void(const GossipVersion&)> ownRecordSeen);
+  /// What the exchange needs to know from its owner.
+  class Delegate {
+   public:
+    virtual ~Delegate() = default;
+
+    /// The origins whose records are not offered to other nodes.
+    virtual std::set<NodeId> withheldOrigins() const = 0;
+
+    /// The live nodes that changes are forwarded to. Valid until the next call.
+    virtual const std::vector<NodeId>& gossipPeers() = 0;
+
+    /// Called with the version of each record of this node that another one has.
+    virtual void onOwnVersionSeen(const GossipVersion& seen) = 0;
+  };
+
+  /// @p forwardTimer is the timer of the owning core at whose end it calls `forwardPending`. All
+  /// references must outlive the exchange.
+  GossipExchange(CoreContext& context, GossipRecordStore& store, const DirectoryOptions& options,
+                 Delegate& delegate, TimerId forwardTimer);
 
   /// Handles the messages of the exchange.
   /// @return false if @p message is none of them.
   bool receive(const NodeId& from, const Message& message);
 
   /// Starts a comparison with each of @p peers.
-  void compareWith(const std::vector<NodeId>& peers);
+  void requestComparison(const std::vector<NodeId>& peers);
 
-  /// Sends this node's records that are newer than @p sinceSequence, all of them for 0, to each of
-  /// @p targets, or to `directTargets` of them that pass the records on.
-  void spreadOwn(std::uint32_t sinceSequence, std::vector<NodeId> targets);
+  /// Pushes this node's records that are newer than @p sinceSequence, all of them for 0, to each of
+  /// @p targets, or to `directTargets` of them that forward the records.
+  void pushOwnRecords(std::uint32_t sinceSequence, std::vector<NodeId> targets);
 
-  /// Passes on the changes that arrived since the last time. Called by the owner when the timer
-  /// that it started with @p timer has run out.
+  /// Forwards the changes that arrived since the last call; called at the end of the forward timer.
   void forwardPending();
 
-  /// Sets the timer of the owner's core that ends a pause between two forwards.
-  void setForwardTimer(TimerId timer) { forwardTimer_ = timer; }
-
   /// Drops an origin and refuses to learn the same run of it again.
   void forget(const NodeId& origin);
 
  private:
-  void onCompare(const NodeId& from, const CompareRequest& request);
-  void onBucketHashes(const NodeId& from, const BucketHashes& theirs);
-  void onVector(const NodeId& from, const VectorReply& reply);
-  void onDeltas(const NodeId& from, const DeltaBatch& batch);
+  void onDigestRequest(const NodeId& from, const DigestRequest& request);
+  void onDigestReply(const NodeId& from, const DigestReply& theirs);
+  void onVersionVector(const NodeId& from, const VersionVectorReply& reply);
+  void onDeltaBatch(const NodeId& from, const DeltaBatch& batch);
   void onDeltaRequest(const NodeId& from, const DeltaRequest& request);
-  /// @return false if records between the ones held and those of @p delta are missing
-  bool applyDelta(const NodeId& from, const GossipDelta& delta, bool spreads);
-  void passOn(const GossipDelta& delta);
-  void introduceTo(const std::vector<NodeId>& newcomers);
+  /// @return false if records between the stored ones and those of @p delta are missing
+  bool applyDelta(const NodeId& from, const GossipDelta& delta, bool forward);
+  /// Pushes this node's records to nodes that were learned from a third one.
+  void introduceTo(const std::vector<NodeId>& joiningNodes);
   void sendDeltas(const NodeId& to, std::vector<GossipDelta> deltas);
-  bool isNews(const VectorEntry& entry) const;
+  bool isUpdate(const VersionVectorEntry& entry) const;
   bool isLargeFleet() const { return store_.originCount() > options_.directTargets; }
-  std::uint64_t vectorHash() const;
+  std::uint64_t digest() const;
 
   CoreContext& context_;
-  GossipStore& store_;
+  GossipRecordStore& store_;
   const DirectoryOptions options_;
+  Delegate& delegate_;
   const NodeId self_;
-  std::function<std::set<NodeId>()> hidden_;
-  std::function<std::vector<NodeId>()> livePeers_;
-  std::function<void(const GossipVersion&)> ownRecordSeen_;
-  std::map<NodeId, GossipVersion> forgotten_;
-  std::vector<NodeId> newcomers_;     ///< Learned from others in the present message.
-  std::vector<GossipDelta> pending_;  ///< To be passed on.
-  TimerId forwardTimer_ = 0;
-  bool forwardTimerRuns_ = false;
+  GossipForwarder forwarder_;
+  std::map<NodeId, GossipVersion> forgotten_;  ///< Newest version of each origin that was dropped.
+  std::vector<NodeId> joiningNodes_;  ///< Learned from a third node in the present message.
 };
 
 }  // namespace shedshed
--- a/src/membership/gossip_store.h
+++ b/src/membership/gossip_record_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// The newest known values of all origins, with the version vector that names them.
+/// The newest known records of all origins, with their version vector.
 #pragma once
 
 #include "kernel/node_id.h"
@@ -14,22 +14,22 @@
 namespace shedshed {
 
 /// Keeps for each origin every record up to one version, without gaps, so that one version per
-/// origin describes exactly what is held. A delta that would leave a gap is refused and must be
-/// pulled from the version held. Not thread-safe.
-class GossipStore {
+/// origin describes exactly what is stored. A delta that would leave a gap is rejected and must be
+/// requested from the stored version. Not thread-safe.
+class GossipRecordStore {
  public:
   /// What became of a delta.
   enum class Outcome {
     Stale,    ///< Nothing new in it.
-    Applied,  ///< Taken over.
-    Gap,      ///< Records between the version held and the delta are missing.
+    Applied,  ///< Its records are stored.
+    Gap,      ///< Records between the stored version and the delta are missing.
   };
 
   /// Called for each record that changed; empty bytes for a topic that is no longer published.
   using ChangeHandler = std::function<void(const NodeId& origin, const GossipVersion& version,
                                            const std::string& topic, const std::string& bytes)>;
 
-  explicit GossipStore(ChangeHandler changed) : changed_(std::move(changed)) {}
+  explicit GossipRecordStore(ChangeHandler changed) : changed_(std::move(changed)) {}
 
   /// Sets a record of @p origin under the next sequence number.
   void publish(const NodeId& origin, const std::string& topic, const std::string& bytes);
@@ -40,20 +40,20 @@
   /// Takes over a delta of another node. Applying twice or out of order is harmless.
   Outcome apply(const GossipDelta& delta);
 
-  /// Returns what a node that holds @p since of @p origin lacks; no records if nothing.
+  /// Returns what a node with the version @p since of @p origin lacks; no records if nothing.
   GossipDelta deltaSince(const NodeId& origin, const GossipVersion& since) const;
 
-  /// The version held; zero if the origin is unknown.
+  /// The stored version of @p origin; zero if the origin is unknown.
   GossipVersion version(const NodeId& origin) const;
 
-  /// Returns the version vector without the origins in @p hidden, sorted by origin; of @p buckets
+  /// Returns the version vector without the origins in @p withheld, sorted by origin; of @p buckets
   /// only.
-  std::vector<VectorEntry> vector(const std::set<NodeId>& hidden,
-                                  std::uint64_t buckets = kAllBuckets) const;
+  std::vector<VersionVectorEntry> versionVector(const std::set<NodeId>& withheld,
+                                                std::uint64_t buckets = kAllBuckets) const;
 
-  /// Returns a hash of each bucket of the version vector without the origins in @p hidden. Equal
-  /// parts have equal hashes, whatever the order in which they came.
-  std::vector<std::uint64_t> bucketHashes(const std::set<NodeId>& hidden) const;
+  /// Returns the digest of each bucket of the version vector without the origins in @p withheld.
+  /// Equal buckets have equal digests, whatever the order in which their records arrived.
+  std::vector<std::uint64_t> bucketDigests(const std::set<NodeId>& withheld) const;
 
   std::size_t originCount() const { return origins_.size(); }
 
@@ -70,16 +70,16 @@
     std::uint32_t sequence = 0;
     std::string bytes;
   };
-  struct Origin {
+  struct OriginState {
     GossipVersion version;
     std::uint64_t addressHash = 0;
     std::map<std::string, Record> records;
   };
-  Origin& originOf(const NodeId& id);
-  void dropUnlisted(const NodeId& origin, Origin& held, const GossipDelta& delta);
+  OriginState& stateOf(const NodeId& id);
+  void dropUnlisted(const NodeId& origin, OriginState& state, const GossipDelta& delta);
 
   ChangeHandler changed_;
-  std::map<NodeId, Origin> origins_;
+  std::map<NodeId, OriginState> origins_;
 };
 
 }  // namespace shedshed
--- a/src/membership/gossip_topics.h
+++ b/src/membership/gossip_topics.h
@@ -36,7 +36,7 @@
 
   virtual ~GossipTopics() = default;
 
-  /// Replaces this node's value of @p topic and spreads it to all live nodes at once; nodes that
+  /// Replaces this node's value of @p topic and pushes it to all live nodes at once; nodes that
   /// miss it pull it later. Values should stay below a kilobyte.
   virtual void publish(const std::string& topic, const std::string& bytes) = 0;
 
--- a/src/membership/incarnation.h
+++ b/src/membership/incarnation.h
@@ -1,6 +1,6 @@
 /// @file
 /// Layout of an incarnation: the upper bits count restarts and refutations, the lower ones are
-/// random for each run, so that two runs that start at the same count are told apart.
+/// random for each run, so that two runs that start at the same count are distinguished.
 #pragma once
 
 #include <cstdint>
--- a/src/membership/membership_messages.h
+++ b/src/membership/membership_messages.h
@@ -12,8 +12,10 @@
 
 namespace shedshed {
 
-/// A version vector is compared in this many parts; an origin's part follows from its hash.
-inline constexpr std::size_t kVectorBuckets = 64;
+/// Number of buckets whose digests anti-entropy compares; the hash of an origin's address selects
+/// its bucket.
+inline constexpr std::size_t kDigestBuckets = 64;
+/// Bit set of buckets: all of them.
 inline constexpr std::uint64_t kAllBuckets = ~std::uint64_t{0};
 
 /// One published value.
@@ -35,75 +37,77 @@
 };
 
 /// One element of a version vector.
-struct VectorEntry {
+struct VersionVectorEntry {
   NodeId origin;
   GossipVersion version;
   MSGPACK_DEFINE(origin, version);
 };
 
-/// Asks the receiver to compare its version vector with the sender's, by hash.
-struct CompareRequest {
+/// Starts an anti-entropy exchange: the receiver compares the digest with that of its own version
+/// vector and answers only if they differ.
+struct DigestRequest {
   static constexpr ServiceId kService = ServiceId::Directory;
   static constexpr std::uint16_t kKind = 1;
-  std::uint64_t vectorHash = 0;
-  MSGPACK_DEFINE(vectorHash);
+  std::uint64_t digest = 0;  ///< Hash of the digests of all buckets.
+  MSGPACK_DEFINE(digest);
 };
 
-/// The sender's version vector, or the part of it that lies in some buckets; sent only when the
-/// hashes differ.
-struct VectorReply {
+/// The sender's version vector, or the part of it that lies in some buckets.
+struct VersionVectorReply {
   static constexpr ServiceId kService = ServiceId::Directory;
   static constexpr std::uint16_t kKind = 2;
-  std::vector<VectorEntry> entries;
+  std::vector<VersionVectorEntry> entries;
   std::uint64_t buckets = kAllBuckets;  ///< One bit per bucket that `entries` covers.
   MSGPACK_DEFINE(entries, buckets);
 };
 
-/// New records, pushed or pulled.
+/// Records that are new to the receiver, pushed by the sender or pulled by a `DeltaRequest`.
 struct DeltaBatch {
   static constexpr ServiceId kService = ServiceId::Directory;
   static constexpr std::uint16_t kKind = 3;
   std::vector<GossipDelta> deltas;
-  bool spreads = false;  ///< In a large fleet the receiver passes on what is new to it.
-  MSGPACK_DEFINE(deltas, spreads);
+  bool forward = false;  ///< In a large fleet the receiver forwards the deltas that are new to it.
+  MSGPACK_DEFINE(deltas, forward);
 };
 
-/// Asks for the records of the named origins that are newer than the given versions.
+/// Requests the records of the named origins that are newer than the given versions.
 struct DeltaRequest {
   static constexpr ServiceId kService = ServiceId::Directory;
   static constexpr std::uint16_t kKind = 4;
-  std::vector<VectorEntry> since;
+  std::vector<VersionVectorEntry> since;
   MSGPACK_DEFINE(since);
 };
 
-/// Asks a watched node for a sign of life.
+/// Liveness check of a monitored node.
 struct Ping {
   static constexpr ServiceId kService = ServiceId::Directory;
   static constexpr std::uint16_t kKind = 5;
-  std::uint64_t number = 0;
-  std::uint64_t doubtedIncarnation = 0;  ///< Receiver's incarnation held dead by the sender, or 0.
-  MSGPACK_DEFINE(number, doubtedIncarnation);
+  std::uint64_t number = 0;  ///< Number of the sender's ping interval; returned in the `Pong`.
+  /// The receiver's incarnation that the sender has confirmed dead, so that the receiver can
+  /// refute it; 0 if none.
+  std::uint64_t deadIncarnation = 0;
+  MSGPACK_DEFINE(number, deadIncarnation);
 };
 
-/// Answers a `Ping`.
+/// Acknowledges a `Ping`.
 struct Pong {
   static constexpr ServiceId kService = ServiceId::Directory;
   static constexpr std::uint16_t kKind = 6;
-  std::uint64_t number = 0;
-  std::uint64_t doubtedIncarnation = 0;  ///< As in `Ping`.
-  MSGPACK_DEFINE(number, doubtedIncarnation);
+  std::uint64_t number = 0;           ///< Number of the acknowledged ping.
+  std::uint64_t deadIncarnation = 0;  ///< As in `Ping`.
+  MSGPACK_DEFINE(number, deadIncarnation);
 };
 
-/// Answers a `CompareRequest` in a large fleet: the hash of each bucket of the sender's version
-/// vector, so that the receiver can send just the parts that differ.
-struct BucketHashes {
+/// Answers a `DigestRequest` in a large fleet: the digest of each bucket of the sender's version
+/// vector, so that the receiver can send only the buckets that differ.
+struct DigestReply {
   static constexpr ServiceId kService = ServiceId::Directory;
   static constexpr std::uint16_t kKind = 7;
-  std::vector<std::uint64_t> hashes;
-  MSGPACK_DEFINE(hashes);
+  std::vector<std::uint64_t> digests;
+  MSGPACK_DEFINE(digests);
 };
 
-/// One watcher's claim that it misses a node.
+/// A monitor's statement that a node does not acknowledge its pings.
 struct Suspicion {
   NodeId target;
   std::uint64_t incarnation = 0;  ///< Void once the target has a higher one.
@@ -113,7 +117,7 @@
   MSGPACK_DEFINE(target, incarnation);
 };
 
-/// Value of the topic `kSuspicionTopic`: all nodes that the origin misses now.
+/// Value of the topic `kSuspicionTopic`: all nodes that the origin suspects now.
 struct SuspicionList {
   std::vector<Suspicion> suspicions;
   MSGPACK_DEFINE(suspicions);
@@ -121,7 +125,7 @@
 
 /// Topic of a node's own `NodeInfo`.
 inline constexpr const char* kNodeTopic = "node";
-/// Topic of a watcher's `SuspicionList`.
+/// Topic of a monitor's `SuspicionList`.
 inline constexpr const char* kSuspicionTopic = "suspects";
 
 }  // namespace shedshed
--- a/src/membership/peer_monitor.cpp
+++ b/src/membership/peer_monitor.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-/// A tick that comes this many intervals late means that this node itself stood still.
-constexpr int kFrozenIntervals = 2;
+/// An interval that starts this many intervals after the one before means that this node itself
+/// was stalled, so that missing acknowledgements prove nothing.
+constexpr int kStallIntervals = 2;
 
 bool isHealthy(const NodeInfo& node) {
   return node.state == NodeState::Alive || node.state == NodeState::Draining;
 }
 
-bool isWatcher(const NodeId& self, const NodeInfo& target, const NodeTable& table,
-               std::uint32_t watchersPerNode) {
+bool isMonitor(const NodeId& self, const NodeInfo& target, const NodeTable& table,
+               std::uint32_t monitorsPerNode) {
   const std::string key = "watch/" + target.id.address;
   const std::uint64_t ownWeight = rendezvousWeight(key, self.address);
   std::uint32_t before = 0;
@@ -26,7 +27,7 @@
     if (weight > ownWeight || (weight == ownWeight && node.id < self)) {
       ++before;
     }
-    if (before >= watchersPerNode) {
+    if (before >= monitorsPerNode) {
       return false;
     }
   }
@@ -35,76 +36,90 @@
 
 }  // namespace
 
-std::vector<NodeId> watchedNodes(const NodeId& self, const NodeTable& table,
-                                 std::uint32_t watchersPerNode) {
-  std::vector<NodeId> watched;
+std::vector<NodeId> monitoredNodes(const NodeId& self, const NodeTable& table,
+                                   std::uint32_t monitorsPerNode) {
+  std::vector<NodeId> monitored;
   for (const NodeInfo& target : table.nodes) {
-    if (target.id != self && isWatcher(self, target, table, watchersPerNode)) {
-      watched.push_back(target.id);
+    if (target.id != self && isMonitor(self, target, table, monitorsPerNode)) {
+      monitored.push_back(target.id);
     }
   }
-  return watched;
+  return monitored;
 }
 
-std::vector<NodeId> PeerMonitor::tick(Time now, const NodeId& self,
-                                      const std::shared_ptr<const NodeTable>& table) {
-  const bool stoodStill =
-      tickNumber_ > 0 && now - lastTick_ > kFrozenIntervals * options_.pingInterval;
-  lastTick_ = now;
-  ++tickNumber_;
-  if (watchedOf_ != table) {
-    watchedOf_ = table;
-    watched_ = watchedNodes(self, *table, options_.watchersPerNode);
+std::vector<NodeId> PeerMonitor::startInterval(Time now, const NodeId& self,
+                                               const std::shared_ptr<const NodeTable>& table) {
+  const bool stalled =
+      interval_ > 0 && now - intervalStart_ > kStallIntervals * options_.pingInterval;
+  intervalStart_ = now;
+  ++interval_;
+  if (monitoredInTable_ != table) {
+    monitoredInTable_ = table;
+    monitored_ = monitoredNodes(self, *table, options_.monitorsPerNode);
   }
-  std::map<NodeId, Watch> kept;
+  std::map<NodeId, PingState> next;
   std::vector<NodeId> toPing;
-  for (const NodeId& target : watched_) {
-    Watch watch = watches_[target];
-    if (watch.firstUnanswered != 0 && !stoodStill) {
-      ++watch.missed;
+  for (const NodeId& target : monitored_) {
+    PingState state = pingStates_[target];
+    if (state.firstUnacknowledged && !stalled) {
+      ++state.missedPings;
     }
     const bool dead = table->find(target)->state == NodeState::Dead;
-    if (!dead || tickNumber_ % options_.deadProbeTicks == 0) {
+    if (!dead || interval_ % options_.deadProbeIntervals == 0) {
       toPing.push_back(target);
-      if (watch.firstUnanswered == 0) {
-        watch.firstUnanswered = tickNumber_;
+      if (!state.firstUnacknowledged) {
+        state.firstUnacknowledged = interval_;
       }
     }
-    kept[target] = watch;
+    next[target] = state;
   }
-  watches_ = std::move(kept);
+  pingStates_ = std::move(next);
   return toPing;
 }
 
-void PeerMonitor::answered(const NodeId& from, std::uint64_t number) {
-  const auto watch = watches_.find(from);
-  // An answer to a ping older than the unanswered ones says nothing about the present.
-  if (watch == watches_.end() || watch->second.firstUnanswered == 0 ||
-      number < watch->second.firstUnanswered) {
+void PeerMonitor::onPong(const NodeId& from, std::uint64_t number) {
+  const auto state = pingStates_.find(from);
+  // The acknowledgement of a ping older than the pending ones proves nothing about the present.
+  if (state == pingStates_.end() || !state->second.firstUnacknowledged ||
+      number < *state->second.firstUnacknowledged) {
     return;
   }
-  watch->second = Watch{};
+  state->second = PingState{};
 }
 
-bool PeerMonitor::missesAny(const NodeTable& table) const {
-  for (const auto& watch : watches_) {
-    const NodeInfo* target = table.find(watch.first);
-    if (watch.second.missed > 0 && target != nullptr && target->state != NodeState::Dead) {
+bool PeerMonitor::hasUnresponsiveNode(const NodeTable& table) const {
+  for (const auto& [node, state] : pingStates_) {
+    const NodeInfo* target = table.find(node);
+    if (state.missedPings > 0 && target != nullptr && target->state != NodeState::Dead) {
       return true;
     }
   }
   return false;
 }
 
+void PeerMonitor::reset() {
+  pingStates_.clear();
+  takenSuspicions_.clear();
+}
+
+std::optional<std::vector<Suspicion>> PeerMonitor::takeChangedSuspicions(const NodeTable& table) {
+  std::vector<Suspicion> current = suspicions(table);
+  if (current == takenSuspicions_) {
+    return std::nullopt;
+  }
+  takenSuspicions_ = current;
+  return current;
+}
+
 std::vector<Suspicion> PeerMonitor::suspicions(const NodeTable& table) const {
-  std::vector<Suspicion> missed;
-  for (const auto& watch : watches_) {
-    const NodeInfo* target = table.find(watch.first);
-    if (target != nullptr && watch.second.missed >= options_.missesToSuspect) {
-      missed.push_back({target->id, target->incarnation});
+  std::vector<Suspicion> suspicions;
+  for (const auto& [node, state] : pingStates_) {
+    const NodeInfo* target = table.find(node);
+    if (target != nullptr && state.missedPings >= options_.missedPingsToSuspect) {
+      suspicions.push_back({target->id, target->incarnation});
     }
   }
-  return missed;
+  return suspicions;
 }
 
 }  // namespace shedshed
--- a/src/membership/peer_monitor.h
+++ b/src/membership/peer_monitor.h
@@ -1,5 +1,6 @@
 /// @file
-/// This node's duty as a watcher: which nodes it pings, and which of them it misses.
+/// The monitoring part of failure detection: which nodes this one pings, and which of them it
+/// suspects.
 #pragma once
 
 #include "kernel/time.h"
@@ -9,55 +10,62 @@
 
 #include <map>
 #include <memory>
+#include <optional>
 #include <vector>
 
 namespace shedshed {
 
-/// Returns the nodes that @p self watches. The watchers of a node are the first
-/// `watchersPerNode` healthy nodes in rendezvous order for it, and the unhealthy ones that come
-/// before them: when a watcher is doubted, the next node steps in before the doubt is settled.
-/// Each node decides from its own table; no agreement is needed.
-std::vector<NodeId> watchedNodes(const NodeId& self, const NodeTable& table,
-                                 std::uint32_t watchersPerNode);
+/// Returns the nodes that @p self monitors. The monitors of a node are the first
+/// `monitorsPerNode` healthy nodes in rendezvous order for it, and the unhealthy ones that come
+/// before them: when a monitor is suspected, the next node starts to monitor before the suspicion
+/// is resolved. Each node decides from its own table; no agreement is needed.
+std::vector<NodeId> monitoredNodes(const NodeId& self, const NodeTable& table,
+                                   std::uint32_t monitorsPerNode);
 
-/// Counts missed pings. Does not send: `tick` returns whom to ping.
+/// Counts unacknowledged pings. Sends nothing: `startInterval` returns the nodes to ping. Not
+/// thread-safe.
 class PeerMonitor {
  public:
   explicit PeerMonitor(const DirectoryOptions& options) : options_(options) {}
 
-  /// Judges the pings of the interval before and returns the nodes to ping now. Dead nodes are
-  /// pinged at a slower pace, so that a healed cut is noticed.
-  std::vector<NodeId> tick(Time now, const NodeId& self,
-                           const std::shared_ptr<const NodeTable>& table);
+  /// Evaluates the pings of the last interval and returns the nodes to ping in this one. Dead nodes
+  /// are pinged once in `deadProbeIntervals`, so that the end of a network partition is noticed.
+  std::vector<NodeId> startInterval(Time now, const NodeId& self,
+                                    const std::shared_ptr<const NodeTable>& table);
 
   /// Number to send in the pings of this interval.
-  std::uint64_t pingNumber() const { return tickNumber_; }
+  std::uint64_t pingNumber() const { return interval_; }
 
-  /// An answer to a ping of the current interval or, late, of an earlier one.
-  void answered(const NodeId& from, std::uint64_t number);
+  /// Handles the acknowledgement of a ping of the present interval or, late, of an earlier one.
+  void onPong(const NodeId& from, std::uint64_t number);
 
-  /// Forgets all counts. Used when this node learns that it was itself doubted: it may have been
-  /// cut off or frozen, so that its findings prove nothing about others.
-  void reset() { watches_.clear(); }
+  /// Drops all counts and suspicions. Used when this node learns that it was itself confirmed dead:
+  /// it may have been isolated or stalled, so that its findings prove nothing about others.
+  void reset();
 
-  /// True if a node that is not held dead left a ping unanswered for a whole interval.
-  bool missesAny(const NodeTable& table) const;
+  /// True if a node that is not confirmed dead left a ping unacknowledged for a whole interval.
+  bool hasUnresponsiveNode(const NodeTable& table) const;
 
-  /// The nodes that this node misses now, sorted.
-  std::vector<Suspicion> suspicions(const NodeTable& table) const;
+  /// Returns the suspicions of this node, sorted by target, if they differ from those returned
+  /// last; nullopt otherwise.
+  std::optional<std::vector<Suspicion>> takeChangedSuspicions(const NodeTable& table);
 
  private:
-  struct Watch {
-    std::uint64_t firstUnanswered = 0;  ///< Number of the oldest ping without answer; 0 if none.
-    std::uint32_t missed = 0;
+  struct PingState {
+    std::optional<std::uint64_t> firstUnacknowledged;  ///< Number of the oldest pending ping.
+    std::uint32_t missedPings = 0;                     ///< Unacknowledged pings in a row.
   };
 
+  std::vector<Suspicion> suspicions(const NodeTable& table) const;
+
   const DirectoryOptions options_;
-  std::shared_ptr<const NodeTable> watchedOf_;  ///< The table that `watched_` follows from.
-  std::vector<NodeId> watched_;
-  std::map<NodeId, Watch> watches_;
-  std::uint64_t tickNumber_ = 0;
-  Time lastTick_{};
+  std::shared_ptr<const NodeTable>
+      monitoredInTable_;  ///< The table that `monitored_` follows from.
+  std::vector<NodeId> monitored_;
+  std::map<NodeId, PingState> pingStates_;
+  std::vector<Suspicion> takenSuspicions_;  ///< Returned last by `takeChangedSuspicions`.
+  std::uint64_t interval_ = 0;              ///< Number of the present interval, from 1.
+  Time intervalStart_{};
 };
 
 }  // namespace shedshed
--- a/src/operators/status_json.cpp
+++ b/src/operators/status_json.cpp
@@ -25,7 +25,7 @@
   addUnsigned(item, "incarnation", node.incarnation);
   cJSON_AddStringToObject(item, "store_id", node.storeId.c_str());
   cJSON_AddStringToObject(item, "operators_address", node.operatorsAddress.c_str());
-  cJSON_AddStringToObject(item, "callers_address", node.callersAddress.c_str());
+  cJSON_AddStringToObject(item, "callers_address", node.clientAddress.c_str());
   cJSON_AddItemToArray(array, item);
 }
 
--- a/src/process/gateway_process.cpp
+++ b/src/process/gateway_process.cpp
@@ -40,7 +40,7 @@
                                          monotonicNow(),
                                          false,
                                          &journal_},
-      items_(services_), gateway_(services_, dialect, settings.callersAddress),
+      items_(services_), gateway_(services_, dialect, settings.clientAddress),
       readiness_(node_.loop, settings.readyAddress, kReadyBodyBytes,
                  [this](const WholeCall& call, const WholeCallServer::Done& done) {
                    done(answerReady(call));
--- a/src/process/process_start.cpp
+++ b/src/process/process_start.cpp
@@ -58,7 +58,7 @@
   self.name = settings.nodeName;
   self.storeId = storeId;
   self.operatorsAddress = settings.operatorsAddress;
-  self.callersAddress = settings.callersAddress;
+  self.clientAddress = settings.clientAddress;
   return self;
 }
 
--- a/src/settings/process_keys.cpp
+++ b/src/settings/process_keys.cpp
@@ -138,7 +138,7 @@
          return isIpPort(value);
        }},
       {"operators_address", true, true, true, kAddress, storeText(&P::operatorsAddress, isIpPort)},
-      {"callers_address", true, false, true, kAddress, storeText(&P::callersAddress, isIpPort)},
+      {"callers_address", true, false, true, kAddress, storeText(&P::clientAddress, isIpPort)},
       {"seeds", true, true, true, "1 to 16 \"ip:port\"; as a flag separated by commas", storeSeeds},
       {"data_folder", false, true, false, kPath, storeText(&P::dataFolder, isPath)},
       {"fleet_key_file", true, true, true, kPath, storeText(&P::fleetKeyFile, isPath)},
--- a/src/settings/process_settings.h
+++ b/src/settings/process_settings.h
@@ -29,7 +29,7 @@
   std::string nodeName;    ///< Name of the machine for operators; may be empty.
   NodeId internalAddress;  ///< Names the node.
   std::string operatorsAddress;
-  std::string callersAddress;  ///< Data processes only.
+  std::string clientAddress;  ///< Data processes only.
   std::vector<NodeId> seeds;
   std::string dataFolder;  ///< Control processes only; empty: a register node without a disk.
   std::string fleetKeyFile;
--- a/tests/compatibility/message_format_test.cpp
+++ b/tests/compatibility/message_format_test.cpp
@@ -94,13 +94,13 @@
   checkMessage<WaitingTokensRequest>(checked);
   checkMessage<ListingPull>(checked);
   checkMessage<ListingAnswer>(checked);
-  checkMessage<CompareRequest>(checked);
-  checkMessage<VectorReply>(checked);
+  checkMessage<DigestRequest>(checked);
+  checkMessage<VersionVectorReply>(checked);
   checkMessage<DeltaBatch>(checked);
   checkMessage<DeltaRequest>(checked);
   checkMessage<Ping>(checked);
   checkMessage<Pong>(checked);
-  checkMessage<BucketHashes>(checked);
+  checkMessage<DigestReply>(checked);
   checkMessage<PromiseRequest>(checked);
   checkMessage<PromiseReply>(checked);
   checkMessage<FetchRequest>(checked);
@@ -166,7 +166,7 @@
   checkFormat<GossipVersion>("membership.gossip_version", checked);
   checkFormat<GossipRecord>("membership.gossip_record", checked);
   checkFormat<GossipDelta>("membership.gossip_delta", checked);
-  checkFormat<VectorEntry>("membership.vector_entry", checked);
+  checkFormat<VersionVectorEntry>("membership.vector_entry", checked);
   checkFormat<Suspicion>("membership.suspicion", checked);
   checkFormat<SuspicionList>("membership.suspicion_list", checked);
   checkFormat<PromiseItem>("partition.promise_item", checked);
--- a/tests/membership/directory_core_test.cpp
+++ b/tests/membership/directory_core_test.cpp
@@ -12,25 +12,25 @@
 constexpr int kNodes = kData + kStores;
 constexpr int kVictim = 7;
 
-std::vector<int> watchersOf(TestFleet& fleet, int target) {
-  std::vector<int> watchers;
+std::vector<int> monitorsOf(TestFleet& fleet, int target) {
+  std::vector<int> monitors;
   for (int i = 0; i < kNodes; ++i) {
-    const auto watched = watchedNodes(fleet.id(i), *fleet.cores.at(fleet.id(i))->table(), 3);
-    if (std::count(watched.begin(), watched.end(), fleet.id(target)) != 0) {
-      watchers.push_back(i);
+    const auto monitored = monitoredNodes(fleet.id(i), *fleet.cores.at(fleet.id(i))->table(), 3);
+    if (std::count(monitored.begin(), monitored.end(), fleet.id(target)) != 0) {
+      monitors.push_back(i);
     }
   }
-  return watchers;
+  return monitors;
 }
 
-void breakPings(TestFleet& fleet, int watcher, int target) {
-  fleet.brokenLinks.insert({fleet.id(watcher), fleet.id(target)});
-  fleet.brokenLinks.insert({fleet.id(target), fleet.id(watcher)});
+void blockPings(TestFleet& fleet, int monitor, int target) {
+  fleet.blockedLinks.insert({fleet.id(monitor), fleet.id(target)});
+  fleet.blockedLinks.insert({fleet.id(target), fleet.id(monitor)});
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(a_fleet_meets_through_three_seeds) {
+BOOST_AUTO_TEST_CASE(a_fleet_forms_through_three_seeds) {
   TestFleet fleet;
   fleet.form(kData, kStores);
   BOOST_TEST(fleet.countAlivePairs() == kNodes * (kNodes - 1));
@@ -38,19 +38,19 @@
   BOOST_TEST(table->live(NodeRole::Data).size() == 11U);
   BOOST_TEST(table->live(NodeRole::Store).size() == 6U);
   BOOST_TEST(table->find(fleet.id(4))->zone == "z1");
-  BOOST_TEST(watchersOf(fleet, kVictim).size() == 3U);
+  BOOST_TEST(monitorsOf(fleet, kVictim).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_killed_node_is_dead_at_all_within_four_seconds) {
+BOOST_AUTO_TEST_CASE(a_killed_node_is_confirmed_dead_by_all_within_four_seconds) {
   TestFleet fleet;
   fleet.form(kData, kStores);
   fleet.kill(kVictim);
   fleet.advance(4);
-  BOOST_TEST(fleet.countHolding(kVictim, NodeState::Dead) == kNodes - 1);
+  BOOST_TEST(fleet.countNodesSeeing(kVictim, NodeState::Dead) == kNodes - 1);
   BOOST_TEST(fleet.countAlivePairs() == (kNodes - 1) * (kNodes - 2));
 }
 
-BOOST_AUTO_TEST_CASE(half_of_the_fleet_killed_at_once_is_found) {
+BOOST_AUTO_TEST_CASE(half_of_the_fleet_killed_at_once_is_confirmed_dead) {
   TestFleet fleet;
   fleet.form(kData, kStores);
   for (int i = 0; i < 8; ++i) {
@@ -59,31 +59,31 @@
   fleet.advance(15);
   BOOST_TEST(fleet.countAlivePairs() == 9 * 8);
   for (int i = 0; i < 8; ++i) {
-    BOOST_TEST(fleet.countHolding(i * 2, NodeState::Dead) == 9);
+    BOOST_TEST(fleet.countNodesSeeing(i * 2, NodeState::Dead) == 9);
   }
 }
 
-BOOST_AUTO_TEST_CASE(one_watchers_loss_makes_a_node_suspect_and_not_dead) {
+BOOST_AUTO_TEST_CASE(a_node_that_one_monitor_cannot_reach_is_suspect_and_not_dead) {
   TestFleet fleet;
   fleet.form(kData, kStores);
-  const std::vector<int> watchers = watchersOf(fleet, kVictim);
-  breakPings(fleet, watchers[0], kVictim);
+  const std::vector<int> monitors = monitorsOf(fleet, kVictim);
+  blockPings(fleet, monitors[0], kVictim);
   fleet.advance(20);
-  BOOST_TEST(fleet.countHolding(kVictim, NodeState::Suspect) == kNodes - 1);
+  BOOST_TEST(fleet.countNodesSeeing(kVictim, NodeState::Suspect) == kNodes - 1);
   const auto table = fleet.cores.at(fleet.id(kVictim))->table();
   BOOST_TEST(table->live(NodeRole::Data).size() == 11U);
-  fleet.brokenLinks.clear();
+  fleet.blockedLinks.clear();
   fleet.advance(3);
-  BOOST_TEST(fleet.countHolding(kVictim, NodeState::Alive) == kNodes - 1);
+  BOOST_TEST(fleet.countNodesSeeing(kVictim, NodeState::Alive) == kNodes - 1);
 }
 
-BOOST_AUTO_TEST_CASE(mutation_without_the_two_watcher_rule_one_loss_kills) {
+BOOST_AUTO_TEST_CASE(mutation_without_the_two_monitor_rule_one_broken_link_confirms_a_death) {
   DirectoryOptions options;
-  options.safeguards.twoWatchers = false;
+  options.safeguards.twoMonitors = false;
   TestFleet fleet(options);
   fleet.form(kData, kStores);
-  breakPings(fleet, watchersOf(fleet, kVictim)[0], kVictim);
-  // The node refutes each verdict as it learns of it, so look at every moment.
+  blockPings(fleet, monitorsOf(fleet, kVictim)[0], kVictim);
+  // The node refutes each confirmed death as it learns of it, so check each change of the table.
   bool wasDead = false;
   const int viewer = kVictim == 0 ? 1 : 0;
   fleet.cores.at(fleet.id(viewer))->addListener([&](const NodeTable& table) {
@@ -93,103 +93,103 @@
   BOOST_TEST(wasDead);
 }
 
-BOOST_AUTO_TEST_CASE(an_isolated_node_declares_nobody_dead_and_is_declared_dead) {
+BOOST_AUTO_TEST_CASE(an_isolated_node_confirms_no_death_and_is_confirmed_dead) {
   TestFleet fleet;
   fleet.form(kData, kStores);
-  fleet.otherSide = {fleet.id(kVictim)};
+  fleet.otherPartition = {fleet.id(kVictim)};
   fleet.advance(30);
-  BOOST_TEST(fleet.countHolding(kVictim, NodeState::Dead) == kNodes - 1);
+  BOOST_TEST(fleet.countNodesSeeing(kVictim, NodeState::Dead) == kNodes - 1);
   for (int i = 0; i < kNodes; ++i) {
     BOOST_TEST((fleet.stateAt(kVictim, i) != NodeState::Dead));
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_frozen_node_is_dead_and_refutes_when_it_wakes) {
+BOOST_AUTO_TEST_CASE(a_stalled_node_is_confirmed_dead_and_refutes_that_when_it_resumes) {
   TestFleet fleet;
   fleet.form(kData, kStores);
   const std::uint64_t before = fleet.incarnationAt(0, kVictim);
-  fleet.freeze(kVictim);
+  fleet.stall(kVictim);
   fleet.advance(20);
-  BOOST_TEST(fleet.countHolding(kVictim, NodeState::Dead) == kNodes - 1);
-  fleet.thaw(kVictim);
+  BOOST_TEST(fleet.countNodesSeeing(kVictim, NodeState::Dead) == kNodes - 1);
+  fleet.resume(kVictim);
   fleet.advance(2);
-  BOOST_TEST(fleet.countHolding(kVictim, NodeState::Alive) == kNodes - 1);
+  BOOST_TEST(fleet.countNodesSeeing(kVictim, NodeState::Alive) == kNodes - 1);
   BOOST_TEST(fleet.incarnationAt(0, kVictim) > before);
   BOOST_TEST(fleet.countAlivePairs() == kNodes * (kNodes - 1));
 }
 
-BOOST_AUTO_TEST_CASE(two_sides_of_a_cut_declare_each_other_dead_and_heal) {
+BOOST_AUTO_TEST_CASE(two_sides_of_a_partition_confirm_each_other_dead_and_recover) {
   TestFleet fleet;
   fleet.form(kData, kStores);
   for (int i : {0, 3, 6, 9, 12, 15}) {
-    fleet.otherSide.insert(fleet.id(i));
+    fleet.otherPartition.insert(fleet.id(i));
   }
   fleet.advance(60);
-  BOOST_TEST(fleet.countHolding(0, NodeState::Dead) == 11);
-  BOOST_TEST(fleet.countHolding(1, NodeState::Dead) == 6);
+  BOOST_TEST(fleet.countNodesSeeing(0, NodeState::Dead) == 11);
+  BOOST_TEST(fleet.countNodesSeeing(1, NodeState::Dead) == 6);
   BOOST_TEST(fleet.countAlivePairs() == 11 * 10 + 6 * 5);
-  fleet.otherSide.clear();
+  fleet.otherPartition.clear();
   fleet.advance(10);
   BOOST_TEST(fleet.countAlivePairs() == kNodes * (kNodes - 1));
   fleet.advance(60);
   BOOST_TEST(fleet.countAlivePairs() == kNodes * (kNodes - 1));
 }
 
-/// One node misses a watcher's withdrawal and so holds a node dead that nobody else does. Neither
-/// watches the other, so no ping between them tells of the doubt.
-BOOST_AUTO_TEST_CASE(a_verdict_that_one_node_alone_holds_is_refuted) {
+/// One node misses the withdrawal of a suspicion and so confirms a death that no other node does.
+/// Neither monitors the other, so no regular ping between them carries the dead incarnation.
+BOOST_AUTO_TEST_CASE(a_death_that_one_node_alone_confirmed_is_refuted) {
   TestFleet fleet;
   fleet.form(11, 6);
   constexpr int kTarget = 5;
-  std::vector<int> watchers;
-  std::set<NodeId> watchedByTarget;
+  std::vector<int> monitors;
+  std::set<NodeId> monitoredByTarget;
   for (int i = 0; i < 17; ++i) {
     const auto table = fleet.cores.at(TestFleet::id(i))->table();
     for (const NodeId& node :
-         watchedNodes(TestFleet::id(i), *table, DirectoryOptions{}.watchersPerNode)) {
+         monitoredNodes(TestFleet::id(i), *table, DirectoryOptions{}.monitorsPerNode)) {
       if (node == TestFleet::id(kTarget)) {
-        watchers.push_back(i);
+        monitors.push_back(i);
       }
       if (i == kTarget) {
-        watchedByTarget.insert(node);
+        monitoredByTarget.insert(node);
       }
     }
   }
-  BOOST_REQUIRE(watchers.size() >= 2U);
+  BOOST_REQUIRE(monitors.size() >= 2U);
   int viewer = 0;
-  while (viewer == kTarget || watchedByTarget.count(TestFleet::id(viewer)) != 0 ||
-         std::count(watchers.begin(), watchers.end(), viewer) != 0) {
+  while (viewer == kTarget || monitoredByTarget.count(TestFleet::id(viewer)) != 0 ||
+         std::count(monitors.begin(), monitors.end(), viewer) != 0) {
     ++viewer;
   }
-  const auto breakLink = [&](int watcher) {
-    fleet.brokenLinks.insert({TestFleet::id(watcher), TestFleet::id(kTarget)});
+  const auto blockLink = [&](int monitor) {
+    fleet.blockedLinks.insert({TestFleet::id(monitor), TestFleet::id(kTarget)});
   };
-  breakLink(watchers[0]);
+  blockLink(monitors[0]);
   fleet.advance(5);
   BOOST_TEST((fleet.stateAt(viewer, kTarget) == NodeState::Suspect));
 
-  // The withdrawal of the first watcher is lost on its way to the viewer, the second suspicion not.
+  // The withdrawal of the first monitor is lost on its way to the viewer, the second suspicion not.
   const auto passes = fleet.harness.filter;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
     const bool ping = envelope.message.kind == Ping::kKind || envelope.message.kind == Pong::kKind;
     const bool toViewer = envelope.to == TestFleet::id(viewer);
-    const bool second = envelope.from == TestFleet::id(watchers[1]);
+    const bool second = envelope.from == TestFleet::id(monitors[1]);
     return passes(envelope) && (ping || !toViewer || second);
   };
-  fleet.brokenLinks.clear();
+  fleet.blockedLinks.clear();
   fleet.advance(3);
-  breakLink(watchers[1]);
+  blockLink(monitors[1]);
   fleet.advance(5);
   BOOST_REQUIRE((fleet.stateAt(viewer, kTarget) == NodeState::Dead));
-  BOOST_TEST(fleet.countHolding(kTarget, NodeState::Dead) == 1);
+  BOOST_TEST(fleet.countNodesSeeing(kTarget, NodeState::Dead) == 1);
 
   fleet.harness.filter = passes;
-  fleet.brokenLinks.clear();
+  fleet.blockedLinks.clear();
   fleet.advance(30);
-  BOOST_TEST(fleet.countHolding(kTarget, NodeState::Alive) == 16);
+  BOOST_TEST(fleet.countNodesSeeing(kTarget, NodeState::Alive) == 16);
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_node_comes_back_with_a_higher_incarnation) {
+BOOST_AUTO_TEST_CASE(a_restarted_node_rejoins_with_a_higher_incarnation) {
   TestFleet fleet;
   fleet.form(kData, kStores);
   for (const int pause : {0, 10}) {
@@ -198,40 +198,40 @@
     fleet.advance(pause);
     fleet.start(kVictim);
     fleet.advance(3);
-    BOOST_TEST(fleet.countHolding(kVictim, NodeState::Alive) == kNodes - 1);
+    BOOST_TEST(fleet.countNodesSeeing(kVictim, NodeState::Alive) == kNodes - 1);
     BOOST_TEST(fleet.incarnationAt(0, kVictim) > before);
   }
 }
 
-BOOST_AUTO_TEST_CASE(draining_reaches_all_at_once_and_outlives_a_lost_push) {
+BOOST_AUTO_TEST_CASE(draining_reaches_all_at_once_and_survives_a_lost_push) {
   TestFleet fleet;
   fleet.form(kData, kStores);
   fleet.cores.at(fleet.id(4))->announceDraining(true);
   fleet.harness.settle();
-  BOOST_TEST(fleet.countHolding(4, NodeState::Draining) == kNodes - 1);
+  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) == kNodes - 1);
   BOOST_TEST((fleet.stateAt(4, 4) == NodeState::Draining));
-  // All pushes of the way back are lost; the pull brings it.
+  // All pushes of the next change are lost; anti-entropy repairs that.
   fleet.cores.at(fleet.id(4))->announceDraining(false);
   fleet.harness.queue.clear();
   fleet.advance(10);
-  BOOST_TEST(fleet.countHolding(4, NodeState::Alive) == kNodes - 1);
+  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Alive) == kNodes - 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_node_is_forgotten_by_all_after_its_time) {
+BOOST_AUTO_TEST_CASE(a_dead_node_is_forgotten_by_all_after_forget_after) {
   DirectoryOptions options;
   options.forgetAfter = std::chrono::seconds(60);
   TestFleet fleet(options);
   fleet.form(kData, kStores);
   fleet.kill(kVictim);
   fleet.advance(30);
-  BOOST_TEST(fleet.countHolding(kVictim, NodeState::Dead) == kNodes - 1);
+  BOOST_TEST(fleet.countNodesSeeing(kVictim, NodeState::Dead) == kNodes - 1);
   fleet.advance(60);
   for (const auto& core : fleet.cores) {
     BOOST_TEST(core.second->table()->find(fleet.id(kVictim)) == nullptr);
   }
   fleet.start(kVictim);
   fleet.advance(5);
-  BOOST_TEST(fleet.countHolding(kVictim, NodeState::Alive) == kNodes - 1);
+  BOOST_TEST(fleet.countNodesSeeing(kVictim, NodeState::Alive) == kNodes - 1);
 }
 
 BOOST_AUTO_TEST_CASE(topics_arrive_in_order_and_survive_loss_and_repetition) {
--- a/tests/membership/large_fleet_test.cpp
+++ b/tests/membership/large_fleet_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr int kLarge = 300;
 /// Pings within which a mass failure must be known: five seconds at the interval of the platform.
-constexpr int kPingsToKnow = 14;
+constexpr int kPingsToDetect = 14;
 /// A record of a node with its addresses takes about this much.
 constexpr std::size_t kRecordBytes = 250;
 
@@ -23,7 +23,7 @@
       return true;
     };
   }
-  std::size_t mostReceivers() const {
+  std::size_t maxReceivers() const {
     std::size_t most = 0;
     for (const auto& from : receivers) {
       most = std::max(most, from.second.size());
@@ -52,9 +52,9 @@
   BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
 }
 
-// Seeds withheld their version vectors when many newcomers asked at once: most of the fleet knew
-// only itself for many seconds.
-BOOST_AUTO_TEST_CASE(nodes_meet_though_most_of_the_first_messages_are_lost) {
+// Regression: seeds withheld their version vectors when many nodes joined at once; most of the
+// fleet knew only itself for many seconds.
+BOOST_AUTO_TEST_CASE(nodes_join_though_most_of_the_first_messages_are_lost) {
   TestFleet fleet;
   const Time lossEnds = fleet.harness.now + std::chrono::seconds(1);
   fleet.harness.filter = [&](const Harness::Envelope&) {
@@ -66,9 +66,9 @@
   BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
 }
 
-BOOST_AUTO_TEST_CASE(sixty_newcomers_at_once_know_a_large_fleet_within_two_seconds) {
-  constexpr int kNewcomers = 60;
-  constexpr int kAll = kLarge + kNewcomers;
+BOOST_AUTO_TEST_CASE(sixty_nodes_that_join_at_once_know_a_large_fleet_within_two_seconds) {
+  constexpr int kJoining = 60;
+  constexpr int kAll = kLarge + kJoining;
   TestFleet fleet;
   startAll(fleet, kLarge);
   fleet.advance(10);
@@ -79,7 +79,7 @@
   BOOST_TEST(fleet.countAlivePairs() == kAll * (kAll - 1));
 }
 
-BOOST_AUTO_TEST_CASE(forming_costs_each_node_a_few_copies_of_the_directory) {
+BOOST_AUTO_TEST_CASE(forming_costs_each_node_a_few_times_the_size_of_the_directory) {
   constexpr std::size_t kCopies = 12;
   TestFleet fleet;
   Traffic traffic(fleet);
@@ -92,35 +92,35 @@
   BOOST_TEST(traffic.messages / kLarge < 400U);
 }
 
-BOOST_AUTO_TEST_CASE(a_newcomer_knows_a_large_fleet_within_a_second) {
+BOOST_AUTO_TEST_CASE(a_joining_node_knows_a_large_fleet_within_a_second) {
   TestFleet fleet;
   startAll(fleet, kLarge);
   fleet.advance(10);
   fleet.start(kLarge);
   fleet.advance(1);
-  BOOST_TEST(fleet.countHolding(kLarge, NodeState::Alive) == kLarge);
+  BOOST_TEST(fleet.countNodesSeeing(kLarge, NodeState::Alive) == kLarge);
   BOOST_TEST(fleet.countAlivePairs() == (kLarge + 1) * kLarge);
 }
 
-// Each change went from its origin to all nodes, over as many links.
+// Regression: each change went from its origin to all nodes, over as many links.
 BOOST_AUTO_TEST_CASE(a_change_reaches_a_large_fleet_over_a_bounded_number_of_links) {
-  constexpr std::size_t kMostLinks = 40;
+  constexpr std::size_t kMaxLinks = 40;
   TestFleet fleet;
   startAll(fleet, kLarge);
   fleet.advance(10);
   Traffic traffic(fleet);
   fleet.cores.at(TestFleet::id(4))->announceDraining(true);
   fleet.harness.advance(std::chrono::milliseconds(150));
-  const int holding = fleet.countHolding(4, NodeState::Draining);
+  const int holding = fleet.countNodesSeeing(4, NodeState::Draining);
   BOOST_TEST(holding >= kLarge * 9 / 10);
-  BOOST_TEST(traffic.mostReceivers() < kMostLinks);
+  BOOST_TEST(traffic.maxReceivers() < kMaxLinks);
   fleet.advance(3);
-  BOOST_TEST(fleet.countHolding(4, NodeState::Draining) == kLarge - 1);
+  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) == kLarge - 1);
 }
 
 // A few differing records cost a few entries, not a whole vector.
-BOOST_AUTO_TEST_CASE(one_missed_change_is_repaired_at_a_cost_that_does_not_grow_with_the_fleet) {
-  constexpr std::size_t kMostBytes = 8192;
+BOOST_AUTO_TEST_CASE(one_lost_change_is_repaired_at_a_cost_that_does_not_grow_with_the_fleet) {
+  constexpr std::size_t kMaxBytes = 8192;
   TestFleet fleet;
   startAll(fleet, kLarge);
   fleet.advance(10);
@@ -128,15 +128,15 @@
   fleet.harness.queue.clear();
   Traffic traffic(fleet);
   fleet.advance(8);
-  BOOST_TEST(fleet.countHolding(4, NodeState::Draining) == kLarge - 1);
+  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) == kLarge - 1);
   const std::size_t perNode = traffic.bytes / kLarge;
   BOOST_TEST_MESSAGE("bytes per node: " << perNode);
-  BOOST_TEST(perNode < kMostBytes);
+  BOOST_TEST(perNode < kMaxBytes);
 }
 
-// The kinds of bad days, with nothing but directories.
+// Fleet-wide faults, with nothing but directories.
 
-BOOST_AUTO_TEST_CASE(a_large_fleet_whose_processes_all_start_again_meets_again) {
+BOOST_AUTO_TEST_CASE(a_large_fleet_whose_processes_all_restart_forms_again) {
   TestFleet fleet;
   startAll(fleet, kLarge);
   fleet.advance(5);
@@ -149,23 +149,23 @@
   BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
 }
 
-BOOST_AUTO_TEST_CASE(the_loss_of_a_zone_is_known_to_all_others_within_fourteen_pings) {
+BOOST_AUTO_TEST_CASE(the_failure_of_a_zone_is_known_to_all_others_within_fourteen_pings) {
   constexpr int kZones = 3;
-  constexpr int kLeft = kLarge * (kZones - 1) / kZones;
+  constexpr int kRemaining = kLarge * (kZones - 1) / kZones;
   TestFleet fleet;
   startAll(fleet, kLarge);
   fleet.advance(5);
   for (int i = 0; i < kLarge; i += kZones) {
     fleet.kill(i);
   }
-  fleet.advance(kPingsToKnow);
+  fleet.advance(kPingsToDetect);
   for (int i = 0; i < kLarge; i += kZones) {
-    BOOST_TEST(fleet.countHolding(i, NodeState::Dead) == kLeft);
+    BOOST_TEST(fleet.countNodesSeeing(i, NodeState::Dead) == kRemaining);
   }
-  BOOST_TEST(fleet.countAlivePairs() == kLeft * (kLeft - 1));
+  BOOST_TEST(fleet.countAlivePairs() == kRemaining * (kRemaining - 1));
 }
 
-BOOST_AUTO_TEST_CASE(a_rolling_restart_of_a_large_fleet_leaves_nobody_dead) {
+BOOST_AUTO_TEST_CASE(after_a_rolling_restart_of_a_large_fleet_no_node_is_dead) {
   constexpr int kAtOnce = 15;
   TestFleet fleet;
   startAll(fleet, kLarge);
@@ -187,41 +187,41 @@
   BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
 }
 
-BOOST_AUTO_TEST_CASE(two_halves_of_a_large_fleet_that_were_cut_find_each_other_again) {
+BOOST_AUTO_TEST_CASE(two_partitioned_halves_of_a_large_fleet_rejoin) {
   TestFleet fleet;
   startAll(fleet, kLarge);
   fleet.advance(5);
   for (int i = 0; i < kLarge; i += 2) {
-    fleet.otherSide.insert(TestFleet::id(i));
+    fleet.otherPartition.insert(TestFleet::id(i));
   }
   fleet.advance(8);
-  fleet.otherSide.clear();
+  fleet.otherPartition.clear();
   fleet.advance(20);
   BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
 }
 
-BOOST_AUTO_TEST_CASE(nodes_that_leave_at_short_notice_are_known_to_drain_and_then_to_be_dead) {
-  constexpr int kLeaving = 60;
+BOOST_AUTO_TEST_CASE(nodes_that_drain_at_short_notice_are_seen_draining_and_then_dead) {
+  constexpr int kDeparting = 60;
   TestFleet fleet;
   startAll(fleet, kLarge);
   fleet.advance(5);
-  for (int i = 0; i < kLeaving; ++i) {
+  for (int i = 0; i < kDeparting; ++i) {
     fleet.cores.at(TestFleet::id(i))->announceDraining(true);
   }
   fleet.advance(2);
-  for (int i = 0; i < kLeaving; ++i) {
-    BOOST_TEST(fleet.countHolding(i, NodeState::Draining) == kLarge - 1);
+  for (int i = 0; i < kDeparting; ++i) {
+    BOOST_TEST(fleet.countNodesSeeing(i, NodeState::Draining) == kLarge - 1);
   }
-  for (int i = 0; i < kLeaving; ++i) {
+  for (int i = 0; i < kDeparting; ++i) {
     fleet.kill(i);
   }
-  fleet.advance(kPingsToKnow);
-  for (int i = 0; i < kLeaving; ++i) {
-    BOOST_TEST(fleet.countHolding(i, NodeState::Dead) == kLarge - kLeaving);
+  fleet.advance(kPingsToDetect);
+  for (int i = 0; i < kDeparting; ++i) {
+    BOOST_TEST(fleet.countNodesSeeing(i, NodeState::Dead) == kLarge - kDeparting);
   }
 }
 
-BOOST_AUTO_TEST_CASE(mutation_without_passing_on_a_change_reaches_few) {
+BOOST_AUTO_TEST_CASE(mutation_without_forwarding_a_change_reaches_few) {
   DirectoryOptions options;
   options.forwardTargets = 0;
   TestFleet fleet(options);
@@ -229,5 +229,5 @@
   fleet.advance(15);
   fleet.cores.at(TestFleet::id(4))->announceDraining(true);
   fleet.harness.advance(std::chrono::milliseconds(150));
-  BOOST_TEST(fleet.countHolding(4, NodeState::Draining) < kLarge / 2);
+  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) < kLarge / 2);
 }
--- a/tests/membership/test_fleet.h
+++ b/tests/membership/test_fleet.h
@@ -1,5 +1,6 @@
 /// @file
-/// A fleet of directory cores on a hand-driven host, with kills, freezes and cuts.
+/// A fleet of directory cores on a test harness with a manual clock, with kills, stalls and network
+/// partitions.
 #pragma once
 
 #include "core_harness.h"
@@ -44,18 +45,18 @@
     contexts_[id(index)] = &harness.context(id(index).address, ServiceId::Directory);
   }
 
-  /// Stops a node's timers and holds its messages until `thaw`.
-  void freeze(int index) {
-    frozenTimers_[id(index)] = std::move(contexts_[id(index)]->timers);
+  /// Stops a node's timers and queues its messages until `resume`.
+  void stall(int index) {
+    stalledTimers_[id(index)] = std::move(contexts_[id(index)]->timers);
     contexts_[id(index)]->timers.clear();
   }
-  void thaw(int index) {
-    contexts_[id(index)]->timers = frozenTimers_[id(index)];
-    frozenTimers_.erase(id(index));
-    for (Harness::Envelope& envelope : held_[id(index)]) {
+  void resume(int index) {
+    contexts_[id(index)]->timers = stalledTimers_[id(index)];
+    stalledTimers_.erase(id(index));
+    for (Harness::Envelope& envelope : undelivered_[id(index)]) {
       harness.queue.push_back(std::move(envelope));
     }
-    held_.erase(id(index));
+    undelivered_.erase(id(index));
   }
 
   void advance(int seconds) { harness.advance(std::chrono::seconds(seconds)); }
@@ -70,8 +71,8 @@
     return cores.at(id(viewer))->table()->find(id(index))->incarnation;
   }
 
-  /// Number of running nodes, other than @p index itself, that hold it in @p state.
-  int countHolding(int index, NodeState state) {
+  /// Number of running nodes, other than @p index itself, that see it in @p state.
+  int countNodesSeeing(int index, NodeState state) {
     int count = 0;
     for (const auto& core : cores) {
       const auto table = core.second->table();
@@ -81,7 +82,7 @@
     return count;
   }
 
-  /// Number of ordered pairs of running nodes of which the first holds the second as alive.
+  /// Number of ordered pairs of running nodes of which the first sees the second as alive.
   int countAlivePairs() {
     int count = 0;
     for (const auto& core : cores) {
@@ -98,17 +99,17 @@
 
   Harness harness;
   std::map<NodeId, std::unique_ptr<DirectoryCore>> cores;
-  std::set<NodeId> otherSide;                       ///< Cut off from all nodes not in the set.
-  std::set<std::pair<NodeId, NodeId>> brokenLinks;  ///< Sender and receiver.
+  std::set<NodeId> otherPartition;                   ///< Cut off from all nodes not in the set.
+  std::set<std::pair<NodeId, NodeId>> blockedLinks;  ///< Sender and receiver.
 
  private:
   bool passes(const Harness::Envelope& envelope) {
-    if (otherSide.count(envelope.from) != otherSide.count(envelope.to) ||
-        brokenLinks.count({envelope.from, envelope.to}) != 0) {
+    if (otherPartition.count(envelope.from) != otherPartition.count(envelope.to) ||
+        blockedLinks.count({envelope.from, envelope.to}) != 0) {
       return false;
     }
-    if (frozenTimers_.count(envelope.to) != 0) {
-      held_[envelope.to].push_back(envelope);
+    if (stalledTimers_.count(envelope.to) != 0) {
+      undelivered_[envelope.to].push_back(envelope);
       return false;
     }
     return true;
@@ -116,8 +117,8 @@
 
   DirectoryOptions options_;
   std::map<NodeId, HarnessContext*> contexts_;
-  std::map<NodeId, std::map<TimerId, Time>> frozenTimers_;
-  std::map<NodeId, std::vector<Harness::Envelope>> held_;
+  std::map<NodeId, std::map<TimerId, Time>> stalledTimers_;
+  std::map<NodeId, std::vector<Harness::Envelope>> undelivered_;
 };
 
 }  // namespace shedshed::test
