--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -1,6 +1,7 @@
 #include "ctl/command_line.h"
 
 #include "ctl/exit_code.h"
+#include "settings/ip_port.h"
 #include "settings/process_settings.h"
 
 #include <cmath>
--- a/src/ctl/stores_commands.cpp
+++ b/src/ctl/stores_commands.cpp
@@ -2,8 +2,8 @@
 
 #include "ctl/fleet_view.h"
 #include "ctl/store_replacement.h"
+#include "settings/ip_port.h"
 #include "settings/json.h"
-#include "settings/process_settings.h"
 
 namespace shedshed::ctl {
 
--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/caller_session.cpp
@@ -144,9 +144,9 @@
   setUnackedTimeout(socket_, kUnackedTimeout);
 }
 
-CallerBounds CallerSession::bounds() const {
+ClientLimits CallerSession::bounds() const {
   const auto settings = services_.settings.read();
-  return settings == nullptr ? CallerBounds{} : settings->routes().bounds();
+  return settings == nullptr ? ClientLimits{} : settings->routes().clientLimits();
 }
 
 void CallerSession::run(net::yield_context yield) {
@@ -177,7 +177,7 @@
   }
 }
 
-bool CallerSession::readCall(Parser& parser, const CallerBounds& bounds, SessionWriter& writer,
+bool CallerSession::readCall(Parser& parser, const ClientLimits& bounds, SessionWriter& writer,
                              net::yield_context yield) {
   parser.header_limit(static_cast<std::uint32_t>(bounds.maxHeaderBytes));
   parser.body_limit(bounds.maxBodyBytes);
@@ -264,7 +264,7 @@
 }
 
 bool CallerSession::serve(net::yield_context yield) {
-  const CallerBounds limits = bounds();
+  const ClientLimits limits = bounds();
   if (!waitForCall(limits.idleTimeout, yield)) {
     return false;
   }
--- a/src/gateway/caller_session.h
+++ b/src/gateway/caller_session.h
@@ -82,14 +82,14 @@
   bool waitForCall(Duration idle, boost::asio::yield_context yield);
   /// Reads a call. False if the connection is to be closed without an answer; `refusal_` is set if
   /// the call must be refused, and the connection closed.
-  bool readCall(Parser& parser, const CallerBounds& bounds, SessionWriter& writer,
+  bool readCall(Parser& parser, const ClientLimits& bounds, SessionWriter& writer,
                 boost::asio::yield_context yield);
   void takeCall(Parser& parser, GatewayCall& call);
   bool answer(GatewayCall& call, SessionWriter& writer, bool keepAlive,
               boost::asio::yield_context yield);
   bool refuse(const Error& error, const std::string& requestId, SessionWriter& writer,
               boost::asio::yield_context yield);
-  CallerBounds bounds() const;
+  ClientLimits bounds() const;
 
   GatewayShared& shared_;
   GatewayServices& services_;
--- a/src/operators/fleet_commands.cpp
+++ b/src/operators/fleet_commands.cpp
@@ -1,8 +1,8 @@
 #include "operators/fleet_commands.h"
 
 #include "operators/status_json.h"
+#include "settings/ip_port.h"
 #include "settings/json.h"
-#include "settings/process_settings.h"
 
 #include <set>
 
--- a/src/operators/operators_server.cpp
+++ b/src/operators/operators_server.cpp
@@ -1,7 +1,7 @@
 #include "operators/operators_server.h"
 
 #include "operators/operators_responder.h"
-#include "settings/process_settings.h"
+#include "settings/ip_port.h"
 
 #include <cxxtools/eventloop.h>
 #include <cxxtools/http/server.h>
--- a/src/settings/item_change.cpp
+++ b/src/settings/item_change.cpp
@@ -82,22 +82,22 @@
   if (!settings) {
     return settings.error();
   }
-  Result<JsonDocument> wanted = JsonDocument::parse(change, SettingsParser::kBounds);
-  if (!wanted) {
-    return wanted.error();
+  Result<JsonDocument> requested = JsonDocument::parse(change, SettingsParser::kBounds);
+  if (!requested) {
+    return requested.error();
   }
   cJSON* root = settings.value().root();
-  const cJSON* version = jsonMember(wanted.value().root(), "version");
+  const cJSON* version = jsonMember(requested.value().root(), "version");
   if (!cJSON_IsNumber(version)) {
     return jsonError("/version", version, "the new version");
   }
   cJSON_DeleteItemFromObjectCaseSensitive(root, "version");
   cJSON_AddItemToObject(root, "version", cJSON_Duplicate(version, 1));
-  if (Status status = forEachSection(wanted.value().root(), "remove", root, &removeItems);
+  if (Status status = forEachSection(requested.value().root(), "remove", root, &removeItems);
       !status) {
     return status.error();
   }
-  if (Status status = forEachSection(wanted.value().root(), "upsert", root, &upsertItems);
+  if (Status status = forEachSection(requested.value().root(), "upsert", root, &upsertItems);
       !status) {
     return status.error();
   }
--- a/src/settings/item_change.h
+++ b/src/settings/item_change.h
@@ -1,5 +1,5 @@
 /// @file
-/// Changes of named items of the settings: a part of a whole, under a new named version.
+/// Changes of named items of the settings: a partial update under a new version.
 #pragma once
 
 #include "kernel/error.h"
@@ -12,8 +12,8 @@
 /// Applies @p change to the settings @p current and returns the new text.
 ///
 /// The change is an object: `version` becomes that of the settings; `upsert` holds for each section
-/// (such as `routes`) the items to add, or to replace whole, by name; `remove` holds for each
-/// section an array of names. Names to be removed that do not exist are passed over. Fails with
+/// (such as `routes`) the items to add, or to replace completely, by name; `remove` holds for each
+/// section an array of names. Names to be removed that do not exist are ignored. Fails with
 /// `InvalidArgument` or `TooLarge`.
 Result<std::string> applyItemChange(std::string_view current, std::string_view change);
 
--- a/src/settings/json.cpp
+++ b/src/settings/json.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Longest piece of a refused value that an error repeats, in bytes.
+/// Longest prefix of a rejected value that an error repeats, in bytes.
 constexpr std::size_t kMaxShownBytes = 80;
 
 constexpr std::string_view kEscapedZero = "\\u0000";
@@ -31,7 +31,7 @@
   Status checkInString() {
     const char character = text_[position_];
     if (character == '\0' || text_.substr(position_, kEscapedZero.size()) == kEscapedZero) {
-      return refuse(ErrorCode::InvalidArgument, "zero characters are not allowed");
+      return reject(ErrorCode::InvalidArgument, "zero characters are not allowed");
     }
     if (character == '\\') {
       ++position_;
@@ -44,7 +44,7 @@
   Status checkOutside() {
     switch (text_[position_]) {
     case '\0':
-      return refuse(ErrorCode::InvalidArgument, "zero characters are not allowed");
+      return reject(ErrorCode::InvalidArgument, "zero characters are not allowed");
     case '"':
       inString_ = true;
       return okStatus();
@@ -52,7 +52,7 @@
     case '[':
       ++depth_;
       if (depth_ > maxDepth_) {
-        return refuse(ErrorCode::TooLarge,
+        return reject(ErrorCode::TooLarge,
                       "at most " + std::to_string(maxDepth_) + " nested levels are allowed");
       }
       return okStatus();
@@ -65,7 +65,7 @@
     }
   }
 
-  Status refuse(ErrorCode code, const std::string& what) const {
+  Status reject(ErrorCode code, const std::string& what) const {
     return makeError(code, "JSON at byte " + std::to_string(position_) + ": " + what);
   }
 
@@ -76,7 +76,7 @@
   bool inString_ = false;
 };
 
-/// Refuses duplicate keys and numbers that are not finite, in the whole tree.
+/// Rejects duplicate keys and numbers that are not finite, in the whole tree.
 Status checkTree(const cJSON* node, const std::string& path) {
   if (cJSON_IsNumber(node) && !std::isfinite(node->valuedouble)) {
     return makeError(ErrorCode::InvalidArgument, path + ": the number is out of range");
@@ -113,7 +113,7 @@
   }
   const std::string terminated(text);
   const char* end = nullptr;
-  // With the terminating zero included, cJSON also refuses anything after the value.
+  // With the terminating zero included, cJSON also rejects anything after the value.
   JsonDocument document(
       cJSON_ParseWithLengthOpts(terminated.c_str(), terminated.size() + 1, &end, 1));
   if (document.root() == nullptr) {
@@ -176,9 +176,9 @@
   if (shown.size() > kMaxShownBytes) {
     shown = shown.substr(0, kMaxShownBytes) + "...";
   }
-  const std::string place = path.empty() ? "/" : path;
+  const std::string shownPath = path.empty() ? "/" : path;
   return makeError(ErrorCode::InvalidArgument,
-                   place + ": found " + shown + "; allowed: " + allowed);
+                   shownPath + ": found " + shown + "; allowed: " + allowed);
 }
 
 }  // namespace shedshed
--- a/src/settings/json.h
+++ b/src/settings/json.h
@@ -2,8 +2,8 @@
 /// Bounded JSON documents on top of cJSON.
 ///
 /// cJSON alone accepts what outside input must not carry: duplicate keys, thousands of nested
-/// levels, a zero byte that cuts a string short, numbers that overflow. `JsonDocument::parse`
-/// refuses these, so that code behind it may trust the tree.
+/// levels, a zero byte that truncates a string, numbers that overflow. `JsonDocument::parse`
+/// rejects these, so that its callers may rely on the tree.
 #pragma once
 
 #include "kernel/error.h"
@@ -38,7 +38,7 @@
 
   cJSON* root() const { return root_.get(); }
 
-  /// Gives up the ownership of the tree.
+  /// Releases the ownership of the tree.
   cJSON* release() { return root_.release(); }
 
   /// Returns the text without white space.
--- a/src/settings/process_flags.cpp
+++ b/src/settings/process_flags.cpp
@@ -48,21 +48,29 @@
   return okStatus();
 }
 
-Status ProcessFlags::apply(ProcessSettings& settings, std::map<std::string, bool>& given) const {
+Status ProcessFlags::apply(ProcessSettings& settings, std::set<std::string>& given) const {
   for (std::size_t index = 0; index < keys_.size(); ++index) {
     if (values_[index] == nullptr) {
       continue;
     }
-    if (!keys_[index]->store(settings, values_[index])) {
+    if (!keys_[index]->parse(settings, values_[index])) {
       return makeError(ErrorCode::InvalidArgument, "--" + names_[index] + ": found \"" +
                                                        values_[index] +
                                                        "\"; allowed: " + keys_[index]->allowed);
     }
-    given[keys_[index]->name] = true;
+    given.insert(keys_[index]->name);
   }
   return okStatus();
 }
 
+std::optional<std::string> ProcessFlags::file() const {
+  // An empty path counts as none.
+  if (file_ == nullptr || *file_ == '\0') {
+    return std::nullopt;
+  }
+  return std::string(file_);
+}
+
 std::string ProcessFlags::helpText() const {
   char* text = nullptr;
   std::size_t size = 0;
--- a/src/settings/process_flags.h
+++ b/src/settings/process_flags.h
@@ -1,16 +1,20 @@
 /// @file
-/// The command line of a process.
+/// The flags on the command line of a process.
 #pragma once
 
 #include "settings/process_keys.h"
 
-#include <map>
 #include <memory>
+#include <optional>
 #include <popt.h>
+#include <set>
+#include <string>
+#include <vector>
 
 namespace shedshed {
 
-/// The flags of one process kind, in the form popt wants them.
+/// Parses the flags of one kind of process with popt. Owns the table and the values that popt
+/// refers to, so that it cannot be copied.
 class ProcessFlags {
  public:
   explicit ProcessFlags(ProcessKind kind);
@@ -18,16 +22,17 @@
   ProcessFlags(const ProcessFlags&) = delete;
   ProcessFlags& operator=(const ProcessFlags&) = delete;
 
-  /// Fails with `InvalidArgument` on an unknown flag or a word that is no flag.
+  /// Fails with `InvalidArgument` on an unknown flag or an argument that is no flag.
   Status read(int argc, const char** argv);
 
-  /// Stores the values of the flags that were given, and notes their keys in @p given.
-  Status apply(ProcessSettings& settings, std::map<std::string, bool>& given) const;
+  /// Stores the values of the given flags in @p settings and adds their keys to @p given. Fails
+  /// with `InvalidArgument`; the detail names the flag, its value and what is allowed.
+  Status apply(ProcessSettings& settings, std::set<std::string>& given) const;
 
-  /// Path of the settings file; "" if none was named.
-  std::string file() const { return file_ == nullptr ? std::string() : std::string(file_); }
-  bool wantsHelp() const { return help_ != 0; }
-  bool wantsVersion() const { return version_ != 0; }
+  /// Path of the settings file; nullopt if none was named.
+  std::optional<std::string> file() const;
+  bool helpRequested() const { return help_ != 0; }
+  bool versionRequested() const { return version_ != 0; }
   std::string helpText() const;
 
  private:
--- a/src/settings/process_keys.h
+++ b/src/settings/process_keys.h
@@ -1,10 +1,10 @@
 /// @file
-/// The keys of a process's settings file, which are its flags too.
+/// The table of the keys of a process's settings file; each is a flag of the command line, too.
 #pragma once
 
 #include "settings/process_settings.h"
+#include "settings/process_values.h"
 
-#include <functional>
 #include <string>
 #include <vector>
 
@@ -12,13 +12,12 @@
 
 /// One key of the file and its flag.
 struct ProcessKey {
-  const char* name;  ///< Key in the file; the flag has '-' in place of '_'.
+  const char* name;  ///< Key in the file; the flag has '-' in shownPath of '_'.
   bool forData;
   bool forControl;
   bool required;
-  const char* allowed;
-  /// Stores the value; false if it is not allowed.
-  std::function<bool(ProcessSettings&, const std::string&)> store;
+  const char* allowed;  ///< What is allowed, for errors and the help text.
+  ProcessValueParser parse;
 
   bool appliesTo(ProcessKind kind) const {
     return kind == ProcessKind::Data ? forData : forControl;
--- a/src/settings/process_settings.h
+++ b/src/settings/process_settings.h
@@ -35,10 +35,10 @@
   std::string fleetKeyFile;
   std::string operatorKeyFile;
   LogLevel logLevel = LogLevel::Info;
-  std::string readyAddress;         ///< Data processes: where readiness is asked for; may be empty.
+  std::string readyAddress;         ///< Data processes: address of readiness checks; may be empty.
   std::string listingAddress;       ///< "ip:port" of the listing of engines; empty: the register's.
   std::uint16_t seedPort = 0;       ///< Replaces the port of each seed; 0: the seeds' own.
-  std::uint32_t diskMegabytes = 0;  ///< Room for the ring; 0: not bounded.
+  std::uint32_t diskMegabytes = 0;  ///< Capacity of the ring; 0: not bounded.
   /// Disks that may be lost at once without the loss of anything acknowledged. Read when a fleet is
   /// formed.
   std::uint32_t toleratedLosses = 1;
@@ -54,9 +54,6 @@
 /// `InvalidArgument`; the detail names the file or flag, the key, the value and what is allowed.
 Result<ProcessSettings> parseProcessSettings(int argc, const char** argv, ProcessKind kind);
 
-/// True if @p text is "a.b.c.d:port" with a port from 1 to 65535.
-bool isIpPort(const std::string& text);
-
 /// Text of the program's version, as `--version` prints it.
 std::string versionText(const std::string& programName);
 
--- a/src/settings/route_table.h
+++ b/src/settings/route_table.h
@@ -1,6 +1,6 @@
 /// @file
-/// Routes, services and bounds of the callers' traffic: the part of the settings that says which
-/// call goes where.
+/// Routes, services and limits of client traffic: the part of the settings that decides which
+/// request goes to which engines.
 #pragma once
 
 #include "kernel/error.h"
@@ -15,15 +15,15 @@
 
 namespace shedshed {
 
-/// What may be done with a call of a route.
+/// How the requests of a route may be executed.
 enum class RouteKind : std::uint8_t {
   Safe,       ///< May run more than once.
-  Unsafe,     ///< Runs at most once per attempt of its caller.
-  Streaming,  ///< Answered event by event; runs at most once unless it is resumable.
-  Batch,      ///< Batches are handed in and read here.
+  Unsafe,     ///< Runs at most once per attempt of its client.
+  Streaming,  ///< Answered as an event stream; runs at most once unless resumable.
+  Batch,      ///< Batches are submitted and read here.
 };
 
-/// A service with its share of a route's calls.
+/// A service with its weight among those of a route.
 struct WeightedService {
   std::string service;
   double weight = 1;
@@ -35,29 +35,30 @@
   std::string host;
   std::string pathPrefix;  ///< Begins and ends with '/'.
   RouteKind kind = RouteKind::Unsafe;
-  Duration timeout{0};    ///< `timeout_ms`: the longest that a call is held.
-  Duration objective{0};  ///< `target_ms`: to the whole answer, or to the first event.
+  Duration timeout{0};  ///< `timeout_ms`: the deadline of a call.
+  Duration objective{
+      0};  ///< `target_ms`: latency target of the complete response, or the first event.
   std::uint32_t priority = 0;
-  std::uint32_t maxAttempts = 1;  ///< Engines that one call may be sent to.
+  std::uint32_t maxAttempts = 1;  ///< Largest number of attempts, at different engines.
   bool isPublic = false;          ///< Calls need no key.
-  bool resumable = false;         ///< A stream may go on at another engine.
+  bool resumable = false;         ///< A stream may continue at another engine.
   Duration runObjective{0};       ///< `run_target_ms`: all results of a batch are due.
-  Duration maxWait{0};            ///< `max_wait_s`: after that an item may be given up.
-  /// `max_queued_tokens`: most tokens of one tenant's unfinished items; 0: not bounded.
+  Duration maxWait{0};            ///< `max_wait_s`: after that an item may be abandoned.
+  /// `max_queued_tokens`: maximum tokens of one tenant's unfinished items; 0: not bounded.
   std::uint64_t maxQueuedTokens = 0;
-  std::vector<WeightedService> services; /*!< Not empty; weights add up to more than 0. */
+  std::vector<WeightedService> services;  ///< Not empty; the sum of the weights is above 0.
 };
 
-/// One service: a set of engines that are equal to callers.
+/// One service: a set of engines that are interchangeable to clients.
 struct ServiceSettings {
   std::string name;
   std::uint32_t maxConnections = 0;  ///< Of one engine, from all nodes together; 0: not bounded.
-  std::uint32_t slots = 0;           ///< Requests that an engine works on at once.
-  std::uint64_t cacheTokens = 0;     ///< Tokens that an engine's memory holds.
+  std::uint32_t slots = 0;           ///< Concurrent requests of an engine.
+  std::uint64_t cacheTokens = 0;     ///< Capacity of an engine's KV cache, in tokens.
 };
 
-/// Bounds of what a caller may send and of how long it may take.
-struct CallerBounds {
+/// Limits of what a client may send and of how long it may take.
+struct ClientLimits {
   std::uint64_t maxHeaderBytes = 16U << 10U;
   std::uint64_t maxBodyBytes = 4U << 20U;
   Duration headerTimeout = std::chrono::seconds(5);
@@ -84,21 +85,17 @@
 
   /// The shortest time in which the results of a batch are due; 0 if no route names one.
   Duration shortestRunObjective() const;
-  const CallerBounds& bounds() const { return bounds_; }
+  const ClientLimits& clientLimits() const { return limits_; }
   bool empty() const { return routes_.empty(); }
 
  private:
-  Status parseServices(const cJSON* node);
-  Status parseRoutes(const cJSON* node);
-  Status parseRoute(const cJSON* node, const std::string& path);
-  Status parseRouteServices(const cJSON* node, const std::string& path, RouteSettings& route) const;
-  Status parseBounds(const cJSON* node);
+  friend class RouteTableParser;
 
   std::map<std::string, RouteSettings> routes_;  ///< By name.
   std::map<std::string, ServiceSettings> services_;
   /// Names of the routes by host, then by prefix.
   std::map<std::string, std::map<std::string, std::string>, std::less<>> byHost_;
-  CallerBounds bounds_;
+  ClientLimits limits_;
 };
 
 }  // namespace shedshed
--- a/src/settings/setting_field.cpp
+++ b/src/settings/setting_field.cpp
@@ -10,8 +10,8 @@
 
 constexpr double kTooManyRequests = 429;
 constexpr double kServiceUnavailable = 503;
-constexpr std::string_view kOpenWord = "open";
-constexpr std::string_view kClosedWord = "closed";
+constexpr std::string_view kFailOpenName = "open";
+constexpr std::string_view kFailClosedName = "closed";
 
 std::string numberText(double number) {
   return JsonDocument(cJSON_CreateNumber(number)).print();
@@ -33,7 +33,7 @@
   field.apply_ = [overriding, value](const Overrides& overrides, EffectiveSettings& effective) {
     effective.*value = (overrides.*overriding).value_or(effective.*value);
   };
-  field.read_ = [value](const EffectiveSettings& effective) {
+  field.number_ = [value](const EffectiveSettings& effective) {
     return static_cast<double>(effective.*value);
   };
   return field;
@@ -53,7 +53,7 @@
   field.apply_ = [overriding, value](const Overrides& overrides, EffectiveSettings& effective) {
     effective.*value = (overrides.*overriding).value_or(effective.*value);
   };
-  field.read_ = [value, ticksPerUnit](const EffectiveSettings& effective) {
+  field.number_ = [value, ticksPerUnit](const EffectiveSettings& effective) {
     return static_cast<double>((effective.*value).count()) / ticksPerUnit;
   };
   return field;
@@ -65,22 +65,22 @@
   const Duration second = std::chrono::seconds(1);
   const Duration millisecond = std::chrono::milliseconds(1);
   return {
-      plain("per_s", Kind::Real, 0, 100000, &O::perSecond, &E::perSecond),
-      plain("burst", Kind::Whole, 0, 100000, &O::burst, &E::burst),
-      duration("live_slot_ttl_s", Kind::Real, 1, 3600, second, &O::liveSlotTtl, &E::liveSlotTtl),
-      duration("item_slot_ttl_s", Kind::Real, 1, 3600, second, &O::itemSlotTtl, &E::itemSlotTtl),
-      duration("poll_ms", Kind::Whole, 10, 10000, millisecond, &O::poll, &E::poll),
-      duration("block_ms", Kind::Whole, 0, 60000, millisecond, &O::block, &E::block),
+      plain("per_s", Kind::Number, 0, 100000, &O::perSecond, &E::perSecond),
+      plain("burst", Kind::Integer, 0, 100000, &O::burst, &E::burst),
+      duration("live_slot_ttl_s", Kind::Number, 1, 3600, second, &O::liveSlotTtl, &E::liveSlotTtl),
+      duration("item_slot_ttl_s", Kind::Number, 1, 3600, second, &O::itemSlotTtl, &E::itemSlotTtl),
+      duration("poll_ms", Kind::Integer, 10, 10000, millisecond, &O::poll, &E::poll),
+      duration("block_ms", Kind::Integer, 0, 60000, millisecond, &O::block, &E::block),
       plain("fail_mode", Kind::FailMode, 0, 1, &O::failMode, &E::failMode),
       plain("refusal_status", Kind::RefusalStatus, kTooManyRequests, kServiceUnavailable,
             &O::refusalStatus, &E::refusalStatus),
-      duration("retry_after_s", Kind::Whole, 1, 3600, second, &O::retryAfter, &E::retryAfter),
-      duration("requeue_delay_s", Kind::Real, 0.1, 3600, second, &O::requeueDelay,
+      duration("retry_after_s", Kind::Integer, 1, 3600, second, &O::retryAfter, &E::retryAfter),
+      duration("requeue_delay_s", Kind::Number, 0.1, 3600, second, &O::requeueDelay,
                &E::requeueDelay),
-      plain("routing_load_bound", Kind::Real, 1, 100, &O::routingLoadBound, &E::routingLoadBound),
-      plain("batch_reserve", Kind::Real, 0, 1, &O::batchReserve, &E::batchReserve),
-      plain("max_body_bytes", Kind::Whole, 1024, 64 << 20, &O::maxBodyBytes, &E::maxBodyBytes),
-      plain("max_batch_items", Kind::Whole, 1, 1000000, &O::maxBatchItems, &E::maxBatchItems),
+      plain("routing_load_bound", Kind::Number, 1, 100, &O::routingLoadBound, &E::routingLoadBound),
+      plain("batch_reserve", Kind::Number, 0, 1, &O::batchReserve, &E::batchReserve),
+      plain("max_body_bytes", Kind::Integer, 1024, 64 << 20, &O::maxBodyBytes, &E::maxBodyBytes),
+      plain("max_batch_items", Kind::Integer, 1, 1000000, &O::maxBatchItems, &E::maxBatchItems),
   };
 }
 
@@ -98,14 +98,14 @@
   return nullptr;
 }
 
-std::optional<double> SettingField::accept(double number) const {
+std::optional<double> SettingField::acceptNumber(double number) const {
   if (kind_ == Kind::FailMode) {
     return std::nullopt;
   }
   if (kind_ == Kind::RefusalStatus && number != kTooManyRequests && number != kServiceUnavailable) {
     return std::nullopt;
   }
-  if (kind_ == Kind::Whole && std::floor(number) != number) {
+  if (kind_ == Kind::Integer && std::floor(number) != number) {
     return std::nullopt;
   }
   if (number < minimum_ || number > maximum_) {
@@ -114,14 +114,14 @@
   return number;
 }
 
-std::optional<double> SettingField::acceptWord(std::string_view word) const {
+std::optional<double> SettingField::acceptName(std::string_view name) const {
   if (kind_ != Kind::FailMode) {
     return std::nullopt;
   }
-  if (word == kOpenWord) {
+  if (name == kFailOpenName) {
     return static_cast<double>(FailMode::Open);
   }
-  if (word == kClosedWord) {
+  if (name == kFailClosedName) {
     return static_cast<double>(FailMode::Closed);
   }
   return std::nullopt;
@@ -130,9 +130,9 @@
 std::string SettingField::allowed() const {
   const std::string range = "from " + numberText(minimum_) + " to " + numberText(maximum_);
   switch (kind_) {
-  case Kind::Real:
+  case Kind::Number:
     return "a number " + range;
-  case Kind::Whole:
+  case Kind::Integer:
     return "a whole number " + range;
   case Kind::RefusalStatus:
     return "429 or 503";
@@ -145,9 +145,9 @@
 std::string SettingField::valueText(const EffectiveSettings& effective) const {
   if (kind_ == Kind::FailMode) {
     const bool open = effective.failMode == FailMode::Open;
-    return "\"" + std::string(open ? kOpenWord : kClosedWord) + "\"";
+    return "\"" + std::string(open ? kFailOpenName : kFailClosedName) + "\"";
   }
-  return numberText(read_(effective));
+  return numberText(number_(effective));
 }
 
 }  // namespace shedshed
--- a/src/settings/setting_field.h
+++ b/src/settings/setting_field.h
@@ -22,20 +22,20 @@
 
   const std::string& name() const { return name_; }
 
-  /// Checks @p number and returns what to
-  /// store; nullopt if it is not allowed.
-  std::optional<double> accept(double number) const;
+  /// Checks @p number and returns the number to store; nullopt if it is not allowed.
+  std::optional<double> acceptNumber(double number) const;
 
-  /// Returns the number that stands for @p word; nullopt unless the field takes words.
-  std::optional<double> acceptWord(std::string_view word) const;
+  /// Returns the number of the enumerator named @p name; nullopt if the field has none of that
+  /// name.
+  std::optional<double> acceptName(std::string_view name) const;
 
-  /// Says in words what is allowed.
+  /// Describes the allowed values, for errors.
   std::string allowed() const;
 
   /// Stores @p number in @p overrides.
   void set(Overrides& overrides, double number) const { set_(overrides, number); }
 
-  /// True if @p overrides holds this key.
+  /// True if @p overrides contains this key.
   bool isSet(const Overrides& overrides) const { return isSet_(overrides); }
 
   /// Copies the key from @p overrides to @p effective if it is set.
@@ -47,7 +47,7 @@
   std::string valueText(const EffectiveSettings& effective) const;
 
  private:
-  enum class Kind : std::uint8_t { Real, Whole, RefusalStatus, FailMode };
+  enum class Kind : std::uint8_t { Number, Integer, RefusalStatus, FailMode };
 
   SettingField(std::string name, Kind kind, double minimum, double maximum)
       : name_(std::move(name)), kind_(kind), minimum_(minimum), maximum_(maximum) {}
@@ -71,7 +71,7 @@
   std::function<void(Overrides&, double)> set_;
   std::function<bool(const Overrides&)> isSet_;
   std::function<void(const Overrides&, EffectiveSettings&)> apply_;
-  std::function<double(const EffectiveSettings&)> read_;
+  std::function<double(const EffectiveSettings&)> number_;
 };
 
 }  // namespace shedshed
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -14,12 +14,12 @@
 /// Size of a key's digest (BLAKE2b-256), in bytes.
 constexpr std::size_t kDigestBytes = 32;
 
-/// Times that a refused item may come back before the results of its batch are due.
+/// Number of times that a rejected item may be requeued before the results of its batch are due.
 constexpr int kRequeuesBeforeDue = 24;
 
-/// The shortest time to live of slots that follows from a due time; a paused holder must not lose
-/// its slots at once.
-constexpr Duration kShortestDerivedTtl = std::chrono::seconds(4);
+/// The shortest time to live of slots that is derived from a due time, so that a node does not lose
+/// its slots by a short stall.
+constexpr Duration kMinDerivedTtl = std::chrono::seconds(4);
 
 }  // namespace
 
@@ -64,12 +64,12 @@
       field.apply(*applied.overrides, values);
     }
   }
-  // A refused item must come back well before the results of its batch are due.
+  // A rejected item must be requeued well before the results of its batch are due.
   const Duration due = routes_.shortestRunObjective();
   if (due > Duration{0}) {
     values.requeueDelay = std::min(values.requeueDelay, Duration(due / kRequeuesBeforeDue));
-    // What a killed front held must be free again before then, too.
-    const Duration longest = std::max(Duration(due * 3 / 4), kShortestDerivedTtl);
+    // The slots of a killed front end must expire before then, too.
+    const Duration longest = std::max(Duration(due * 3 / 4), kMinDerivedTtl);
     values.liveSlotTtl = std::min(values.liveSlotTtl, longest);
     values.itemSlotTtl = std::min(values.itemSlotTtl, longest);
   }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -32,15 +32,15 @@
   Duration retryAfter = std::chrono::seconds(1);
   Duration requeueDelay = std::chrono::seconds(10);
   double routingLoadBound = 1.25;  ///< Spill over above this multiple of the mean load.
-  double batchReserve = 0.1;       ///< Share of engine room kept free for live arrivals.
+  double batchReserve = 0.1;       ///< Fraction of engine capacity reserved for live requests.
   std::uint64_t maxBodyBytes = 1U << 20U;
   std::uint32_t maxBatchItems = 600000;
 };
 
-/// A caller's key. Only the digest is kept.
-struct CallerKey {
+/// An API key of a tenant. Only the digest is kept.
+struct ApiKey {
   std::string digest;  ///< 64 lower-case hex digits: BLAKE2b-256 (libsodium crypto_generichash).
-  bool withdrawn = false;
+  bool revoked = false;
 };
 
 /// The level of the tree that a value in force came from.
@@ -71,26 +71,26 @@
   std::vector<ExplainedSetting> explainEffective(const std::string& tenant,
                                                  const std::string& route) const;
 
-  /// Returns the tenant that owns the bearer key, or nullopt if it is unknown or withdrawn. One
+  /// Returns the tenant that owns the bearer key, or nullopt if it is unknown or revoked. One
   /// digest and one hash lookup, whatever the number of keys.
   std::optional<std::string> tenantOfKey(std::string_view bearerKey) const;
 
   /// Names of all tenants, sorted.
   std::vector<std::string> tenants() const;
 
-  /// The version that the operator gave to these settings; 0 if they name none.
+  /// The version that the operator gave to these settings; 0 if none.
   std::uint64_t namedVersion() const { return namedVersion_; }
 
-  /// Routes, services and bounds of the callers' traffic.
+  /// Routes, services and limits of client traffic.
   const RouteTable& routes() const { return routes_; }
 
-  /// True if any tenant is listed: then a call needs a key, unless its route is public.
+  /// True if any tenant is listed: then a request needs a key, unless its route is public.
   bool hasTenants() const { return !tenants_.empty(); }
 
   /// True if the rate of @p tenant is bounded: it or the fleet names a `per_s` above 0.
   bool hasQuota(const std::string& tenant) const;
 
-  /// Rank of @p tenant, 0 first; nullopt if the tenant names none.
+  /// Priority of @p tenant, 0 first; nullopt if none is set.
   std::optional<std::uint32_t> priorityOf(const std::string& tenant) const;
 
   /// Returns the digest under which @p bearerKey is listed.
@@ -117,7 +117,7 @@
   struct Tenant {
     Overrides overrides;
     std::map<std::string, Overrides> routes;
-    std::vector<CallerKey> keys;
+    std::vector<ApiKey> keys;
     std::optional<std::uint32_t> priority;
   };
   /// The levels that apply to one tenant and route, lowest first; absent ones are left out.
@@ -131,7 +131,7 @@
   RouteTable routes_;
   Overrides fleet_;
   std::map<std::string, Tenant> tenants_;
-  std::unordered_map<std::string, std::string> tenantOfDigest_;  ///< Without withdrawn keys.
+  std::unordered_map<std::string, std::string> tenantOfDigest_;  ///< Without revoked keys.
 
   friend class SettingsParser;
   friend class SettingField;
--- a/src/settings/settings_parser.cpp
+++ b/src/settings/settings_parser.cpp
@@ -47,6 +47,14 @@
   return okStatus();
 }
 
+Status checkKeyArray(const cJSON* node, const std::string& path) {
+  constexpr std::size_t kMaxKeys = SettingsParser::kMaxKeysPerTenant;
+  if (!cJSON_IsArray(node) || static_cast<std::size_t>(cJSON_GetArraySize(node)) > kMaxKeys) {
+    return jsonError(path, node, "an array of at most " + std::to_string(kMaxKeys) + " keys");
+  }
+  return okStatus();
+}
+
 /// Members of one level; larger than any level can have without an unknown key.
 constexpr std::size_t kMaxLevelMembers = 64;
 
@@ -113,17 +121,14 @@
 
 Status SettingsParser::parsePlainKeys(const cJSON* node, const std::string& path,
                                       const std::string& tenantName, Tenant& tenant) {
-  const bool fits = cJSON_IsArray(node) &&
-                    static_cast<std::size_t>(cJSON_GetArraySize(node)) <= kMaxKeysPerTenant;
-  if (!fits) {
-    return jsonError(path, node,
-                     "an array of at most " + std::to_string(kMaxKeysPerTenant) + " keys");
+  if (Status status = checkKeyArray(node, path); !status) {
+    return status;
   }
   for (const cJSON* child = node->child; child != nullptr; child = child->next) {
     if (!cJSON_IsString(child) || child->valuestring[0] == '\0') {
       return makeError(ErrorCode::InvalidArgument, path + ": a key must be a text");
     }
-    CallerKey key{SettingsTree::digestOfKey(child->valuestring), false};
+    ApiKey key{SettingsTree::digestOfKey(child->valuestring), false};
     if (Status status = addKey(std::move(key), path, tenantName, tenant); !status) {
       return status;
     }
@@ -131,14 +136,14 @@
   return okStatus();
 }
 
-Status SettingsParser::addKey(CallerKey key, const std::string& path, const std::string& tenantName,
+Status SettingsParser::addKey(ApiKey key, const std::string& path, const std::string& tenantName,
                               Tenant& tenant) {
   const auto inserted = pathOfDigest_.emplace(key.digest, path);
   if (!inserted.second) {
     return makeError(ErrorCode::InvalidArgument,
                      path + ": each key once; it also stands at " + inserted.first->second);
   }
-  if (!key.withdrawn) {
+  if (!key.revoked) {
     tree_.tenantOfDigest_.emplace(key.digest, tenantName);
   }
   tenant.keys.push_back(std::move(key));
@@ -208,11 +213,8 @@
 
 Status SettingsParser::parseKeys(const cJSON* node, const std::string& path,
                                  const std::string& tenantName, Tenant& tenant) {
-  const bool fits = cJSON_IsArray(node) &&
-                    static_cast<std::size_t>(cJSON_GetArraySize(node)) <= kMaxKeysPerTenant;
-  if (!fits) {
-    return jsonError(path, node,
-                     "an array of at most " + std::to_string(kMaxKeysPerTenant) + " keys");
+  if (Status status = checkKeyArray(node, path); !status) {
+    return status;
   }
   std::size_t index = 0;
   for (const cJSON* child = node->child; child != nullptr; child = child->next) {
@@ -230,7 +232,7 @@
   if (!cJSON_IsObject(node)) {
     return jsonError(path, node, "an object with digest and withdrawn");
   }
-  CallerKey key;
+  ApiKey key;
   for (const cJSON* child = node->child; child != nullptr; child = child->next) {
     const std::string name = child->string;
     const std::string childPath = path + "/" + name;
@@ -239,7 +241,7 @@
     } else if (name == "digest") {
       return jsonError(childPath, child, "64 lower-case hexadecimal digits");
     } else if (name == "withdrawn" && cJSON_IsBool(child)) {
-      key.withdrawn = cJSON_IsTrue(child);
+      key.revoked = cJSON_IsTrue(child);
     } else if (name == "withdrawn") {
       return jsonError(childPath, child, "true or false");
     } else {
@@ -267,16 +269,16 @@
 }
 
 Status SettingsParser::parseOverride(const cJSON* node, const std::string& path,
-                                     const std::string& besides, Overrides& overrides) {
+                                     const std::string& otherKeys, Overrides& overrides) {
   const SettingField* field = SettingField::find(node->string);
   if (field == nullptr) {
-    return jsonError(path, node, "no such key; the keys here are " + fieldNames() + besides);
+    return jsonError(path, node, "no such key; the keys here are " + fieldNames() + otherKeys);
   }
   std::optional<double> number;
   if (cJSON_IsNumber(node)) {
-    number = field->accept(node->valuedouble);
+    number = field->acceptNumber(node->valuedouble);
   } else if (cJSON_IsString(node)) {
-    number = field->acceptWord(node->valuestring);
+    number = field->acceptName(node->valuestring);
   }
   if (!number) {
     return jsonError(path, node, field->allowed());
--- a/src/settings/settings_parser.h
+++ b/src/settings/settings_parser.h
@@ -7,8 +7,8 @@
 
 namespace shedshed {
 
-/// Checks and parses one settings value. The tree is handed out only when all of it is valid, so
-/// nothing can be half applied.
+/// Checks and parses one settings value. The tree is returned only when all of it is valid, so
+/// that settings are never partially applied.
 class SettingsParser {
  public:
   /// Limits of the text of the settings.
@@ -37,19 +37,18 @@
   /// Parses keys that are given in plain text; only their digests are kept.
   Status parsePlainKeys(const cJSON* node, const std::string& path, const std::string& tenantName,
                         Tenant& tenant);
-  Status addKey(CallerKey key, const std::string& path, const std::string& tenantName,
-                Tenant& tenant);
-  /// Parses the rank of a tenant.
+  Status addKey(ApiKey key, const std::string& path, const std::string& tenantName, Tenant& tenant);
+  /// Parses the priority of a tenant.
   static Status parsePriority(const cJSON* node, const std::string& path, Tenant& tenant);
   Status parseVersion(const cJSON* node);
   /// Parses a level that holds overrides and nothing else.
   static Status parseLevel(const cJSON* node, const std::string& path, Overrides& overrides);
-  /// Parses one key of a level. @p besides lists the other keys allowed there, for the error.
+  /// Parses one key of a level. @p otherKeys lists the other keys allowed there, for the error.
   static Status parseOverride(const cJSON* node, const std::string& path,
-                              const std::string& besides, Overrides& overrides);
+                              const std::string& otherKeys, Overrides& overrides);
 
   SettingsTree tree_;
-  /// Path of every digest met so far, withdrawn or not.
+  /// Path of every digest parsed so far, revoked or not.
   std::map<std::string, std::string> pathOfDigest_;
 };
 
--- a/tests/settings/merge_patch_test.cpp
+++ b/tests/settings/merge_patch_test.cpp
@@ -36,14 +36,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_created_patch_leads_from_one_text_to_the_other) {
+BOOST_AUTO_TEST_CASE(a_created_patch_turns_one_text_into_the_other) {
   BOOST_TEST(
       createMergePatch(R"({"a":{"b":1,"c":2},"d":3})", R"({"a":{"b":1,"c":4},"e":5})").value() ==
       R"({"d":null,"a":{"c":4},"e":5})");
   BOOST_TEST(createMergePatch(R"({"a":[1]})", R"({"a":[1]})").value() == "{}");
 }
 
-BOOST_AUTO_TEST_CASE(patches_that_are_no_objects_or_no_json_are_refused) {
+BOOST_AUTO_TEST_CASE(patches_that_are_not_json_objects_are_rejected) {
   for (const char* patch : {"[]", "7", "null", "{", R"({"a":1,"a":2})"}) {
     BOOST_TEST((applyMergePatch("{}", patch).error().code == ErrorCode::InvalidArgument));
   }
--- a/tests/settings/process_settings_test.cpp
+++ b/tests/settings/process_settings_test.cpp
@@ -44,7 +44,7 @@
   BOOST_TEST((settings.value().logLevel == LogLevel::Debug));
 }
 
-BOOST_AUTO_TEST_CASE(refused_process_settings_name_the_key_and_what_is_allowed) {
+BOOST_AUTO_TEST_CASE(rejected_process_settings_name_the_key_and_what_is_allowed) {
   const TemporaryFile file(kControl);
   const auto data = parse({"--settings", TemporaryFile::kName}, ProcessKind::Data);
   BOOST_REQUIRE(data.has_error());
@@ -62,7 +62,7 @@
   BOOST_TEST(parse({"--settings", "absent.json"}, ProcessKind::Data).has_error());
 }
 
-BOOST_AUTO_TEST_CASE(help_and_version_are_texts_for_the_caller_to_print) {
+BOOST_AUTO_TEST_CASE(help_and_version_are_returned_as_text) {
   BOOST_TEST(
       parse({"--help"}, ProcessKind::Data).value().informationText.find("--callers-address") !=
       std::string::npos);
--- a/tests/settings/route_table_test.cpp
+++ b/tests/settings/route_table_test.cpp
@@ -41,7 +41,7 @@
   BOOST_TEST(routes.service("s1")->slots == 4U);
 }
 
-BOOST_AUTO_TEST_CASE(invalid_settings_are_refused_whole) {
+BOOST_AUTO_TEST_CASE(invalid_settings_are_rejected_completely) {
   BOOST_TEST(isValid(settingsWith(route("a", "/x/"))));
   BOOST_TEST(!isValid(settingsWith(route("a", "/x/")).substr(0, 60)), "cut short");
   BOOST_TEST(!isValid(settingsWith(route("a", "/x/", R"("service":"none")"))), "unknown service");
@@ -57,7 +57,7 @@
              "shared key");
 }
 
-BOOST_AUTO_TEST_CASE(tenants_have_keys_quotas_and_ranks) {
+BOOST_AUTO_TEST_CASE(tenants_have_keys_quotas_and_priorities) {
   const auto tree = SettingsTree::parse(settingsWith(
       route("a", "/x/"),
       R"({"t":{"api_keys":["k1","k2"],"per_s":7,"burst":3,"priority":1},"u":{"api_keys":[]}})"));
@@ -69,7 +69,7 @@
   BOOST_TEST(tree.value().priorityOf("t").value() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(refused_items_come_back_before_their_batch_is_due) {
+BOOST_AUTO_TEST_CASE(rejected_items_are_requeued_before_their_batch_is_due) {
   const auto tree = SettingsTree::parse(
       settingsWith(route("a", "/x/", R"("service":"s1","run_target_ms":8000)")));
   BOOST_REQUIRE(tree);
@@ -79,7 +79,7 @@
 }
 
 /// A killed front's items kept their numbers for 70 s, and the lent room with them.
-BOOST_AUTO_TEST_CASE(slots_of_a_lost_holder_are_free_before_a_batch_is_due) {
+BOOST_AUTO_TEST_CASE(slots_of_a_failed_holder_expire_before_a_batch_is_due) {
   const auto tree = SettingsTree::parse(
       settingsWith(route("a", "/x/", R"("service":"s1","run_target_ms":8000)")));
   BOOST_REQUIRE(tree);
@@ -104,7 +104,7 @@
   BOOST_TEST(tree.value().routes().find("c") != nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(a_malformed_change_is_refused) {
+BOOST_AUTO_TEST_CASE(a_malformed_change_is_rejected) {
   const std::string base = settingsWith(route("a", "/x/"));
   for (const char* change :
        {"{", "{}", R"({"version":5,"upsert":[]})", R"({"version":5,"upsert":{"routes":[]}})",
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -22,12 +22,12 @@
          (withdrawn ? "true" : "false") + "}";
 }
 
-struct RefusedCase {
+struct RejectedCase {
   const char* json;
-  std::vector<const char*> detailHolds;  ///< Path, value and what is allowed.
+  std::vector<const char*> detailParts;  ///< Path, value and what is allowed.
 };
 
-const std::vector<RefusedCase> kRefused = {
+const std::vector<RejectedCase> kRejected = {
     {R"({"fleet": {"per_s": -1}})", {"/fleet/per_s", "-1", "from 0 to 100000"}},
     {R"({"fleet": {"per_s": "5"}})", {"/fleet/per_s", "\"5\"", "a number"}},
     {R"({"fleet": {"burst": 1.5}})", {"/fleet/burst", "1.5", "a whole number"}},
@@ -59,13 +59,13 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(refused_values_name_path_value_and_what_is_allowed) {
-  for (const RefusedCase& refused : kRefused) {
-    BOOST_TEST_CONTEXT(refused.json) {
-      const Result<SettingsTree> tree = SettingsTree::parse(refused.json);
+BOOST_AUTO_TEST_CASE(rejected_values_name_path_value_and_what_is_allowed) {
+  for (const RejectedCase& rejected : kRejected) {
+    BOOST_TEST_CONTEXT(rejected.json) {
+      const Result<SettingsTree> tree = SettingsTree::parse(rejected.json);
       BOOST_REQUIRE(tree.has_error());
       BOOST_TEST((tree.error().code == ErrorCode::InvalidArgument));
-      for (const char* part : refused.detailHolds) {
+      for (const char* part : rejected.detailParts) {
         BOOST_TEST(tree.error().detail.find(part) != std::string::npos,
                    tree.error().detail << " lacks " << part);
       }
@@ -73,7 +73,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(deep_and_large_documents_are_refused_by_their_bounds) {
+BOOST_AUTO_TEST_CASE(documents_over_the_bounds_of_depth_and_size_are_rejected) {
   const std::string deep = std::string(100000, '[');
   BOOST_TEST((SettingsTree::parse(deep).error().code == ErrorCode::TooLarge));
   // The bound is 4 MiB since the routes of a fleet are part of the settings.
@@ -113,7 +113,7 @@
   BOOST_TEST(found["poll_ms"] == "100 default");
 }
 
-BOOST_AUTO_TEST_CASE(a_withdrawn_key_belongs_to_nobody) {
+BOOST_AUTO_TEST_CASE(a_withdrawn_key_belongs_to_no_tenant) {
   const SettingsTree tree = parsed(R"({"tenants": {"acme": {"keys": [)" + keyOf("one", false) +
                                    "," + keyOf("two", true) + "]}}}");
   BOOST_TEST(tree.tenantOfKey("one").value_or("") == "acme");
@@ -123,7 +123,7 @@
 }
 
 // The users' target is 2,400 tenants in steady use, each with a key that is being replaced.
-BOOST_AUTO_TEST_CASE(a_tree_holds_the_tenants_of_the_target_size) {
+BOOST_AUTO_TEST_CASE(a_tree_accepts_the_tenants_of_the_target_size) {
   std::string json;
   for (int i = 0; i < 2400; ++i) {
     const std::string name = "tenant-" + std::to_string(i);
@@ -134,7 +134,7 @@
   BOOST_TEST(tree.tenantOfKey("tenant-2399-new").value_or("") == "tenant-2399");
 }
 
-BOOST_AUTO_TEST_CASE(a_digest_cannot_stand_under_two_tenants_even_withdrawn) {
+BOOST_AUTO_TEST_CASE(a_digest_cannot_belong_to_two_tenants_even_if_withdrawn) {
   const Result<SettingsTree> tree =
       SettingsTree::parse(R"({"tenants": {"a": {"keys": [)" + keyOf("one", true) +
                           R"(]}, "b": {"keys": [)" + keyOf("one", false) + "]}}}");
@@ -143,7 +143,7 @@
 }
 
 // The schema file and the parser's table must not drift apart: both limits of each number are
-// accepted, and one step past them is refused.
+// accepted, and one step past them is rejected.
 BOOST_AUTO_TEST_CASE(schema_file_states_the_parsers_keys_and_ranges) {
   const Result<std::string> text =
       readSmallFile(SHEDSHED_SOURCE_DIR "/docs/settings.schema.json", 1U << 20U);
@@ -163,12 +163,12 @@
       }
       const double minimum = jsonMember(definition, "minimum")->valuedouble;
       const double maximum = jsonMember(definition, "maximum")->valuedouble;
-      BOOST_TEST(field.accept(minimum).has_value());
-      BOOST_TEST(field.accept(maximum).has_value());
-      BOOST_TEST(!field.accept(minimum - 0.01).has_value());
-      BOOST_TEST(!field.accept(maximum + 1).has_value());
+      BOOST_TEST(field.acceptNumber(minimum).has_value());
+      BOOST_TEST(field.acceptNumber(maximum).has_value());
+      BOOST_TEST(!field.acceptNumber(minimum - 0.01).has_value());
+      BOOST_TEST(!field.acceptNumber(maximum + 1).has_value());
       const bool whole = std::string(jsonMember(definition, "type")->valuestring) == "integer";
-      BOOST_TEST(field.accept(maximum - 0.5).has_value() != whole);
+      BOOST_TEST(field.acceptNumber(maximum - 0.5).has_value() != whole);
     }
   }
 }
