--- a/src/engines/engine_health_checker_core.cpp
+++ b/src/engines/engine_health_checker_core.cpp
@@ -98,7 +98,7 @@
     context_.counters().add("engine_process_stalls_total");
     verifyAllEngines();
   }
-  if (directory_.missesPeers()) {
+  if (directory_.hasUnresponsivePeers()) {
     verifyAllEngines();
   }
   verification_.extendFreshness(now);
