--- a/src/gateway/whole_call_server.cpp
+++ b/src/gateway/buffered_request_server.cpp
@@ -1,4 +1,4 @@
-#include "gateway/whole_call_server.h"
+#include "gateway/buffered_request_server.h"
 
 #include "serving/await_core.h"
 #include "serving/request_framing.h"
--- a/src/gateway/engine_selector.cpp
+++ b/src/gateway/cost_load_balancer.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engine_selector.h"
+#include "gateway/cost_load_balancer.h"
 
 #include "kernel/rendezvous.h"
 
--- a/src/gateway/caller_session.cpp
+++ b/src/gateway/downstream_session.cpp
@@ -1,4 +1,4 @@
-#include "gateway/caller_session.h"
+#include "gateway/downstream_session.h"
 
 #include "serving/request_framing.h"
 #include "wire/tcp_endpoint.h"
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "engines/engine_table.h"
-#include "gateway/engine_link.h"
-#include "gateway/engine_selector.h"
+#include "gateway/cost_load_balancer.h"
+#include "gateway/upstream_connection.h"
 #include "serving/call_journal.h"
 #include "serving/core_executor.h"
 #include "serving/serving_counters.h"
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -3,7 +3,7 @@
 #pragma once
 
 #include "gateway/batch_dialect.h"
-#include "gateway/caller_session.h"
+#include "gateway/downstream_session.h"
 #include "gateway/gateway_services.h"
 
 #include <boost/asio/ip/tcp.hpp>
--- a/src/gateway/engine_link.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engine_link.h"
+#include "gateway/upstream_connection.h"
 
 #include "wire/tcp_endpoint.h"
 
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "assembly/data_cores.h"
+#include "gateway/buffered_request_server.h"
 #include "gateway/gateway.h"
 #include "gateway/item_runner.h"
-#include "gateway/whole_call_server.h"
 #include "process/event_loop_node.h"
 #include "serving/call_ring.h"
 
--- a/tests/gateway/engine_selector_test.cpp
+++ b/tests/gateway/cost_load_balancer_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/engine_selector.h"
+#include "gateway/cost_load_balancer.h"
 
 #include <boost/test/unit_test.hpp>
 
--- a/tests/gateway/forwarder_test.cpp
+++ b/tests/gateway/forwarder_test.cpp
@@ -1,7 +1,7 @@
 /// The promise of "not run", over the answers of engines: one case for each cell.
 #include "gateway/forwarder.h"
 
-#include "gateway/whole_call_server.h"
+#include "gateway/buffered_request_server.h"
 
 #include <boost/asio/spawn.hpp>
 #include <boost/coroutine/attributes.hpp>
