--- a/src/gateway/buffered_request_server.cpp
+++ b/src/gateway/buffered_request_server.cpp
@@ -28,8 +28,8 @@
   return std::string(text.data(), text.size());
 }
 
-WholeCall callOf(http::request<http::string_body>& message) {
-  WholeCall call;
+BufferedRequest callOf(http::request<http::string_body>& message) {
+  BufferedRequest call;
   call.method = toText(message.method_string());
   call.target = toText(message.target());
   for (const auto& field : message.base()) {
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-std::string_view WholeCall::header(std::string_view name) const {
+std::string_view BufferedRequest::header(std::string_view name) const {
   for (const HeaderField& field : headers) {
     if (sameHeaderName(field.name, name)) {
       return field.value;
@@ -82,12 +82,12 @@
   return {};
 }
 
-WholeCallServer::WholeCallServer(net::io_context& io, std::string address, std::size_t maxBodyBytes,
-                                 Handler handler)
+BufferedRequestServer::BufferedRequestServer(net::io_context& io, std::string address,
+                                             std::size_t maxBodyBytes, Handler handler)
     : io_(io), address_(std::move(address)), maxBodyBytes_(maxBodyBytes),
       handler_(std::move(handler)), acceptor_(io) {}
 
-Status WholeCallServer::start() {
+Status BufferedRequestServer::start() {
   const Status listening = listenOn(acceptor_, address_);
   if (listening) {
     accept();
@@ -95,7 +95,7 @@
   return listening;
 }
 
-void WholeCallServer::accept() {
+void BufferedRequestServer::accept() {
   const ServingStrand strand(io_.get_executor());
   acceptor_.async_accept(strand, [this, strand](const error_code& failed, auto accepted) {
     if (failed == net::error::operation_aborted) {
@@ -112,8 +112,8 @@
   });
 }
 
-void WholeCallServer::serve(net::ip::tcp::socket& socket, const ServingStrand& strand,
-                            net::yield_context yield) {
+void BufferedRequestServer::serve(net::ip::tcp::socket& socket, const ServingStrand& strand,
+                                  net::yield_context yield) {
   boost::beast::flat_buffer buffer;
   SameThread sameThread;
   bool open = true;
@@ -136,7 +136,7 @@
       answer = gatewayErrorAnswer(framing.error(), {});
       open = false;
     } else {
-      const WholeCall call = callOf(parser.get());
+      const BufferedRequest call = callOf(parser.get());
       answer = awaitCore<GatewayAnswer>(sameThread, yield,
                                         [this, &call](Done done) { handler_(call, done); });
       open = parser.keep_alive();
--- a/src/gateway/buffered_request_server.h
+++ b/src/gateway/buffered_request_server.h
@@ -12,7 +12,7 @@
 namespace shedshed {
 
 /// A call as it came in.
-struct WholeCall {
+struct BufferedRequest {
   std::string method;
   std::string target;
   std::vector<HeaderField> headers;
@@ -23,15 +23,15 @@
 };
 
 /// Answers calls on one address. On the thread of the event loop.
-class WholeCallServer {
+class BufferedRequestServer {
  public:
   using Done = std::function<void(GatewayAnswer)>;
   /// Answers a call by calling `done` once, at once or later, on the thread of the event loop.
-  using Handler = std::function<void(const WholeCall& call, Done done)>;
+  using Handler = std::function<void(const BufferedRequest& call, Done done)>;
 
   /// @p maxBodyBytes: a larger body is refused with 413.
-  WholeCallServer(boost::asio::io_context& io, std::string address, std::size_t maxBodyBytes,
-                  Handler handler);
+  BufferedRequestServer(boost::asio::io_context& io, std::string address, std::size_t maxBodyBytes,
+                        Handler handler);
 
   /// Fails with `InvalidArgument` when the address cannot be bound.
   Status start();
--- a/src/gateway/cost_load_balancer.cpp
+++ b/src/gateway/cost_load_balancer.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Prefixes that are remembered; all are forgotten when there are more.
-constexpr std::size_t kMostPrefixes = 20000;
+constexpr std::size_t kMaxPrefixes = 20000;
 
 /// The engine that all nodes prefer for a prefix.
 std::string preferredEngine(const std::vector<const EngineInfo*>& candidates, std::uint64_t hash) {
@@ -27,10 +27,10 @@
 
 }  // namespace
 
-EngineSelector::EngineSelector(std::string zone, RandomEngine& random, SelectorKnobs knobs)
-    : zone_(std::move(zone)), random_(random), knobs_(knobs) {}
+CostLoadBalancer::CostLoadBalancer(std::string zone, RandomEngine& random, LoadBalancerCosts costs)
+    : zone_(std::move(zone)), random_(random), costs_(costs) {}
 
-std::vector<EngineSelector::Prefix> EngineSelector::sharedPrefixes(const PromptHints& prompt) {
+std::vector<CostLoadBalancer::Prefix> CostLoadBalancer::sharedPrefixes(const PromptHints& prompt) {
   std::vector<Prefix> prefixes;
   std::string chain;
   std::uint32_t tokens = 0;
@@ -43,43 +43,44 @@
   return prefixes;
 }
 
-double EngineSelector::warmTokens(const EngineInfo& engine, const std::vector<Prefix>& prefixes,
-                                  const std::string& preferred, Time now) const {
+double CostLoadBalancer::cachedTokens(const EngineInfo& engine, const std::vector<Prefix>& prefixes,
+                                      const std::string& preferred, Time now) const {
   for (auto prefix = prefixes.rbegin(); prefix != prefixes.rend(); ++prefix) {
-    const auto known = warm_.find(prefix->hash);
-    if (known == warm_.end()) {
+    const auto known = prefixReads_.find(prefix->hash);
+    if (known == prefixReads_.end()) {
       continue;
     }
     const auto read = known->second.find(engine.id);
-    if (read != known->second.end() && now - read->second < knobs_.warmMemory) {
+    if (read != known->second.end() && now - read->second < costs_.prefixCacheMemory) {
       return prefix->tokens;
     }
   }
-  const bool believed = engine.id == preferred && !prefixes.empty();
-  return believed ? knobs_.believedWarm * prefixes.back().tokens : 0;
+  const bool isExpected = engine.id == preferred && !prefixes.empty();
+  return isExpected ? costs_.prefixHitProbability * prefixes.back().tokens : 0;
 }
 
-double EngineSelector::cost(const EngineInfo& engine, double coldTokens, Time now) const {
-  double cost = coldTokens * knobs_.perColdToken;
+double CostLoadBalancer::cost(const EngineInfo& engine, double uncachedTokens, Time now) const {
+  double cost = uncachedTokens * costs_.uncachedTokenMilliseconds;
   if (!zone_.empty() && engine.zone != zone_) {
-    cost += knobs_.otherZone;
+    cost += costs_.otherZoneMilliseconds;
   }
   const auto found = uses_.find(engine.id);
   if (found == uses_.end()) {
     return cost;
   }
-  cost += found->second.inFlight * knobs_.perCallInFlight;
-  cost += now < found->second.refusedUntil ? knobs_.afterRefusal : 0;
-  cost += now < found->second.failedUntil ? knobs_.afterFailure : 0;
+  cost += found->second.inFlight * costs_.callInFlightMilliseconds;
+  cost += now < found->second.rejectedUntil ? costs_.afterRejectionMilliseconds : 0;
+  cost += now < found->second.failedUntil ? costs_.afterFailureMilliseconds : 0;
   // An engine without power says nothing at all: its oldest unanswered call shows it.
   const auto& waits = found->second.waits;
-  const bool silent = !waits.empty() && now - waits.begin()->second > knobs_.silence;
-  cost += silent ? knobs_.whileSilent : 0;
+  const bool unresponsive =
+      !waits.empty() && now - waits.begin()->second > costs_.unresponsiveAfter;
+  cost += unresponsive ? costs_.unresponsiveMilliseconds : 0;
   return cost;
 }
 
-Result<EngineChoice> EngineSelector::choose(const EngineTable& table, const OpaqueCall& call,
-                                            const std::set<std::string>& excluded, Time now) {
+Result<EngineChoice> CostLoadBalancer::choose(const EngineTable& table, const OpaqueCall& call,
+                                              const std::set<std::string>& excluded, Time now) {
   std::vector<const EngineInfo*> candidates;
   for (const EngineInfo& engine : table.engines) {
     if (engine.model == call.service && engine.state == EngineState::Ready) {
@@ -87,22 +88,23 @@
     }
   }
   const std::vector<Prefix> prefixes = sharedPrefixes(call.prompt);
-  const bool binds = !prefixes.empty() && prefixes.back().tokens >= knobs_.sharedTokens;
+  const bool hasAffinity =
+      !prefixes.empty() && prefixes.back().tokens >= costs_.minSharedPrefixTokens;
   // Of all ready engines, so that a second choice does not move the preference.
   const std::string preferred =
-      binds ? preferredEngine(candidates, prefixes.back().hash) : std::string();
+      hasAffinity ? preferredEngine(candidates, prefixes.back().hash) : std::string();
   const EngineInfo* best = nullptr;
   double bestCost = 0;
   for (const EngineInfo* candidate : candidates) {
     if (excluded.count(candidate->id) != 0) {
       continue;
     }
-    const double warm = binds ? warmTokens(*candidate, prefixes, preferred, now) : 0;
-    const double cold = binds ? prefixes.back().tokens - warm : 0;
+    const double cached = hasAffinity ? cachedTokens(*candidate, prefixes, preferred, now) : 0;
+    const double uncached = hasAffinity ? prefixes.back().tokens - cached : 0;
     const double jitter = static_cast<double>(random_() % 1024) / 1024;
     const bool other = !call.suggestedEngine.empty() && candidate->id != call.suggestedEngine;
     const double candidateCost =
-        cost(*candidate, cold, now) + jitter + (other ? knobs_.notSuggested : 0);
+        cost(*candidate, uncached, now) + jitter + (other ? costs_.notSuggestedMilliseconds : 0);
     if (best == nullptr || candidateCost < bestCost) {
       best = candidate;
       bestCost = candidateCost;
@@ -115,40 +117,40 @@
   return EngineChoice{best->id, best->address};
 }
 
-std::uint64_t EngineSelector::sent(const std::string& engine, Time now) {
+std::uint64_t CostLoadBalancer::sent(const std::string& engine, Time now) {
   uses_[engine].waits[++lastWait_] = now;
   return lastWait_;
 }
 
-void EngineSelector::answered(const std::string& engine, std::uint64_t wait) {
+void CostLoadBalancer::answered(const std::string& engine, std::uint64_t wait) {
   uses_[engine].waits.erase(wait);
 }
 
-void EngineSelector::finished(const std::string& engine) {
+void CostLoadBalancer::finished(const std::string& engine) {
   Use& use = uses_[engine];
   use.inFlight -= use.inFlight > 0 ? 1 : 0;
 }
 
-void EngineSelector::refused(const std::string& engine, Time now) {
-  uses_[engine].refusedUntil = now + knobs_.refusalMemory;
+void CostLoadBalancer::rejected(const std::string& engine, Time now) {
+  uses_[engine].rejectedUntil = now + costs_.rejectionMemory;
 }
 
-void EngineSelector::failed(const std::string& engine, Time now) {
-  uses_[engine].failedUntil = now + knobs_.failureMemory;
+void CostLoadBalancer::failed(const std::string& engine, Time now) {
+  uses_[engine].failedUntil = now + costs_.failureMemory;
 }
 
-void EngineSelector::served(const std::string& engine, const OpaqueCall& call, Time now) {
-  if (warm_.size() > kMostPrefixes) {
-    warm_.clear();
+void CostLoadBalancer::served(const std::string& engine, const OpaqueCall& call, Time now) {
+  if (prefixReads_.size() > kMaxPrefixes) {
+    prefixReads_.clear();
   }
   for (const Prefix& prefix : sharedPrefixes(call.prompt)) {
-    if (prefix.tokens >= knobs_.sharedTokens) {
-      warm_[prefix.hash][engine] = now;
+    if (prefix.tokens >= costs_.minSharedPrefixTokens) {
+      prefixReads_[prefix.hash][engine] = now;
     }
   }
 }
 
-void EngineSelector::keepOnly(const EngineTable& table) {
+void CostLoadBalancer::keepOnly(const EngineTable& table) {
   std::set<std::string> listed;
   for (const EngineInfo& engine : table.engines) {
     listed.insert(engine.id);
@@ -157,7 +159,7 @@
     const bool keep = listed.count(use->first) != 0 || use->second.inFlight > 0;
     use = keep ? std::next(use) : uses_.erase(use);
   }
-  for (auto& prefix : warm_) {
+  for (auto& prefix : prefixReads_) {
     for (auto engine = prefix.second.begin(); engine != prefix.second.end();) {
       engine = listed.count(engine->first) != 0 ? std::next(engine) : prefix.second.erase(engine);
     }
--- a/src/gateway/cost_load_balancer.h
+++ b/src/gateway/cost_load_balancer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses the engine of an opaque call by what it would cost there.
+/// Load balancer that chooses the engine where a call is estimated to cost the least time.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -13,21 +13,25 @@
 
 namespace shedshed {
 
-/// Weights of the costs, in milliseconds.
-struct SelectorKnobs {
-  double perCallInFlight = 4;    ///< For each call of this node that runs at the engine.
-  double perColdToken = 0.0065;  ///< For each token of the prompt to be read there.
-  double otherZone = 2;          ///< For an engine in another zone.
-  double notSuggested = 12;      ///< For an engine that is not the one suggested for the call.
-  double afterRefusal = 25;      ///< While `refusalMemory` lasts.
-  double afterFailure = 2000;    ///< While `failureMemory` lasts.
-  double whileSilent = 1000;     ///< While a call has waited for its answer beyond `silence`.
-  double believedWarm = 0.8;     ///< Share of a prefix taken to be warm at its preferred engine.
-  std::uint32_t sharedTokens = 600;  ///< A shorter shared prefix does not bind a call to an engine.
-  Duration refusalMemory = std::chrono::milliseconds(150);
+/// Estimated costs, as additional milliseconds of the call.
+struct LoadBalancerCosts {
+  double callInFlightMilliseconds = 4;  ///< For each call of this node that runs at the engine.
+  double uncachedTokenMilliseconds = 0.0065;  ///< For each token of the prompt to be read there.
+  double otherZoneMilliseconds = 2;           ///< For an engine in another zone.
+  double notSuggestedMilliseconds =
+      12;  ///< For an engine that is not the one suggested for the call.
+  double afterRejectionMilliseconds = 25;  ///< While `rejectionMemory` lasts.
+  double afterFailureMilliseconds = 2000;  ///< While `failureMemory` lasts.
+  double unresponsiveMilliseconds =
+      1000;  ///< While a call has waited for its answer beyond `unresponsiveAfter`.
+  double prefixHitProbability =
+      0.8;  ///< Probability that a prefix is cached at its preferred engine.
+  std::uint32_t minSharedPrefixTokens =
+      600;  ///< A shorter shared prefix has no affinity to an engine.
+  Duration rejectionMemory = std::chrono::milliseconds(150);
   Duration failureMemory = std::chrono::milliseconds(1500);
-  Duration warmMemory = std::chrono::seconds(90);
-  Duration silence = std::chrono::milliseconds(350);
+  Duration prefixCacheMemory = std::chrono::seconds(90);
+  Duration unresponsiveAfter = std::chrono::milliseconds(350);
 };
 
 /// The chosen engine.
@@ -36,17 +40,17 @@
   std::string address;
 };
 
-/// Keeps what this node knows of the engines' load and caches. Core thread only.
-class EngineSelector {
+/// Tracks what this node knows of the engines' load and prefix caches. Core thread only.
+class CostLoadBalancer {
  public:
   /// @p zone is this node's.
-  EngineSelector(std::string zone, RandomEngine& random, SelectorKnobs knobs = {});
+  CostLoadBalancer(std::string zone, RandomEngine& random, LoadBalancerCosts costs = {});
 
   /// A call was sent to the engine, which has not answered it yet.
   /// @return the number by which `answered` ends the wait
   std::uint64_t sent(const std::string& engine, Time now);
 
-  /// The engine has begun to answer the call, or the call was given up.
+  /// The engine has started to answer the call, or the call was abandoned.
   void answered(const std::string& engine, std::uint64_t wait);
 
   /// Chooses among the ready engines of the call's service that are not in @p excluded, and counts
@@ -57,10 +61,10 @@
   /// The call has left the engine.
   void finished(const std::string& engine);
 
-  /// The engine refused a call without running it.
-  void refused(const std::string& engine, Time now);
+  /// The engine rejected a call without running it.
+  void rejected(const std::string& engine, Time now);
 
-  /// The engine could not be reached or broke off.
+  /// The engine could not be reached, or its response was incomplete.
   void failed(const std::string& engine, Time now);
 
   /// The engine has read the call's prompt.
@@ -72,7 +76,7 @@
  private:
   struct Use {
     std::uint32_t inFlight = 0;
-    Time refusedUntil{};
+    Time rejectedUntil{};
     Time failedUntil{};
     std::map<std::uint64_t, Time> waits;  ///< Calls without an answer, and when each was sent.
   };
@@ -84,17 +88,17 @@
 
   /// The shared prefixes of the call, shortest first.
   static std::vector<Prefix> sharedPrefixes(const PromptHints& prompt);
-  double warmTokens(const EngineInfo& engine, const std::vector<Prefix>& prefixes,
-                    const std::string& preferred, Time now) const;
+  double cachedTokens(const EngineInfo& engine, const std::vector<Prefix>& prefixes,
+                      const std::string& preferred, Time now) const;
   double cost(const EngineInfo& engine, double coldTokens, Time now) const;
 
   const std::string zone_;
   RandomEngine& random_;
-  const SelectorKnobs knobs_;
+  const LoadBalancerCosts costs_;
   std::map<std::string, Use> uses_;
   std::uint64_t lastWait_ = 0;
-  /// When each engine has last read each prefix.
-  std::map<std::uint64_t, std::map<std::string, Time>> warm_;
+  /// Prefix hash → engine id → when the engine last processed the prefix.
+  std::map<std::uint64_t, std::map<std::string, Time>> prefixReads_;
 };
 
 }  // namespace shedshed
--- a/src/gateway/downstream_session.cpp
+++ b/src/gateway/downstream_session.cpp
@@ -16,33 +16,15 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr Duration kWriteLimit = std::chrono::seconds(10);
 constexpr Duration kLinger = std::chrono::milliseconds(500);
 constexpr std::chrono::milliseconds kUnackedTimeout{3000};
-/// Longest time that a body may take, beyond the header's.
-constexpr Duration kBodyLimit = std::chrono::seconds(10);
+/// Time-out of a body, in addition to that of the header.
+constexpr Duration kBodyTimeout = std::chrono::seconds(10);
 
 std::string_view toView(boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
 
-std::string statusLine(int status) {
-  const auto reason = http::obsolete_reason(http::int_to_status(static_cast<unsigned>(status)));
-  return "HTTP/1.1 " + std::to_string(status) + " " + std::string(toView(reason)) + "\r\n";
-}
-
-void appendHeader(std::string& text, std::string_view name, std::string_view value) {
-  text.append(name).append(": ").append(value).append("\r\n");
-}
-
-/// Seconds with fractions, as callers read them.
-std::string secondsText(Duration duration) {
-  std::array<char, 32> text{};
-  const int size = std::snprintf(text.data(), text.size(), "%.2f",
-                                 std::chrono::duration<double>(duration).count());
-  return std::string(text.data(), static_cast<std::size_t>(size));
-}
-
 std::optional<Duration> millisecondsOf(std::string_view text) {
   std::int64_t number = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -66,77 +48,8 @@
 
 }  // namespace
 
-bool SessionWriter::write(const std::string& bytes, net::yield_context yield) {
-  error_code failed;
-  std::size_t sent = socket_.write_some(net::buffer(bytes), failed);
-  if (failed == net::error::would_block || failed == net::error::try_again) {
-    failed = {};
-    sent = 0;
-  }
-  if (!failed && sent < bytes.size()) {
-    SocketDeadline deadline(strand_, socket_);
-    deadline.arm(kWriteLimit);
-    net::async_write(socket_, net::buffer(bytes) + sent, yield[failed]);
-  }
-  return !failed;
-}
-
-void SessionWriter::onHead(const EngineHead& head) {
-  if (headTaken_) {
-    return;
-  }
-  headTaken_ = true;
-  pendingHead_ = statusLine(head.status);
-  for (const HeaderField& field : head.headers) {
-    appendHeader(pendingHead_, field.name, field.value);
-  }
-  appendHeader(pendingHead_, "Transfer-Encoding", "chunked");
-  if (closing_) {
-    appendHeader(pendingHead_, "Connection", "close");
-  }
-  pendingHead_ += "\r\n";
-}
-
-Status SessionWriter::onBytes(std::string_view bytes, net::yield_context yield) {
-  std::array<char, 20> size{};
-  const int digits = std::snprintf(size.data(), size.size(), "%zx\r\n", bytes.size());
-  std::string chunk = std::move(pendingHead_);
-  pendingHead_.clear();
-  chunk.append(size.data(), static_cast<std::size_t>(digits)).append(bytes).append("\r\n");
-  streamStarted_ = true;
-  if (!write(chunk, yield)) {
-    return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::Unknown);
-  }
-  return okStatus();
-}
-
-bool SessionWriter::endStream(net::yield_context yield) {
-  return write(std::exchange(pendingHead_, {}) + "0\r\n\r\n", yield);
-}
-
-bool SessionWriter::writeContinue(net::yield_context yield) {
-  return write("HTTP/1.1 100 Continue\r\n\r\n", yield);
-}
-
-bool SessionWriter::writeAnswer(const GatewayAnswer& answer, bool keepAlive,
-                                net::yield_context yield) {
-  std::string text = statusLine(answer.status);
-  for (const HeaderField& field : answer.headers) {
-    appendHeader(text, field.name, field.value);
-  }
-  if (answer.retryAfter) {
-    appendHeader(text, "Retry-After", secondsText(*answer.retryAfter));
-  }
-  appendHeader(text, "Content-Length", std::to_string(answer.body.size()));
-  if (!keepAlive) {
-    appendHeader(text, "Connection", "close");
-  }
-  text.append("\r\n").append(answer.body);
-  return write(text, yield);
-}
-
-CallerSession::CallerSession(GatewayShared& shared, net::ip::tcp::socket socket,
-                             const ServingStrand& strand)
+DownstreamSession::DownstreamSession(GatewayShared& shared, net::ip::tcp::socket socket,
+                                     const ServingStrand& strand)
     : shared_(shared), services_(shared.services), socket_(std::move(socket)), strand_(strand) {
   error_code ignored;
   socket_.set_option(net::ip::tcp::no_delay(true), ignored);
@@ -144,17 +57,17 @@
   setUnackedTimeout(socket_, kUnackedTimeout);
 }
 
-ClientLimits CallerSession::bounds() const {
+ClientLimits DownstreamSession::bounds() const {
   const auto settings = services_.settings.read();
   return settings == nullptr ? ClientLimits{} : settings->routes().clientLimits();
 }
 
-void CallerSession::run(net::yield_context yield) {
+void DownstreamSession::run(net::yield_context yield) {
   while (serve(yield)) {
   }
 }
 
-bool CallerSession::waitForCall(Duration idle, net::yield_context yield) {
+bool DownstreamSession::waitForCall(Duration idle, net::yield_context yield) {
   if (buffer_.size() > 0) {
     return true;
   }
@@ -170,15 +83,15 @@
   return !failed;
 }
 
-void CallerSession::closeIfIdle() {
+void DownstreamSession::closeIfIdle() {
   error_code failed;
   if (socket_.available(failed) == 0 || failed) {
     socket_.close(failed);
   }
 }
 
-bool CallerSession::readCall(Parser& parser, const ClientLimits& bounds, SessionWriter& writer,
-                             net::yield_context yield) {
+bool DownstreamSession::readCall(Parser& parser, const ClientLimits& bounds,
+                                 DownstreamWriter& writer, net::yield_context yield) {
   parser.header_limit(static_cast<std::uint32_t>(bounds.maxHeaderBytes));
   parser.body_limit(bounds.maxBodyBytes);
   SocketDeadline deadline(strand_, socket_);
@@ -208,7 +121,7 @@
   if (parser.get()[http::field::expect] == "100-continue" && !writer.writeContinue(yield)) {
     return false;
   }
-  deadline.arm(bounds.headerTimeout + kBodyLimit);
+  deadline.arm(bounds.headerTimeout + kBodyTimeout);
   http::async_read(socket_, buffer_, parser, yield[failed]);
   if (failed == http::error::body_limit) {
     refusal_ = makeError(ErrorCode::TooLarge, "the body is over its bound");
@@ -222,7 +135,7 @@
   return !failed;
 }
 
-void CallerSession::takeCall(Parser& parser, GatewayCall& call) {
+void DownstreamSession::takeCall(Parser& parser, GatewayCall& call) {
   const HeaderNames& names = services_.names;
   auto& message = parser.get();
   OpaqueCall& opaque = call.call;
@@ -263,12 +176,12 @@
   opaque.body = std::move(message.body());
 }
 
-bool CallerSession::serve(net::yield_context yield) {
+bool DownstreamSession::serve(net::yield_context yield) {
   const ClientLimits limits = bounds();
   if (!waitForCall(limits.idleTimeout, yield)) {
     return false;
   }
-  SessionWriter writer(socket_, strand_);
+  DownstreamWriter writer(socket_, strand_);
   Parser parser;
   refusal_.reset();
   if (!readCall(parser, limits, writer, yield)) {
@@ -285,8 +198,8 @@
   return answer(call, writer, keepAlive, yield);
 }
 
-bool CallerSession::answer(GatewayCall& call, SessionWriter& writer, bool keepAlive,
-                           net::yield_context yield) {
+bool DownstreamSession::answer(GatewayCall& call, DownstreamWriter& writer, bool keepAlive,
+                               net::yield_context yield) {
   Result<GatewayStep> step = GatewayStep::Continue;
   writer.setClosing(services_.draining || !keepAlive);
   {
@@ -319,8 +232,8 @@
   return writer.writeAnswer(call.answer, staysOpen, yield) && staysOpen;
 }
 
-bool CallerSession::refuse(const Error& error, const std::string& requestId, SessionWriter& writer,
-                           net::yield_context yield) {
+bool DownstreamSession::refuse(const Error& error, const std::string& requestId,
+                               DownstreamWriter& writer, net::yield_context yield) {
   services_.counters.add("gateway_malformed_calls_total", 1);
   if (!writer.writeAnswer(gatewayErrorAnswer(error, requestId), false, yield)) {
     return false;
--- a/src/gateway/downstream_session.h
+++ b/src/gateway/downstream_session.h
@@ -1,7 +1,8 @@
 /// @file
-/// One caller's connection to the gateway.
+/// One client connection to the gateway.
 #pragma once
 
+#include "gateway/downstream_writer.h"
 #include "gateway/gateway_call.h"
 #include "gateway/gateway_services.h"
 #include "serving/caller_watch.h"
@@ -17,61 +18,26 @@
 
 namespace shedshed {
 
-class CallerSession;
+class DownstreamSession;
 
 /// What all connections of a gateway share.
 struct GatewayShared {
   GatewayServices& services;
   std::vector<std::unique_ptr<GatewayFilter>> filters;  ///< In the order of their use.
   std::size_t activeCalls = 0;
-  bool stopping = false;             ///< No session waits for a further call.
-  std::set<CallerSession*> waiting;  ///< Sessions between two calls.
-};
-
-/// Writes answers to a caller. Every write is bounded in time.
-class SessionWriter : public StreamSink {
- public:
-  SessionWriter(boost::asio::ip::tcp::socket& socket, const ServingStrand& strand)
-      : socket_(socket), strand_(strand) {}
-
-  void onHead(const EngineHead& head) override;
-  Status onBytes(std::string_view bytes, boost::asio::yield_context yield) override;
-
-  /// Writes a whole answer. False if the caller can't be reached.
-  bool writeAnswer(const GatewayAnswer& answer, bool keepAlive, boost::asio::yield_context yield);
-
-  /// Ends a whole stream with the last chunk.
-  bool endStream(boost::asio::yield_context yield);
-
-  /// Asks for a body that the caller holds back.
-  bool writeContinue(boost::asio::yield_context yield);
-
-  /// True once bytes of a stream have been written.
-  bool streamStarted() const { return streamStarted_; }
-
-  /// The answer closes the connection.
-  void setClosing(bool closing) { closing_ = closing; }
-
- private:
-  bool write(const std::string& bytes, boost::asio::yield_context yield);
-
-  boost::asio::ip::tcp::socket& socket_;
-  const ServingStrand& strand_;
-  std::string pendingHead_;
-  bool headTaken_ = false;
-  bool streamStarted_ = false;
-  bool closing_ = false;
+  bool stopping = false;                 ///< No session waits for a further call.
+  std::set<DownstreamSession*> waiting;  ///< Sessions between two calls.
 };
 
 /// Serves the calls of one connection, one after the other, until it is closed.
-class CallerSession {
+class DownstreamSession {
  public:
-  CallerSession(GatewayShared& shared, boost::asio::ip::tcp::socket socket,
-                const ServingStrand& strand);
+  DownstreamSession(GatewayShared& shared, boost::asio::ip::tcp::socket socket,
+                    const ServingStrand& strand);
 
   void run(boost::asio::yield_context yield);
 
-  /// Closes the connection if no byte of a further call has come: its caller goes elsewhere.
+  /// Closes the connection if no byte of a further call has come: its client goes elsewhere.
   void closeIfIdle();
 
  private:
@@ -82,12 +48,12 @@
   bool waitForCall(Duration idle, boost::asio::yield_context yield);
   /// Reads a call. False if the connection is to be closed without an answer; `refusal_` is set if
   /// the call must be refused, and the connection closed.
-  bool readCall(Parser& parser, const ClientLimits& bounds, SessionWriter& writer,
+  bool readCall(Parser& parser, const ClientLimits& bounds, DownstreamWriter& writer,
                 boost::asio::yield_context yield);
   void takeCall(Parser& parser, GatewayCall& call);
-  bool answer(GatewayCall& call, SessionWriter& writer, bool keepAlive,
+  bool answer(GatewayCall& call, DownstreamWriter& writer, bool keepAlive,
               boost::asio::yield_context yield);
-  bool refuse(const Error& error, const std::string& requestId, SessionWriter& writer,
+  bool refuse(const Error& error, const std::string& requestId, DownstreamWriter& writer,
               boost::asio::yield_context yield);
   ClientLimits bounds() const;
 
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -1,6 +1,7 @@
 #include "gateway/forwarder.h"
 
 #include "gateway/event_splitter.h"
+#include "gateway/retry_policy.h"
 
 #include <algorithm>
 
@@ -8,58 +9,67 @@
 namespace {
 
 constexpr int kMisdirected = 421;
-constexpr int kFirstServerError = 500;
 constexpr int kFirstSuccess = 200;
 constexpr int kFirstRedirect = 300;
 
-/// Engines that are asked while each says that it did not run the call.
-constexpr std::uint32_t kMostRefusals = 4;
-/// Longest time that a new connection may take.
-constexpr Duration kConnectLimit = std::chrono::milliseconds(400);
-/// Longest whole answer, in bytes.
-constexpr std::size_t kMostAnswerBytes = 32U << 20U;
-/// An engine that is silent for this long is given up, if the call may go on elsewhere.
-constexpr Duration kSilenceLimit = std::chrono::milliseconds(1500);
+/// Time-out of a new connection.
+constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
+/// Longest complete response, in bytes.
+constexpr std::size_t kMaxResponseBytes = 32U << 20U;
+/// Idle time after which an attempt is abandoned, if the call may continue at another engine.
+constexpr Duration kIdleTimeout = std::chrono::milliseconds(1500);
 
 bool isSuccess(int status) {
   return status >= kFirstSuccess && status < kFirstRedirect;
 }
 
-Attempt notRun(Error error) {
-  Attempt attempt;
-  attempt.end = AttemptEnd::NotRun;
-  attempt.error = std::move(error);
-  attempt.error.ran = Ran::No;
-  return attempt;
+/// Fails with `ResponseMismatch` unless @p head belongs to the call that was sent, and is signed if
+/// it reports success.
+Status checkHead(const ResponseHead& head) {
+  if (!head.hasRequestId) {
+    return makeError(ErrorCode::ResponseMismatch, "the answer is not that of the call");
+  }
+  if (isSuccess(head.status) && !head.isSigned) {
+    return makeError(ErrorCode::ResponseMismatch, "the answer is not signed");
+  }
+  return okStatus();
 }
 
-Attempt broken(Error error) {
-  Attempt attempt;
-  attempt.end = AttemptEnd::Broken;
-  attempt.error = std::move(error);
-  attempt.error.ran = Ran::Unknown;
-  return attempt;
+bool isComplete(const UpstreamAttempt& attempt) {
+  return attempt.outcome == AttemptOutcome::Answered || attempt.outcome == AttemptOutcome::Streamed;
+}
+
+/// The result of a call whose last attempt is @p attempt, which is complete.
+Result<ForwardedAnswer> answerOf(UpstreamAttempt attempt, const RetryPolicy& retries) {
+  if (attempt.outcome == AttemptOutcome::Streamed) {
+    return ForwardedAnswer{true, {}, {}};
+  }
+  if (retries.responseStarted()) {
+    return makeError(ErrorCode::ResponseTruncated, "no engine continued the stream", Ran::Unknown);
+  }
+  return ForwardedAnswer{false, std::move(attempt.head), std::move(attempt.body)};
 }
 
 }  // namespace
 
-/// Ends the call in the selector on every way out.
+/// Counts the call as in flight in the load balancer for as long as the object lives.
 class Forwarder::InFlight {
  public:
-  InFlight(EngineSelector& selector, std::string engine)
-      : selector_(selector), engine_(std::move(engine)) {}
-  ~InFlight() { selector_.finished(engine_); }
+  InFlight(CostLoadBalancer& loadBalancer, std::string engine)
+      : loadBalancer_(loadBalancer), engine_(std::move(engine)) {}
+  ~InFlight() { loadBalancer_.finished(engine_); }
   InFlight(const InFlight&) = delete;
   InFlight& operator=(const InFlight&) = delete;
 
  private:
-  EngineSelector& selector_;
+  CostLoadBalancer& loadBalancer_;
   std::string engine_;
 };
 
 Forwarder::Forwarder(boost::asio::io_context& io, CoreExecutor& core, EngineSource& engines,
-                     EngineSelector& selector, ServingCounters& counters, const HeaderNames& names)
-    : io_(io), core_(core), engines_(engines), selector_(selector), counters_(counters),
+                     CostLoadBalancer& loadBalancer, ServingCounters& counters,
+                     const HeaderNames& names)
+    : io_(io), core_(core), engines_(engines), loadBalancer_(loadBalancer), counters_(counters),
       names_(names) {
   engines_.addListener([this](const EngineTable& table) { forgetUnlisted(table); });
 }
@@ -71,7 +81,7 @@
   }
   std::sort(listed.begin(), listed.end());
   pool_.keepOnly(listed);
-  selector_.keepOnly(table);
+  loadBalancer_.keepOnly(table);
 }
 
 Duration Forwarder::timeLeft(const OpaqueCall& call) const {
@@ -83,213 +93,206 @@
 
 Result<ForwardedAnswer> Forwarder::run(ForwardedCall& forwarded, boost::asio::yield_context yield) {
   OpaqueCall call = forwarded.call;
-  std::set<std::string> tried;
-  std::uint32_t runs = 0;
-  std::uint32_t refusals = 0;
-  bool begun = false;
+  RetryPolicy retries(call);
+  std::set<std::string> attemptedEngines;
   while (true) {
     if (timeLeft(call) <= Duration{0}) {
       return makeError(ErrorCode::DeadlineExceeded, "the time allowed ran out",
-                       runs > 0 ? Ran::Unknown : Ran::No);
-    }
-    const bool mayGoOn = (call.idempotent || call.resumable) && runs + 1 < call.maxAttempts;
-    const Duration silence = mayGoOn ? kSilenceLimit : timeLeft(call);
-    Attempt attempt = this->attempt(forwarded, call, tried, silence, yield);
-    begun = begun || attempt.begun;
-    if (attempt.end == AttemptEnd::Streamed) {
-      return ForwardedAnswer{true, {}, {}};
+                       retries.execution());
     }
-    if (attempt.end == AttemptEnd::Answered) {
-      const bool again = attempt.head.status >= kFirstServerError && mayGoOn && !begun;
-      if (!again) {
-        if (begun) {
-          return makeError(ErrorCode::ResponseTruncated, "no engine went on with the stream",
-                           Ran::Unknown);
-        }
-        return ForwardedAnswer{false, std::move(attempt.head), std::move(attempt.body)};
+    const Duration idleTimeout = retries.allowsAnotherExecution() ? kIdleTimeout : timeLeft(call);
+    UpstreamAttempt attempt = this->attempt(forwarded, call, attemptedEngines, idleTimeout, yield);
+    const bool retry = retries.onAttempt(attempt) == RetryPolicy::Decision::Retry;
+    if (isComplete(attempt)) {
+      if (retry) {
+        continue;
       }
-      ++runs;
-      continue;
+      return answerOf(std::move(attempt), retries);
     }
-    const bool ranNow = attempt.end == AttemptEnd::Broken;
-    runs += ranNow ? 1 : 0;
-    refusals += ranNow ? 0 : 1;
-    Error error = attempt.error;
-    error.ran = runs > 0 ? Ran::Unknown : Ran::No;
-    if (forwarded.abort.aborted() || attempt.noEngine || refusals >= kMostRefusals) {
+    if (!retry || forwarded.abort.aborted()) {
+      Error error = attempt.error;
+      error.ran = retries.execution();
       return error;
     }
-    if (ranNow && (!mayGoOn || (begun && !call.resumable))) {
-      return error;
-    }
-    if (!attempt.lastId.empty()) {
-      call.resumeAfter = attempt.lastId;
+    if (!attempt.lastEventId.empty()) {
+      call.resumeAfter = attempt.lastEventId;
     }
     counters_.add("gateway_engine_retries_total", 1);
   }
 }
 
-Attempt Forwarder::attempt(ForwardedCall& forwarded, const OpaqueCall& call,
-                           std::set<std::string>& tried, Duration silence,
-                           boost::asio::yield_context yield) {
-  const auto choice = selector_.choose(*engines_.table(), call, tried, core_.now());
+UpstreamAttempt Forwarder::attempt(ForwardedCall& forwarded, const OpaqueCall& call,
+                                   std::set<std::string>& attemptedEngines, Duration idleTimeout,
+                                   boost::asio::yield_context yield) {
+  const auto choice = loadBalancer_.choose(*engines_.table(), call, attemptedEngines, core_.now());
   if (!choice) {
-    Attempt none = notRun(choice.error());
-    none.noEngine = true;
+    UpstreamAttempt none = rejectedAttempt(choice.error());
+    none.noEngineLeft = true;
     return none;
   }
   const EngineChoice& engine = choice.value();
-  tried.insert(engine.id);
-  const InFlight inFlight(selector_, engine.id);
+  attemptedEngines.insert(engine.id);
+  const InFlight inFlight(loadBalancer_, engine.id);
   journal_->note(call.requestId, "engine", engine.id);
   while (true) {
     bool pooled = false;
-    auto link = linkTo(engine, forwarded, pooled, yield);
-    if (!link) {
-      if (link.error().code != ErrorCode::Cancelled) {
-        selector_.failed(engine.id, core_.now());
+    auto connection = acquireConnection(engine, forwarded, pooled, yield);
+    if (!connection) {
+      if (connection.error().code != ErrorCode::Cancelled) {
+        loadBalancer_.failed(engine.id, core_.now());
       }
-      return notRun(link.error());
+      return rejectedAttempt(connection.error());
     }
-    Attempt attempt = exchange(forwarded, call, engine, *link.value(), silence, yield);
-    const bool stale = pooled && attempt.end == AttemptEnd::NotRun &&
+    UpstreamAttempt attempt =
+        exchange(forwarded, call, engine, *connection.value(), idleTimeout, yield);
+    const bool stale = pooled && attempt.outcome == AttemptOutcome::Rejected &&
                        attempt.error.code == ErrorCode::EngineFailed;
     if (stale) {
-      continue;  // The engine had closed the idle link: no byte of the call went out.
+      continue;  // The engine had closed the idle connection: no byte of the call went out.
     }
-    if (attempt.end == AttemptEnd::Answered || attempt.end == AttemptEnd::Streamed) {
-      pool_.giveBack(engine.id, std::move(link.value()), core_.now());
+    if (isComplete(attempt)) {
+      pool_.release(engine.id, std::move(connection.value()), core_.now());
     }
     return attempt;
   }
 }
 
-Result<std::unique_ptr<EngineLink>> Forwarder::linkTo(const EngineChoice& engine,
-                                                      ForwardedCall& forwarded, bool& pooled,
-                                                      boost::asio::yield_context yield) {
-  std::unique_ptr<EngineLink> idle = pool_.take(engine.id, core_.now());
+Result<std::unique_ptr<UpstreamConnection>>
+Forwarder::acquireConnection(const EngineChoice& engine, ForwardedCall& forwarded, bool& pooled,
+                             boost::asio::yield_context yield) {
+  std::unique_ptr<UpstreamConnection> idle = pool_.acquire(engine.id, core_.now());
   pooled = idle != nullptr;
   if (pooled) {
     return idle;
   }
-  auto fresh = std::make_unique<EngineLink>(io_, names_);
+  auto fresh = std::make_unique<UpstreamConnection>(io_, names_);
   counters_.add("gateway_engine_connects_total", 1);
-  const Duration limit = std::min(kConnectLimit, timeLeft(forwarded.call));
+  const Duration timeout = std::min(kConnectTimeout, timeLeft(forwarded.call));
   const Status connected =
-      fresh->connect(engine.address, limit, forwarded.abort, forwarded.strand, yield);
+      fresh->connect(engine.address, timeout, forwarded.abort, forwarded.strand, yield);
   if (!connected) {
     return connected.error();
   }
   return fresh;
 }
 
-Attempt Forwarder::exchange(ForwardedCall& forwarded, const OpaqueCall& call,
-                            const EngineChoice& engine, EngineLink& link, Duration silence,
-                            boost::asio::yield_context yield) {
+UpstreamAttempt Forwarder::exchange(ForwardedCall& forwarded, const OpaqueCall& call,
+                                    const EngineChoice& engine, UpstreamConnection& connection,
+                                    Duration idleTimeout, boost::asio::yield_context yield) {
   const Status sent =
-      link.send(call, engine.id, timeLeft(call), forwarded.abort, forwarded.strand, yield);
+      connection.send(call, engine.id, timeLeft(call), forwarded.abort, forwarded.strand, yield);
   if (!sent && sent.error().ran == Ran::No) {
-    return notRun(sent.error());
+    return rejectedAttempt(sent.error());
   }
   // An engine that closed while the call was sent may have said before that it does not run it.
   if (!sent && sent.error().code != ErrorCode::EngineFailed) {
-    return broken(sent.error());
+    return failedAttempt(sent.error());
   }
-  Attempt attempt = readAnswer(forwarded, call, engine, link, silence, yield);
-  if (attempt.end == AttemptEnd::Broken) {
-    journal_->note(call.requestId, "engine failed", engine.id + ": " + attempt.error.detail);
-    if (attempt.error.code != ErrorCode::Cancelled) {
-      selector_.failed(engine.id, core_.now());
-      counters_.add("gateway_engine_failures_total", 1);
-    }
-    link.close();
-  } else if (attempt.end == AttemptEnd::NotRun) {
-    selector_.refused(engine.id, core_.now());
-    counters_.add("gateway_engine_refusals_total", 1);
-  } else {
-    selector_.served(engine.id, call, core_.now());
+  UpstreamAttempt attempt = readResponse(forwarded, call, engine, connection, idleTimeout, yield);
+  recordOutcome(attempt, call, engine);
+  if (attempt.outcome == AttemptOutcome::Failed) {
+    connection.close();
   }
   return attempt;
 }
 
-Attempt Forwarder::readAnswer(ForwardedCall& forwarded, const OpaqueCall& call,
-                              const EngineChoice& engine, EngineLink& link, Duration silence,
-                              boost::asio::yield_context yield) {
-  const std::uint64_t wait = selector_.sent(engine.id, core_.now());
-  Result<EngineHead> head = link.readHead(call, std::min(silence, timeLeft(call)), forwarded.abort,
-                                          forwarded.strand, yield);
-  selector_.answered(engine.id, wait);
-  if (!head) {
-    return broken(head.error());
+void Forwarder::recordOutcome(const UpstreamAttempt& attempt, const OpaqueCall& call,
+                              const EngineChoice& engine) {
+  if (attempt.outcome == AttemptOutcome::Rejected) {
+    loadBalancer_.rejected(engine.id, core_.now());
+    counters_.add("gateway_engine_refusals_total", 1);
+    return;
   }
-  EngineHead& got = head.value();
-  if (!got.hasRequestId && !got.notRun && got.status != kMisdirected) {
-    return broken(makeError(ErrorCode::ResponseMismatch, "the answer is not that of the call"));
+  if (attempt.outcome != AttemptOutcome::Failed) {
+    loadBalancer_.served(engine.id, call, core_.now());
+    return;
+  }
+  journal_->note(call.requestId, "engine failed", engine.id + ": " + attempt.error.detail);
+  if (attempt.error.code != ErrorCode::Cancelled) {
+    loadBalancer_.failed(engine.id, core_.now());
+    counters_.add("gateway_engine_failures_total", 1);
+  }
+}
+
+UpstreamAttempt Forwarder::readResponse(ForwardedCall& forwarded, const OpaqueCall& call,
+                                        const EngineChoice& engine, UpstreamConnection& connection,
+                                        Duration idleTimeout, boost::asio::yield_context yield) {
+  const std::uint64_t wait = loadBalancer_.sent(engine.id, core_.now());
+  Result<ResponseHead> head = connection.readHead(call, std::min(idleTimeout, timeLeft(call)),
+                                                  forwarded.abort, forwarded.strand, yield);
+  loadBalancer_.answered(engine.id, wait);
+  if (!head) {
+    return failedAttempt(head.error());
   }
-  if (got.notRun || got.status == kMisdirected) {
-    link.close();
-    return notRun(makeError(ErrorCode::NoEngine, "the engine refused"));
+  if (head.value().notRun || head.value().status == kMisdirected) {
+    connection.close();
+    return rejectedAttempt(makeError(ErrorCode::NoEngine, "the engine refused"));
   }
-  if (isSuccess(got.status) && !got.isSigned) {
-    return broken(makeError(ErrorCode::ResponseMismatch, "the answer is not signed"));
+  if (const Status checked = checkHead(head.value()); !checked) {
+    return failedAttempt(checked.error());
   }
-  if (isSuccess(got.status) && got.eventStream) {
-    return readStream(forwarded, call, got, link, silence, yield);
+  if (isSuccess(head.value().status) && head.value().eventStream) {
+    return readStream(forwarded, call, head.value(), connection, idleTimeout, yield);
   }
-  Attempt attempt;
-  attempt.end = AttemptEnd::Answered;
+  return readBody(forwarded, call, std::move(head.value()), connection, idleTimeout, yield);
+}
+
+UpstreamAttempt Forwarder::readBody(ForwardedCall& forwarded, const OpaqueCall& call,
+                                    ResponseHead head, UpstreamConnection& connection,
+                                    Duration idleTimeout, boost::asio::yield_context yield) {
+  UpstreamAttempt attempt;
+  attempt.outcome = AttemptOutcome::Answered;
+  attempt.head = std::move(head);
   while (true) {
-    const auto piece =
-        link.readPiece(std::min(silence, timeLeft(call)), forwarded.abort, forwarded.strand, yield);
-    if (!piece) {
-      return broken(piece.error());
+    const auto chunk = connection.readChunk(std::min(idleTimeout, timeLeft(call)), forwarded.abort,
+                                            forwarded.strand, yield);
+    if (!chunk) {
+      return failedAttempt(chunk.error());
     }
-    if (piece.value().empty()) {
-      break;
+    if (chunk.value().empty()) {
+      return attempt;
     }
-    attempt.body.append(piece.value());
-    if (attempt.body.size() > kMostAnswerBytes) {
-      return broken(makeError(ErrorCode::TooLarge, "the engine's answer is over its bound"));
+    attempt.body.append(chunk.value());
+    if (attempt.body.size() > kMaxResponseBytes) {
+      return failedAttempt(makeError(ErrorCode::TooLarge, "the engine's answer is over its bound"));
     }
   }
-  attempt.head = std::move(got);
-  return attempt;
 }
 
-Attempt Forwarder::readStream(ForwardedCall& forwarded, const OpaqueCall& call,
-                              const EngineHead& head, EngineLink& link, Duration silence,
-                              boost::asio::yield_context yield) {
+UpstreamAttempt Forwarder::readStream(ForwardedCall& forwarded, const OpaqueCall& call,
+                                      const ResponseHead& head, UpstreamConnection& connection,
+                                      Duration idleTimeout, boost::asio::yield_context yield) {
   EventSplitter splitter;
-  Attempt attempt;
+  UpstreamAttempt attempt;
   forwarded.sink.onHead(head);
-  const auto breakOff = [&](const Error& error) {
-    Attempt ended = broken(error);
-    ended.begun = attempt.begun;
-    ended.lastId = splitter.lastId();
-    return ended;
+  const auto fail = [&](const Error& error) {
+    UpstreamAttempt failed = failedAttempt(error);
+    failed.responseStarted = attempt.responseStarted;
+    failed.lastEventId = splitter.lastId();
+    return failed;
   };
   while (true) {
-    const auto piece =
-        link.readPiece(std::min(silence, timeLeft(call)), forwarded.abort, forwarded.strand, yield);
-    if (!piece) {
-      return breakOff(piece.error());
+    const auto chunk = connection.readChunk(std::min(idleTimeout, timeLeft(call)), forwarded.abort,
+                                            forwarded.strand, yield);
+    if (!chunk) {
+      return fail(chunk.error());
     }
-    if (piece.value().empty()) {
+    if (chunk.value().empty()) {
       break;
     }
-    const std::string_view bytes = call.resumable ? splitter.add(piece.value()) : piece.value();
+    const std::string_view bytes = call.resumable ? splitter.add(chunk.value()) : chunk.value();
     if (bytes.empty()) {
       continue;
     }
-    attempt.begun = true;
+    attempt.responseStarted = true;
     if (const Status taken = forwarded.sink.onBytes(bytes, yield); !taken) {
-      return breakOff(taken.error());
+      return fail(taken.error());
     }
   }
   if (splitter.hasPartialEvent()) {
-    return breakOff(makeError(ErrorCode::ResponseTruncated, "the stream ended inside an event"));
+    return fail(makeError(ErrorCode::ResponseTruncated, "the stream ended inside an event"));
   }
-  attempt.end = AttemptEnd::Streamed;
+  attempt.outcome = AttemptOutcome::Streamed;
   return attempt;
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -41,8 +41,8 @@
   error_code ignored;
   acceptor_.close(ignored);
   shared_.stopping = true;
-  const std::set<CallerSession*> waiting = shared_.waiting;
-  for (CallerSession* session : waiting) {
+  const std::set<DownstreamSession*> waiting = shared_.waiting;
+  for (DownstreamSession* session : waiting) {
     session->closeIfIdle();
   }
 }
@@ -55,8 +55,8 @@
       return;
     }
     if (!failed) {
-      auto session =
-          std::make_shared<CallerSession>(shared_, net::ip::tcp::socket(std::move(socket)), strand);
+      auto session = std::make_shared<DownstreamSession>(
+          shared_, net::ip::tcp::socket(std::move(socket)), strand);
       net::spawn(
           strand, [session](net::yield_context yield) { session->run(yield); },
           boost::coroutines::attributes(kStackBytes));
--- a/src/gateway/item_runner.cpp
+++ b/src/gateway/item_runner.cpp
@@ -19,12 +19,12 @@
 constexpr int kFirstRedirect = 300;
 
 /// An engine that is silent for this long is left for another one.
-constexpr Duration kSilence = std::chrono::milliseconds(2500);
+constexpr Duration kIdleTimeout = std::chrono::milliseconds(2500);
 /// Refusals after which the item goes back to wait for its turn.
-constexpr int kMostRefusals = 3;
+constexpr int kMaxRejections = 3;
 /// Broken runs after which the item goes back as well.
-constexpr int kMostBreaks = 12;
-constexpr std::chrono::milliseconds kRetryPause{60};
+constexpr int kMaxFailures = 12;
+constexpr std::chrono::milliseconds kRetryBackoff{60};
 constexpr std::size_t kStackBytes = 256U << 10U;
 
 std::string headerOf(const std::vector<HeaderField>& headers, const std::string& name) {
@@ -39,7 +39,7 @@
 /// Collects the data of the events.
 class TextSink : public StreamSink {
  public:
-  void onHead(const EngineHead&) override {}
+  void onHead(const ResponseHead&) override {}
   Status onBytes(std::string_view bytes, boost::asio::yield_context) override {
     text_.add(bytes);
     return okStatus();
@@ -115,17 +115,18 @@
   TextSink sink;
   CallAbort never;
   ForwardedCall forwarded{opaque, sink, never, strand};
-  std::set<std::string> tried;
+  std::set<std::string> attemptedEngines;
   std::uint32_t failures = 0;
-  int refusals = 0;
-  int breaks = 0;
-  boost::asio::steady_timer pause(strand);
-  while (refusals < kMostRefusals && breaks < kMostBreaks && call.isWanted()) {
-    const Attempt attempt = services_.forwarder.attempt(forwarded, opaque, tried, kSilence, yield);
-    if (attempt.end == AttemptEnd::Streamed) {
+  int rejections = 0;
+  int failedAttempts = 0;
+  boost::asio::steady_timer backoff(strand);
+  while (rejections < kMaxRejections && failedAttempts < kMaxFailures && call.isWanted()) {
+    const UpstreamAttempt attempt =
+        services_.forwarder.attempt(forwarded, opaque, attemptedEngines, kIdleTimeout, yield);
+    if (attempt.outcome == AttemptOutcome::Streamed) {
       return EngineAnswer{kOk, sink.take()};
     }
-    if (attempt.end == AttemptEnd::Answered) {
+    if (attempt.outcome == AttemptOutcome::Answered) {
       const int status = attempt.head.status;
       if (status >= kFirstSuccess && status < kFirstRedirect) {
         return EngineAnswer{kOk, attempt.body};
@@ -133,24 +134,25 @@
       if (status == kNever || ++failures >= opaque.maxAttempts) {
         return EngineAnswer{status, {}};
       }
-      tried.clear();
+      attemptedEngines.clear();
       continue;
     }
-    if (attempt.end == AttemptEnd::Broken) {
-      ++breaks;
-      opaque.resumeAfter = attempt.lastId.empty() ? opaque.resumeAfter : attempt.lastId;
+    if (attempt.outcome == AttemptOutcome::Failed) {
+      ++failedAttempts;
+      opaque.resumeAfter = attempt.lastEventId.empty() ? opaque.resumeAfter : attempt.lastEventId;
       continue;
     }
-    ++refusals;
-    if (attempt.noEngine) {
-      tried.clear();
+    ++rejections;
+    if (attempt.noEngineLeft) {
+      attemptedEngines.clear();
     }
     boost::system::error_code ignored;
-    pause.expires_after(kRetryPause);
-    pause.async_wait(yield[ignored]);
+    backoff.expires_after(kRetryBackoff);
+    backoff.async_wait(yield[ignored]);
   }
   return makeError(ErrorCode::NoEngine, "no engine ran the item",
-                   failures + static_cast<std::uint32_t>(breaks) > 0 ? Ran::Unknown : Ran::No);
+                   failures + static_cast<std::uint32_t>(failedAttempts) > 0 ? Ran::Unknown
+                                                                             : Ran::No);
 }
 
 }  // namespace shedshed
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -21,12 +21,8 @@
 constexpr std::uint64_t kMaxBodyBytes = 256U << 20U;
 /// Time that an engine is expected to keep an idle connection if it does not say.
 constexpr Duration kAssumedKeepAlive = std::chrono::seconds(4);
-/// A link is given up this long before the engine would close it.
-constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
 /// Sent bytes that stay unacknowledged for this long close the link: the engine is gone.
 constexpr std::chrono::milliseconds kUnackedTimeout{1500};
-/// Most idle links kept per engine.
-constexpr std::size_t kMostIdleLinks = 16;
 
 std::string_view toView(boost::beast::string_view text) {
   return {text.data(), text.size()};
@@ -77,11 +73,11 @@
 
 }  // namespace
 
-EngineLink::EngineLink(net::io_context& io, const HeaderNames& names)
+UpstreamConnection::UpstreamConnection(net::io_context& io, const HeaderNames& names)
     : names_(names), socket_(io), keepAlive_(kAssumedKeepAlive) {}
 
-Error EngineLink::failure(const error_code& failed, const SocketDeadline& deadline,
-                          const CallAbort& abort) const {
+Error UpstreamConnection::failure(const error_code& failed, const SocketDeadline& deadline,
+                                  const CallAbort& abort) const {
   if (abort.aborted()) {
     return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::Unknown);
   }
@@ -95,8 +91,8 @@
   return makeError(ErrorCode::EngineFailed, failed.message(), Ran::Unknown);
 }
 
-Status EngineLink::connect(const std::string& address, Duration limit, CallAbort& abort,
-                           const ServingStrand& strand, net::yield_context yield) {
+Status UpstreamConnection::connect(const std::string& address, Duration limit, CallAbort& abort,
+                                   const ServingStrand& strand, net::yield_context yield) {
   const auto endpoint = parseEndpoint(address);
   if (!endpoint) {
     return endpoint.error();
@@ -119,8 +115,9 @@
   return okStatus();
 }
 
-Status EngineLink::send(const OpaqueCall& call, const std::string& engineId, Duration timeLeft,
-                        CallAbort& abort, const ServingStrand& strand, net::yield_context yield) {
+Status UpstreamConnection::send(const OpaqueCall& call, const std::string& engineId,
+                                Duration timeLeft, CallAbort& abort, const ServingStrand& strand,
+                                net::yield_context yield) {
   clean_ = false;
   if (abort.aborted()) {
     return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::No);
@@ -146,8 +143,8 @@
   return okStatus();
 }
 
-EngineHead EngineLink::headOf(const OpaqueCall& call) {
-  EngineHead head;
+ResponseHead UpstreamConnection::headOf(const OpaqueCall& call) {
+  ResponseHead head;
   const auto& message = parser_->get();
   head.status = static_cast<int>(message.result_int());
   for (const auto& field : message.base()) {
@@ -171,8 +168,9 @@
   return head;
 }
 
-Result<EngineHead> EngineLink::readHead(const OpaqueCall& call, Duration limit, CallAbort& abort,
-                                        const ServingStrand& strand, net::yield_context yield) {
+Result<ResponseHead> UpstreamConnection::readHead(const OpaqueCall& call, Duration limit,
+                                                  CallAbort& abort, const ServingStrand& strand,
+                                                  net::yield_context yield) {
   const CallAbort::Scope scope(abort, [this]() { close(); });
   SocketDeadline deadline(strand, socket_);
   deadline.arm(limit);
@@ -187,18 +185,18 @@
   return headOf(call);
 }
 
-Result<std::string_view> EngineLink::readPiece(Duration limit, CallAbort& abort,
-                                               const ServingStrand& strand,
-                                               net::yield_context yield) {
+Result<std::string_view> UpstreamConnection::readChunk(Duration limit, CallAbort& abort,
+                                                       const ServingStrand& strand,
+                                                       net::yield_context yield) {
   const CallAbort::Scope scope(abort, [this]() { close(); });
   SocketDeadline deadline(strand, socket_);
   deadline.arm(limit);
   while (!parser_->is_done()) {
-    parser_->get().body().data = piece_.data();
-    parser_->get().body().size = piece_.size();
+    parser_->get().body().data = chunk_.data();
+    parser_->get().body().size = chunk_.size();
     error_code failed;
     http::async_read_some(socket_, buffer_, *parser_, yield[failed]);
-    const std::size_t size = piece_.size() - parser_->get().body().size;
+    const std::size_t size = chunk_.size() - parser_->get().body().size;
     if (failed == http::error::need_buffer) {
       failed = {};
     }
@@ -206,7 +204,7 @@
       return failure(failed, deadline, abort);
     }
     if (size > 0) {
-      return std::string_view(piece_.data(), size);
+      return std::string_view(chunk_.data(), size);
     }
   }
   // Bytes after a whole answer belong to no call.
@@ -214,7 +212,7 @@
   return std::string_view();
 }
 
-bool EngineLink::reusable() {
+bool UpstreamConnection::reusable() {
   if (!clean_ || !socket_.is_open()) {
     return false;
   }
@@ -223,42 +221,10 @@
   return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void EngineLink::close() {
+void UpstreamConnection::close() {
   clean_ = false;
   error_code ignored;
   socket_.close(ignored);
 }
 
-std::unique_ptr<EngineLink> EngineLinkPool::take(const std::string& engine, Time now) {
-  const auto found = idle_.find(engine);
-  if (found == idle_.end()) {
-    return nullptr;
-  }
-  std::vector<Idle>& links = found->second;
-  while (!links.empty()) {
-    Idle newest = std::move(links.back());
-    links.pop_back();
-    if (now < newest.until && newest.link->reusable()) {
-      return std::move(newest.link);
-    }
-  }
-  return nullptr;
-}
-
-void EngineLinkPool::giveBack(const std::string& engine, std::unique_ptr<EngineLink> link,
-                              Time now) {
-  const Time until = now + link->keepAlive() - kKeepAliveMargin;
-  std::vector<Idle>& links = idle_[engine];
-  if (until > now && links.size() < kMostIdleLinks && link->reusable()) {
-    links.push_back({std::move(link), until});
-  }
-}
-
-void EngineLinkPool::keepOnly(const std::vector<std::string>& engines) {
-  for (auto entry = idle_.begin(); entry != idle_.end();) {
-    const bool listed = std::binary_search(engines.begin(), engines.end(), entry->first);
-    entry = listed ? std::next(entry) : idle_.erase(entry);
-  }
-}
-
 }  // namespace shedshed
--- a/src/gateway/upstream_connection.h
+++ b/src/gateway/upstream_connection.h
@@ -24,7 +24,7 @@
 namespace shedshed {
 
 /// Head of an engine's answer.
-struct EngineHead {
+struct ResponseHead {
   int status = 0;
   std::vector<HeaderField> headers;  ///< Without those of the connection.
   bool hasRequestId = false;         ///< The answer echoes the id of the call that was sent.
@@ -36,9 +36,9 @@
 /// A connection; use it from one coroutine at a time.
 ///
 /// An error's `ran` is `No` only if no byte of a call was handed to the network.
-class EngineLink {
+class UpstreamConnection {
  public:
-  EngineLink(boost::asio::io_context& io, const HeaderNames& names);
+  UpstreamConnection(boost::asio::io_context& io, const HeaderNames& names);
 
   /// Connects to "a.b.c.d:port" within @p limit.
   Status connect(const std::string& address, Duration limit, CallAbort& abort,
@@ -49,11 +49,11 @@
               CallAbort& abort, const ServingStrand& strand, boost::asio::yield_context yield);
 
   /// Reads the head of the answer, at most until @p limit has passed.
-  Result<EngineHead> readHead(const OpaqueCall& call, Duration limit, CallAbort& abort,
-                              const ServingStrand& strand, boost::asio::yield_context yield);
+  Result<ResponseHead> readHead(const OpaqueCall& call, Duration limit, CallAbort& abort,
+                                const ServingStrand& strand, boost::asio::yield_context yield);
 
   /// Reads a piece of the body; empty at its whole end. Valid until the next call.
-  Result<std::string_view> readPiece(Duration limit, CallAbort& abort, const ServingStrand& strand,
+  Result<std::string_view> readChunk(Duration limit, CallAbort& abort, const ServingStrand& strand,
                                      boost::asio::yield_context yield);
 
   /// True if the last answer was whole and the connection may carry another call.
@@ -67,7 +67,7 @@
  private:
   using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
-  EngineHead headOf(const OpaqueCall& call);
+  ResponseHead headOf(const OpaqueCall& call);
   Error failure(const boost::system::error_code& failed, const SocketDeadline& deadline,
                 const CallAbort& abort) const;
 
@@ -75,29 +75,9 @@
   boost::asio::ip::tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
-  std::array<char, 16384> piece_{};
+  std::array<char, 16384> chunk_{};
   Duration keepAlive_;
   bool clean_ = true;
 };
 
-/// Idle links by the engine's id. Core thread only.
-class EngineLinkPool {
- public:
-  /// Returns a reusable link, or null.
-  std::unique_ptr<EngineLink> take(const std::string& engine, Time now);
-
-  /// Keeps @p link if it may be reused.
-  void giveBack(const std::string& engine, std::unique_ptr<EngineLink> link, Time now);
-
-  /// Drops the links of engines that are not in @p engines any more.
-  void keepOnly(const std::vector<std::string>& engines);
-
- private:
-  struct Idle {
-    std::unique_ptr<EngineLink> link;
-    Time until;
-  };
-  std::map<std::string, std::vector<Idle>> idle_;
-};
-
 }  // namespace shedshed
--- /dev/null
+++ b/src/gateway/upstream_connection_pool.cpp
@@ -0,0 +1,48 @@
+#include "gateway/upstream_connection_pool.h"
+
+#include <algorithm>
+
+namespace shedshed {
+namespace {
+
+/// A connection is abandoned this long before the engine would close it.
+constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
+/// Idle connections retained per engine.
+constexpr std::size_t kMaxIdleConnections = 16;
+
+}  // namespace
+
+std::unique_ptr<UpstreamConnection> UpstreamConnectionPool::acquire(const std::string& engine,
+                                                                    Time now) {
+  const auto found = idle_.find(engine);
+  if (found == idle_.end()) {
+    return nullptr;
+  }
+  std::vector<Idle>& connections = found->second;
+  while (!connections.empty()) {
+    Idle newest = std::move(connections.back());
+    connections.pop_back();
+    if (now < newest.until && newest.connection->reusable()) {
+      return std::move(newest.connection);
+    }
+  }
+  return nullptr;
+}
+
+void UpstreamConnectionPool::release(const std::string& engine,
+                                     std::unique_ptr<UpstreamConnection> connection, Time now) {
+  const Time until = now + connection->keepAlive() - kKeepAliveMargin;
+  std::vector<Idle>& connections = idle_[engine];
+  if (until > now && connections.size() < kMaxIdleConnections && connection->reusable()) {
+    connections.push_back({std::move(connection), until});
+  }
+}
+
+void UpstreamConnectionPool::keepOnly(const std::vector<std::string>& engines) {
+  for (auto entry = idle_.begin(); entry != idle_.end();) {
+    const bool listed = std::binary_search(engines.begin(), engines.end(), entry->first);
+    entry = listed ? std::next(entry) : idle_.erase(entry);
+  }
+}
+
+}  // namespace shedshed
--- /dev/null
+++ b/src/gateway/upstream_connection_pool.h
@@ -0,0 +1,34 @@
+/// @file
+/// The idle connections of a node to its engines.
+#pragma once
+
+#include "gateway/upstream_connection.h"
+
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+namespace shedshed {
+
+/// Idle connections by the engine's id. Core thread only.
+class UpstreamConnectionPool {
+ public:
+  /// Returns the connection that was used last and may be reused, or null.
+  std::unique_ptr<UpstreamConnection> acquire(const std::string& engine, Time now);
+
+  /// Retains @p connection if it may be reused, else closes it.
+  void release(const std::string& engine, std::unique_ptr<UpstreamConnection> connection, Time now);
+
+  /// Closes the connections of engines that are not in @p engines, which is sorted.
+  void keepOnly(const std::vector<std::string>& engines);
+
+ private:
+  struct Idle {
+    std::unique_ptr<UpstreamConnection> connection;
+    Time until;
+  };
+  std::map<std::string, std::vector<Idle>> idle_;
+};
+
+}  // namespace shedshed
--- a/src/process/gateway_process.cpp
+++ b/src/process/gateway_process.cpp
@@ -24,8 +24,9 @@
                                std::string readyPath)
     : settings_(settings), readyPath_(std::move(readyPath)), node_(settings, keys, nullptr),
       cores_(node_.runtime, eventLoopOptions(settings, ""), nullptr), settingsTree_(nullptr),
-      random_(std::random_device{}()), selector_(settings.zone, random_), names_(std::move(names)),
-      forwarder_(node_.loop, node_.executor, cores_.engines(), selector_, node_.counters, names_),
+      random_(std::random_device{}()), loadBalancer_(settings.zone, random_),
+      names_(std::move(names)), forwarder_(node_.loop, node_.executor, cores_.engines(),
+                                           loadBalancer_, node_.counters, names_),
       journal_(&monotonicNow), services_{node_.loop,
                                          node_.executor,
                                          settingsTree_,
@@ -42,7 +43,7 @@
                                          &journal_},
       items_(services_), gateway_(services_, dialect, settings.clientAddress),
       readiness_(node_.loop, settings.readyAddress, kReadyBodyBytes,
-                 [this](const WholeCall& call, const WholeCallServer::Done& done) {
+                 [this](const BufferedRequest& call, const BufferedRequestServer::Done& done) {
                    done(answerReady(call));
                  }) {
   cores_.addRunner(node_.runtime, items_);
@@ -61,7 +62,7 @@
   settingsTree_.publish(std::make_shared<const SettingsTree>(std::move(tree.value())));
 }
 
-GatewayAnswer GatewayProcess::answerReady(const WholeCall& call) const {
+GatewayAnswer GatewayProcess::answerReady(const BufferedRequest& call) const {
   GatewayAnswer answer;
   if (call.target != readyPath_) {
     answer.status = kNotFound;
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -24,7 +24,7 @@
 
  private:
   void publishSettings(const RegisterValue& value);
-  GatewayAnswer answerReady(const WholeCall& call) const;
+  GatewayAnswer answerReady(const BufferedRequest& call) const;
   void drain();
   bool idle();
 
@@ -34,14 +34,14 @@
   DataCores cores_;
   Snapshot<SettingsTree> settingsTree_;
   RandomEngine random_;
-  EngineSelector selector_;
+  CostLoadBalancer loadBalancer_;
   HeaderNames names_;
   Forwarder forwarder_;
   CallRing journal_;
   GatewayServices services_;
   OpaqueItemRunner items_;
   Gateway gateway_;
-  WholeCallServer readiness_;
+  BufferedRequestServer readiness_;
 };
 
 }  // namespace shedshed
--- a/tests/gateway/forwarder_test.cpp
+++ b/tests/gateway/forwarder_test.cpp
@@ -34,23 +34,23 @@
 
 class NoStream : public StreamSink {
  public:
-  void onHead(const EngineHead&) override {}
+  void onHead(const ResponseHead&) override {}
   Status onBytes(std::string_view, net::yield_context) override { return okStatus(); }
 };
 
 /// How an engine answers every call.
 enum class Behaviour { Serves, RefusesNotRun, IsAnother, Fails, AnswersAnotherCall, Unsigned };
 
-struct ForwarderWorld {
+struct ForwarderFixture {
   /// Engines answer in the order of their ids as @p behaviours say: each next one costs more.
-  explicit ForwarderWorld(const std::vector<Behaviour>& behaviours) {
+  explicit ForwarderFixture(const std::vector<Behaviour>& behaviours) {
     for (const Behaviour behaviour : behaviours) {
       addEngine(behaviour);
     }
     for (std::size_t index = 0; index < behaviours.size(); ++index) {
       for (std::size_t calls = 0; calls < index; ++calls) {
-        (void)selector.sent("e" + std::to_string(index),
-                            Time());  // Looks slower than those before.
+        (void)loadBalancer.sent("e" + std::to_string(index),
+                                Time());  // Looks slower than those before.
       }
     }
   }
@@ -62,17 +62,17 @@
     engine.model = "s";
     engine.state = EngineState::Ready;
     probe.close();
-    servers.push_back(std::make_unique<WholeCallServer>(
+    servers.push_back(std::make_unique<BufferedRequestServer>(
         loop, engine.address, 1000,
-        [this, behaviour, id = engine.id](const WholeCall& call,
-                                          const WholeCallServer::Done& done) {
-          asked.push_back(id);
+        [this, behaviour, id = engine.id](const BufferedRequest& call,
+                                          const BufferedRequestServer::Done& done) {
+          attemptedEngines.push_back(id);
           done(answerOf(behaviour, call));
         }));
     BOOST_REQUIRE(servers.back()->start());
     table.engines->engines.push_back(engine);
   }
-  GatewayAnswer answerOf(Behaviour behaviour, const WholeCall& call) const {
+  GatewayAnswer answerOf(Behaviour behaviour, const BufferedRequest& call) const {
     GatewayAnswer answer;
     const bool another = behaviour == Behaviour::AnswersAnotherCall;
     answer.headers.push_back(
@@ -123,10 +123,10 @@
   NoCounters counters;
   NoStream sink;
   RandomEngine random{3};
-  EngineSelector selector{"", random};
-  Forwarder forwarder{loop, executor, table, selector, counters, names};
-  std::vector<std::unique_ptr<WholeCallServer>> servers;
-  std::vector<std::string> asked;
+  CostLoadBalancer loadBalancer{"", random};
+  Forwarder forwarder{loop, executor, table, loadBalancer, counters, names};
+  std::vector<std::unique_ptr<BufferedRequestServer>> servers;
+  std::vector<std::string> attemptedEngines;
 };
 
 }  // namespace
@@ -137,21 +137,21 @@
 /// although others were free.
 BOOST_AUTO_TEST_CASE(a_refusal_goes_on_to_the_next_engine) {
   for (const Behaviour refusal : {Behaviour::RefusesNotRun, Behaviour::IsAnother}) {
-    ForwarderWorld world({refusal, refusal, Behaviour::Serves});
-    const auto answer = world.run(false, 1);
+    ForwarderFixture fixture({refusal, refusal, Behaviour::Serves});
+    const auto answer = fixture.run(false, 1);
     BOOST_REQUIRE(answer.has_value());
     BOOST_TEST(answer.value().head.status == 200);
     BOOST_TEST(answer.value().body == "body");
-    BOOST_TEST(world.asked.back() == "e2");
+    BOOST_TEST(fixture.attemptedEngines.back() == "e2");
   }
 }
 
 BOOST_AUTO_TEST_CASE(not_run_is_promised_only_if_every_engine_refused) {
-  ForwarderWorld world({Behaviour::RefusesNotRun, Behaviour::IsAnother});
-  const auto answer = world.run(true, 3);
+  ForwarderFixture fixture({Behaviour::RefusesNotRun, Behaviour::IsAnother});
+  const auto answer = fixture.run(true, 3);
   BOOST_REQUIRE(answer.has_error());
   BOOST_TEST((answer.error().ran == Ran::No));
-  ForwarderWorld mixed({Behaviour::Unsigned, Behaviour::RefusesNotRun});
+  ForwarderFixture mixed({Behaviour::Unsigned, Behaviour::RefusesNotRun});
   const auto unknown = mixed.run(true, 3);
   BOOST_REQUIRE(unknown.has_error());
   BOOST_TEST((unknown.error().ran == Ran::Unknown));
@@ -159,25 +159,25 @@
 
 BOOST_AUTO_TEST_CASE(a_call_that_may_have_run_is_repeated_only_if_it_is_idempotent) {
   for (const Behaviour lost : {Behaviour::AnswersAnotherCall, Behaviour::Unsigned}) {
-    ForwarderWorld once({lost, Behaviour::Serves});
+    ForwarderFixture once({lost, Behaviour::Serves});
     const auto answer = once.run(false, 3);
     BOOST_REQUIRE(answer.has_error());
     BOOST_TEST((answer.error().ran == Ran::Unknown));
-    BOOST_TEST(once.asked.size() == 1U);
-    ForwarderWorld repeated({lost, Behaviour::Serves});
+    BOOST_TEST(once.attemptedEngines.size() == 1U);
+    ForwarderFixture repeated({lost, Behaviour::Serves});
     BOOST_TEST(repeated.run(true, 2).has_value());
-    ForwarderWorld spent({lost, Behaviour::Serves});
+    ForwarderFixture spent({lost, Behaviour::Serves});
     BOOST_TEST(spent.run(true, 1).has_error());
   }
 }
 
 BOOST_AUTO_TEST_CASE(an_engines_own_failure_is_passed_on_or_repeated) {
-  ForwarderWorld once({Behaviour::Fails, Behaviour::Serves});
+  ForwarderFixture once({Behaviour::Fails, Behaviour::Serves});
   const auto passedOn = once.run(false, 2);
   BOOST_REQUIRE(passedOn.has_value());
   BOOST_TEST(passedOn.value().head.status == 500);
-  BOOST_TEST(once.asked.size() == 1U);
-  ForwarderWorld repeated({Behaviour::Fails, Behaviour::Serves});
+  BOOST_TEST(once.attemptedEngines.size() == 1U);
+  ForwarderFixture repeated({Behaviour::Fails, Behaviour::Serves});
   BOOST_TEST(repeated.run(true, 2).value().head.status == 200);
 }
 
