--- a/tests/compatibility/sample_value.h
+++ b/tests/compatibility/sample_value.h
@@ -18,6 +18,7 @@
 /// generated `msgpack_pack` hands it each field by reference.
 class SampleFiller {
  public:
+  // NOLINTNEXTLINE(readability-identifier-naming): the name that msgpack calls.
   SampleFiller& pack_array(std::uint32_t) { return *this; }
 
   template <class T>
--- a/tests/operators/fake_services.h
+++ b/tests/operators/fake_services.h
@@ -78,8 +78,8 @@
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   socklen_t size = sizeof address;
-  ::bind(descriptor, reinterpret_cast<sockaddr*>(&address), size);
-  ::getsockname(descriptor, reinterpret_cast<sockaddr*>(&address), &size);
+  BOOST_REQUIRE(::bind(descriptor, reinterpret_cast<sockaddr*>(&address), size) == 0);
+  BOOST_REQUIRE(::getsockname(descriptor, reinterpret_cast<sockaddr*>(&address), &size) == 0);
   ::close(descriptor);
   return ntohs(address.sin_port);
 }
