--- a/tests/operators/fake_services.h
+++ b/tests/operators/fake_services.h
@@ -5,6 +5,7 @@
 #include "operators/operator_services.h"
 
 #include <arpa/inet.h>
+#include <boost/test/unit_test.hpp>
 #include <map>
 #include <sys/socket.h>
 #include <unistd.h>
