--- a/src/partition/known_owner.cpp
+++ b/src/partition/known_owner.cpp
@@ -7,12 +7,11 @@
 namespace shedshed {
 
 void KnownOwner::messageAccepted(const NodeId& owner, std::uint64_t epoch, Time now) {
-  if (epoch_ != epoch) {
+  if (!owner_ || owner_->epoch != epoch) {
     previousSequence_ = 0;
     lastSequence_ = 0;
   }
-  node_ = owner;
-  epoch_ = epoch;
+  owner_ = Owner{owner, epoch};
   lastMessageAt_ = now;
 }
 
--- a/src/partition/known_owner.h
+++ b/src/partition/known_owner.h
@@ -6,6 +6,7 @@
 #include "kernel/time.h"
 
 #include <cstdint>
+#include <optional>
 
 namespace shedshed {
 
@@ -16,6 +17,11 @@
   /// An owner whose last message is younger than this counts as active.
   static constexpr Duration kActiveTimeout = std::chrono::seconds(1);
 
+  struct Owner {
+    NodeId node;
+    std::uint64_t epoch = 0;
+  };
+
   /// Starts the time-outs at @p now, with no owner known.
   void start(Time now) { lastMessageAt_ = now; }
 
@@ -25,16 +31,13 @@
   /// The message was a heartbeat; @p sequence is the owner's last write.
   void heartbeatAccepted(std::uint64_t sequence);
 
-  /// Empty if none was heard since the start.
-  const NodeId& node() const { return node_; }
-
-  /// 0 if none was heard since the start.
-  std::uint64_t epoch() const { return epoch_; }
+  /// nullopt if no owner was heard since the start.
+  const std::optional<Owner>& owner() const { return owner_; }
 
   Time lastMessageAt() const { return lastMessageAt_; }
 
   /// True if an owner was heard within `kActiveTimeout`.
-  bool isActive(Time now) const { return epoch_ != 0 && now - lastMessageAt_ < kActiveTimeout; }
+  bool isActive(Time now) const { return owner_ && now - lastMessageAt_ < kActiveTimeout; }
 
   /// True if the last message, or the start, is within `PartitionOptions::kHeartbeatTimeout`.
   bool isWithinHeartbeatTimeout(Time now) const;
@@ -43,8 +46,7 @@
   std::uint64_t previousSequence() const { return previousSequence_; }
 
  private:
-  NodeId node_;
-  std::uint64_t epoch_ = 0;
+  std::optional<Owner> owner_;
   std::uint64_t previousSequence_ = 0;
   std::uint64_t lastSequence_ = 0;  ///< The owner's last write in the last heartbeat.
   Time lastMessageAt_;
--- a/src/partition/local_partition.cpp
+++ b/src/partition/local_partition.cpp
@@ -16,14 +16,15 @@
   knownOwner_.start(context_.now());
 }
 
-bool LocalPartition::serves() const {
-  return owner_ && announced_ && !owner_->lost() && !replica_.table().damaged();
+bool LocalPartition::isServing() const {
+  return owner_ && announced_ && !owner_->isLost() && !replica_.table().isDamaged();
 }
 
 NodeId LocalPartition::ownerHint() const {
-  const bool usable = knownOwner_.isWithinHeartbeatTimeout(context_.now()) &&
-                      stores_.isReachable(knownOwner_.node());
-  return usable ? knownOwner_.node() : NodeId();
+  const std::optional<KnownOwner::Owner>& owner = knownOwner_.owner();
+  const bool usable = owner && knownOwner_.isWithinHeartbeatTimeout(context_.now()) &&
+                      stores_.isReachable(owner->node);
+  return usable ? owner->node : NodeId();
 }
 
 bool LocalPartition::takesNewData() const {
@@ -31,12 +32,13 @@
 }
 
 bool LocalPartition::isCaughtUp() const {
-  if (serves()) {
+  if (isServing()) {
     return true;
   }
   const ReplicaPosition position = replica_.position();
-  return knownOwner_.epoch() != 0 && knownOwner_.isWithinHeartbeatTimeout(context_.now()) &&
-         position.installedEpoch == knownOwner_.epoch() &&
+  const std::optional<KnownOwner::Owner>& owner = knownOwner_.owner();
+  return owner && knownOwner_.isWithinHeartbeatTimeout(context_.now()) &&
+         position.installedEpoch == owner->epoch &&
          position.sequence >= knownOwner_.previousSequence();
 }
 
@@ -73,7 +75,7 @@
 
 void LocalPartition::promise(const NodeId& from, std::uint64_t epoch,
                              std::function<void(PromiseAnswer)> done) {
-  const bool selfIsActive = owner_ && announced_ && !owner_->lost();
+  const bool selfIsActive = owner_ && announced_ && !owner_->isLost();
   if (policy_.displacesActiveOwner(from, knownOwner_, selfIsActive, context_.now())) {
     done(replica_.decline(epoch));
   } else {
@@ -196,7 +198,7 @@
     takeover_->tick();
   }
   review();
-  if (!owner_ && replica_.table().damaged()) {
+  if (!owner_ && replica_.table().isDamaged()) {
     replica_.dropDamaged();
   }
   considerTakeover(mayOwn);
@@ -227,8 +229,8 @@
     beginOwnership();
     return;
   }
-  if (takeover_->state() == PartitionTakeover::State::Refused) {
-    highestEpoch_ = std::max(highestEpoch_, takeover_->refusedBy());
+  if (takeover_->state() == PartitionTakeover::State::Rejected) {
+    highestEpoch_ = std::max(highestEpoch_, takeover_->rejectedBy().value_or(0));
     abandonTakeover();
     std::uniform_int_distribution<std::int64_t> backoff(0, toMilliseconds(kMaxTakeoverBackoff));
     // A heartbeat of the owner that refused arrives within the fixed part.
@@ -242,12 +244,12 @@
   if (!owner_) {
     return;
   }
-  if (owner_->lost() || replica_.table().damaged()) {
+  if (owner_->isLost() || replica_.table().isDamaged()) {
     loseOwnership();
     return;
   }
   owner_->complete();
-  if (owner_ && owner_->serving() && !announced_) {
+  if (owner_ && owner_->isServing() && !announced_) {
     announced_ = true;
     context_.counters().add("partition_takeovers_total");
     if (listener_ != nullptr) {
@@ -311,12 +313,12 @@
 }
 
 void LocalPartition::loseOwnership() {
-  highestEpoch_ = std::max(highestEpoch_, owner_->refusedBy());
+  highestEpoch_ = std::max(highestEpoch_, owner_->rejectedBy().value_or(0));
   // Detached before any callback runs: a callback that writes again finds no owner.
   const std::unique_ptr<PartitionOwner> owner = std::move(owner_);
   const bool announced = std::exchange(announced_, false);
   retryTakeoverAt_ = context_.now() + PartitionOptions::kRetransmitTimeout;
-  if (replica_.table().damaged()) {
+  if (replica_.table().isDamaged()) {
     replica_.dropDamaged();
   }
   context_.counters().add("partition_ownership_lost_total");
--- a/src/partition/local_partition.h
+++ b/src/partition/local_partition.h
@@ -39,15 +39,15 @@
   const PartitionTable& table() const { return replica_.table(); }
 
   /// True while this node believes that it owns the partition and has finished its takeover.
-  bool serves() const;
+  bool isServing() const;
 
-  /// Epoch of this node as the owner. Only while `serves`.
+  /// Epoch of this node as the owner. Only while `isServing`.
   std::uint64_t epoch() const { return owner_->epoch(); }
 
   /// The other node that is believed to be the owner; empty if none.
   NodeId ownerHint() const;
 
-  /// False if a replica, this one included, has little disk space. Only while `serves`.
+  /// False if a replica, this one included, has little disk space. Only while `isServing`.
   bool takesNewData() const;
 
   /// True if the replica is complete at the newest known epoch.
@@ -56,15 +56,15 @@
   /// True if the epoch that is installed counts this node, with its present disk, as a replica.
   bool isCountedAsReplica() const;
 
-  /// Replicates one write. Only while `serves`.
+  /// Replicates one write. Only while `isServing`.
   void write(std::vector<TableEntry> entries, std::function<void(Status)> done);
 
   /// Completes with a majority of replies to heartbeat @p round or a later one. Only while
-  /// `serves`.
+  /// `isServing`.
   void confirmOwnership(std::uint64_t round, std::function<void(Status)> done);
 
   /// True if a call of `confirmOwnership` is pending.
-  bool confirming() const { return owner_ && owner_->confirming(); }
+  bool isConfirming() const { return owner_ && owner_->isConfirming(); }
 
   /// This owner's item in the next heartbeat; nullopt if it is not the owner.
   std::optional<HeartbeatItem> heartbeat();
--- a/src/partition/partition_core.cpp
+++ b/src/partition/partition_core.cpp
@@ -228,12 +228,12 @@
 std::size_t PartitionCore::ownedPartitions() const {
   return static_cast<std::size_t>(
       std::count_if(partitions_.begin(), partitions_.end(),
-                    [](const auto& entry) { return entry.second.serves(); }));
+                    [](const auto& entry) { return entry.second.isServing(); }));
 }
 
 bool PartitionCore::ownershipTransferred() const {
   return std::none_of(partitions_.begin(), partitions_.end(), [this](const auto& entry) {
-    return entry.second.serves() && hasSuccessor(entry.first);
+    return entry.second.isServing() && hasSuccessor(entry.first);
   });
 }
 
@@ -273,12 +273,12 @@
 
 LocalPartition* PartitionCore::findServed(const PartitionId& partition) {
   LocalPartition* local = find(partition);
-  return local != nullptr && local->serves() ? local : nullptr;
+  return local != nullptr && local->isServing() ? local : nullptr;
 }
 
 const LocalPartition* PartitionCore::findServed(const PartitionId& partition) const {
   const LocalPartition* local = find(partition);
-  return local != nullptr && local->serves() ? local : nullptr;
+  return local != nullptr && local->isServing() ? local : nullptr;
 }
 
 bool PartitionCore::mayOwn() const {
@@ -314,7 +314,7 @@
   ++heartbeatRound_;
   std::map<NodeId, HeartbeatRequest> requests;
   for (auto& entry : partitions_) {
-    if (onlyConfirmations && !entry.second.confirming()) {
+    if (onlyConfirmations && !entry.second.isConfirming()) {
       continue;
     }
     const std::optional<HeartbeatItem> item = entry.second.heartbeat();
--- a/src/partition/partition_owner.cpp
+++ b/src/partition/partition_owner.cpp
@@ -30,9 +30,9 @@
   }
 }
 
-bool PartitionOwner::lost() const {
+bool PartitionOwner::isLost() const {
   const bool fenced = options_.safeguards.fencing &&
-                      (refusedBy_ != 0 || replica_.state().promisedEpoch > outcome_.epoch);
+                      (rejectedBy_ || replica_.state().promisedEpoch > outcome_.epoch);
   return fenced || !quorum_.majorityRepliedWithin(PartitionOptions::kHeartbeatTimeout);
 }
 
@@ -103,7 +103,7 @@
   if (promisedEpoch > outcome_.epoch) {
     // Another node may own the higher epoch already. One replica is enough to step down: nothing
     // is lost by it, and the next takeover of this node names an epoch above.
-    refusedBy_ = std::max(refusedBy_, promisedEpoch);
+    rejectedBy_ = std::max(rejectedBy_.value_or(0), promisedEpoch);
   }
   return peer;
 }
--- a/src/partition/partition_owner.h
+++ b/src/partition/partition_owner.h
@@ -7,6 +7,7 @@
 #include <deque>
 #include <functional>
 #include <memory>
+#include <optional>
 #include <vector>
 
 namespace shedshed {
@@ -42,14 +43,14 @@
   const StoreMembers& members() const { return outcome_.replicas; }
 
   /// True once the write-back has reached the majorities.
-  bool serving() const { return serving_; }
+  bool isServing() const { return serving_; }
 
   /// True if a replica rejected this epoch, or no majority has replied for
   /// `PartitionOptions::kHeartbeatTimeout`.
-  bool lost() const;
+  bool isLost() const;
 
-  /// The higher epoch that a replica named; 0 if none did.
-  std::uint64_t refusedBy() const { return refusedBy_; }
+  /// The higher epoch that a replica named; nullopt if none did.
+  std::optional<std::uint64_t> rejectedBy() const { return rejectedBy_; }
 
   /// Replicates @p entries as one atomic write. @p done is called by `complete` once a majority
   /// has it.
@@ -58,7 +59,7 @@
   /// Completes with a majority of replies to heartbeat number @p round or later ones; fails with
   /// NoQuorum after `kConfirmationTimeout`.
   void confirm(std::uint64_t round, std::function<void(Status)> done);
-  bool confirming() const { return !confirmations_.empty(); }
+  bool isConfirming() const { return !confirmations_.empty(); }
 
   /// For the log: how far the write-back is.
   std::string progress() const { return quorum_.progress(); }
@@ -120,7 +121,7 @@
   ReplicationQuorum quorum_;
   std::deque<PendingWrite> writes_;
   std::deque<PendingConfirmation> confirmations_;
-  std::uint64_t refusedBy_ = 0;
+  std::optional<std::uint64_t> rejectedBy_;
   bool serving_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/partition/partition_replica.cpp
+++ b/src/partition/partition_replica.cpp
@@ -32,12 +32,12 @@
   }
   table_.load();
   synced_ = {state_.installedEpoch, state_.sequence};
-  if (table_.damaged()) {
+  if (table_.isDamaged()) {
     dropDamaged();
   }
 }
 
-bool PartitionReplica::intact() const {
+bool PartitionReplica::isIntact() const {
   if (!options_.safeguards.emptyReplicaRule) {
     return true;
   }
@@ -202,7 +202,7 @@
   answer.epoch = epoch;
   answer.promisedEpoch = state_.promisedEpoch;
   answer.granted = granted;
-  answer.intact = intact();
+  answer.intact = isIntact();
   answer.installedEpoch = state_.installedEpoch;
   answer.checksum = table_.checksum();
   answer.rows = table_.liveRows();
--- a/src/partition/partition_replica.h
+++ b/src/partition/partition_replica.h
@@ -50,7 +50,7 @@
   const ReplicaState& state() const { return state_; }
 
   /// True if this replica holds everything that it ever acknowledged.
-  bool intact() const;
+  bool isIntact() const;
 
   /// What it holds; `sequence` counts only what is synced.
   ReplicaPosition position() const;
--- a/src/partition/partition_table.h
+++ b/src/partition/partition_table.h
@@ -20,12 +20,12 @@
   PartitionTable(CoreContext& context, const PartitionId& partition);
 
   /// Reads the rows of a `Batches` partition from the durable records. Rows that fail their own
-  /// hash are left out, and `damaged` is set; other replicas still have them.
+  /// hash are left out, and `isDamaged` is set; other replicas still have them.
   void load();
 
   /// True once a row could not be read back, until `dropDamaged` is called. The row counts as
   /// absent.
-  bool damaged() const { return !damagedKeys_.empty(); }
+  bool isDamaged() const { return !damagedKeys_.empty(); }
 
   /// Takes the damaged rows out, so that a merge or transfer brings them back.
   void dropDamaged();
--- a/src/partition/partition_takeover.cpp
+++ b/src/partition/partition_takeover.cpp
@@ -44,8 +44,8 @@
     return;
   }
   if (!answer.granted) {
-    refusedBy_ = std::max(refusedBy_, answer.promisedEpoch);
-    state_ = State::Refused;
+    rejectedBy_ = std::max(rejectedBy_.value_or(0), answer.promisedEpoch);
+    state_ = State::Rejected;
     return;
   }
   promises_.add(from, storeId, answer);
@@ -90,7 +90,7 @@
 }
 
 void PartitionTakeover::finishIfMerged() {
-  if (!merge_->finished()) {
+  if (!merge_->isFinished()) {
     return;
   }
   if (replica_.partition().kind == TableKind::Slots && recovery_ == RecoveryKind::MemoryLost) {
@@ -112,8 +112,8 @@
   }
   if (state_ == State::Merging) {
     merge_->tick();
-    if (merge_->timedOut()) {
-      state_ = State::Refused;
+    if (merge_->isTimedOut()) {
+      state_ = State::Rejected;
     }
   }
 }
@@ -132,7 +132,7 @@
 
 std::string PartitionTakeover::progress() const {
   const std::size_t tablesLeft = merge_ ? merge_->tablesLeft() : 0;
-  return std::string(state_ == State::Promising ? "asks for promises" : "merges") + ": " +
+  return std::string(state_ == State::Promising ? "awaiting promises" : "merging tables") + ": " +
          promises_.progress() + ", " + std::to_string(tablesLeft) + " tables to fetch";
 }
 
--- a/src/partition/partition_takeover.h
+++ b/src/partition/partition_takeover.h
@@ -37,7 +37,7 @@
   /// others lost.
   static constexpr Duration kDurableIntactReplicasTimeout = std::chrono::seconds(60);
 
-  enum class State { Promising, Merging, Done, Refused };
+  enum class State { Promising, Merging, Done, Rejected };
 
   /// Keeps references; they must outlive it. @p changed is called after an asynchronous step.
   PartitionTakeover(CoreContext& context, const StoreSet& stores, PartitionReplica& replica,
@@ -56,8 +56,8 @@
   /// For the log: how far it is.
   std::string progress() const;
 
-  /// The highest epoch that a refusal named; 0 if there was none.
-  std::uint64_t refusedBy() const { return refusedBy_; }
+  /// The highest epoch that a rejection named; nullopt if there was none.
+  std::optional<std::uint64_t> rejectedBy() const { return rejectedBy_; }
 
   /// Valid when `Done`.
   TakeoverOutcome outcome() const;
@@ -88,7 +88,7 @@
   PromiseQuorum promises_;
   RecoveryKind recovery_ = RecoveryKind::Complete;
   std::optional<TableMerge> merge_;  ///< Present from `Merging` on.
-  std::uint64_t refusedBy_ = 0;
+  std::optional<std::uint64_t> rejectedBy_;
   std::optional<Time> promisedAt_;   ///< When the majorities had promised.
   std::optional<Time> requestedAt_;  ///< When promises were last asked for.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/partition/replication_quorum.cpp
+++ b/src/partition/replication_quorum.cpp
@@ -85,7 +85,7 @@
     return std::to_string(std::count_if(set.begin(), set.end(), installed)) + " of " +
            std::to_string(set.size());
   };
-  return "writes back: on " + count(source_.outcome.replicas) + " replicas, " +
+  return "writing back: on " + count(source_.outcome.replicas) + " replicas, " +
          count(source_.outcome.previous) + " earlier ones";
 }
 
--- a/src/partition/table_merge.cpp
+++ b/src/partition/table_merge.cpp
@@ -77,12 +77,12 @@
 }
 
 void TableMerge::tick() {
-  if (!finished() && context_.now() - fetchSentAt_ >= PartitionOptions::kRetransmitTimeout) {
+  if (!isFinished() && context_.now() - fetchSentAt_ >= PartitionOptions::kRetransmitTimeout) {
     sendFetch();
   }
 }
 
-bool TableMerge::timedOut() const {
+bool TableMerge::isTimedOut() const {
   return context_.now() - lastProgressAt_ >= kProgressTimeout;
 }
 
--- a/src/partition/table_merge.h
+++ b/src/partition/table_merge.h
@@ -39,10 +39,10 @@
   void tick();
 
   /// True once no table is left to fetch.
-  bool finished() const { return sources_.empty(); }
+  bool isFinished() const { return sources_.empty(); }
 
   /// True if there was no progress for `kProgressTimeout`.
-  bool timedOut() const;
+  bool isTimedOut() const;
 
   std::size_t tablesLeft() const { return sources_.size(); }
 
--- a/src/partition/takeover_policy.cpp
+++ b/src/partition/takeover_policy.cpp
@@ -27,9 +27,9 @@
   if (!isActive(owner, now)) {
     return true;
   }
-  const bool upToDate = installedEpoch == owner.epoch();
+  const bool upToDate = installedEpoch == owner.owner()->epoch;
   // A draining owner waits for this: the interruption of service is the takeover alone.
-  if (upToDate && stores_.isDraining(owner.node())) {
+  if (upToDate && stores_.isDraining(owner.owner()->node)) {
     return true;
   }
   const Duration first = now - *firstInOrderSince_;
@@ -41,8 +41,8 @@
   if (!selfIsActive && !isActive(owner, now)) {
     return false;
   }
-  const NodeId& active = selfIsActive ? self_ : owner.node();
-  if (active.empty() || active == candidate) {
+  const NodeId& active = selfIsActive ? self_ : owner.owner()->node;
+  if (active == candidate) {
     return false;
   }
   const std::vector<NodeId> order = stores_.liveOrder(partition_);
@@ -51,7 +51,7 @@
 }
 
 bool TakeoverPolicy::isActive(const KnownOwner& owner, Time now) const {
-  return owner.isActive(now) && stores_.isReachable(owner.node());
+  return owner.isActive(now) && stores_.isReachable(owner.owner()->node);
 }
 
 }  // namespace shedshed
--- a/src/storage/fake_file_system.h
+++ b/src/storage/fake_file_system.h
@@ -1,5 +1,5 @@
 /// @file
-/// A file system in memory that loses, tears and spoils data on demand.
+/// A file system in memory that loses, tears and corrupts data on demand.
 #pragma once
 
 #include "kernel/core.h"
@@ -12,7 +12,7 @@
 
 namespace shedshed {
 
-/// Unit that a disk writes whole, in bytes.
+/// Unit that a disk writes atomically, in bytes.
 constexpr std::size_t kFakeSectorBytes = 512;
 
 /// Disk of a simulated node. Not thread-safe. It must outlive the files opened from it. Files
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -25,7 +25,7 @@
   /// StorageFull if the disk has no room. A larger file keeps its size.
   virtual Status allocate(std::uint64_t bytes) = 0;
 
-  /// Cuts the file to @p bytes bytes and gives the room back. Durable after `sync`.
+  /// Shortens the file to @p bytes bytes and returns the rest to the disk. Durable after `sync`.
   virtual Status truncate(std::uint64_t bytes) = 0;
 
   /// Writes all of @p data at @p offset. Durable only after `sync`.
@@ -36,7 +36,7 @@
   virtual Status sync() = 0;
 };
 
-/// Held while the object lives.
+/// A lock file, held while the object lives.
 class FileLock {
  public:
   virtual ~FileLock() = default;
--- a/tests/partition/known_owner_test.cpp
+++ b/tests/partition/known_owner_test.cpp
@@ -21,7 +21,7 @@
   owner.start(kStart);
   BOOST_TEST(!owner.isActive(kStart));
   BOOST_TEST(owner.isWithinHeartbeatTimeout(kStart));
-  BOOST_TEST(owner.node().empty());
+  BOOST_TEST(!owner.owner().has_value());
 }
 
 BOOST_AUTO_TEST_CASE(owner_is_active_until_the_active_timeout) {
@@ -51,7 +51,7 @@
   owner.heartbeatAccepted(10);
   owner.messageAccepted(kOwner, 4, kStart);
   BOOST_TEST(owner.previousSequence() == 0U);
-  BOOST_TEST(owner.epoch() == 4U);
+  BOOST_TEST(owner.owner()->epoch == 4U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
