--- a/sim/scenarios/replace_stores.cpp
+++ b/sim/scenarios/replace_stores.cpp
@@ -39,8 +39,8 @@
     const bool result = stage.world.runUntil(repaired, kReplacementLimit);
     const RepairProgress progress = stage.fleet.control(newId)->store->partitions.repairProgress();
     stage.world.trace("newcomer holds " + std::to_string(progress.caughtUp) + " and counts in " +
-                      std::to_string(progress.countedAsReplica) + " of " + std::to_string(progress.total) +
-                      " partitions");
+                      std::to_string(progress.countedAsReplica) + " of " +
+                      std::to_string(progress.total) + " partitions");
     return result;
   }
 
