--- a/src/batch/batch_client_core.h
+++ b/src/batch/batch_client_core.h
@@ -27,7 +27,7 @@
 
 /// Sends each request until it is answered, to whichever store owns the batch.
 ///
-/// A submission goes out one chunk at a time; the owner's answer names the chunk that it wants
+/// A submission goes out one chunk at a time; the owner's answer names the chunk to send
 /// next, so that a new owner can ask for all of them again. The batch id stays the same on every
 /// resend, which makes a resend harmless.
 class BatchClientCore : public Core, public BatchClient {
@@ -64,7 +64,7 @@
     std::vector<ChunkRange> chunks;
     std::uint64_t next = 0;
     bool commitSent = false;
-    /// Copies of the chunk that commits of which no refusal has come back.
+    /// Transmissions of the chunk that commits without a rejection so far.
     std::set<std::uint32_t> openCommits;
   };
   struct Request {
@@ -73,7 +73,7 @@
     std::uint32_t attempt = 0;
     std::uint32_t transmissions = 0;  ///< Sent in all.
     std::uint32_t redirects = 0;      ///< Followed since the last timer event.
-    NodeId lastTarget;                ///< Node that the last copy went to.
+    NodeId lastTarget;                ///< Node of the last transmission.
     Time lastProgress{};
     std::function<void(Result<BatchReply>)> done;
   };
@@ -88,7 +88,7 @@
   void onFailure(const NodeId& from, std::uint64_t number, Request& request,
                  const BatchReply& reply);
   void onChunkStored(std::uint64_t number, Request& request, const BatchReply& reply);
-  /// Error of a request that ran out of time: unknown if a copy of it may still take effect.
+  /// Error of a request after its deadline: unknown if it may still take effect.
   static Error timeoutError(const Request& request);
   void finish(std::uint64_t number, Result<BatchReply> result);
   std::vector<ChunkRange> split(const std::vector<std::string>& items) const;
--- a/src/batch/batch_messages.h
+++ b/src/batch/batch_messages.h
@@ -98,7 +98,7 @@
 };
 
 /// A run that is alive at the runner. An attempt below `nextAttempt` that is not in
-/// `attemptsInFlight` is over there for good, so that an old heartbeat stays true.
+/// `attemptsInFlight` is over for good, so that a delayed heartbeat stays true.
 struct RunReport {
   RunName run;
   std::uint64_t nextAttempt = 0;
--- a/src/batch/batch_retention.h
+++ b/src/batch/batch_retention.h
@@ -13,10 +13,10 @@
 
 /// Deletes batches.
 ///
-/// One atomic write erases the commit record and leaves a pending deletion in its place: nobody
-/// ever reads a part of a batch. The rows of bodies and items follow in bounded writes, and the
-/// last one erases the pending deletion as well. A crash on the way leaves a row that a successor
-/// finds with `load` and completes. Core thread only.
+/// One atomic write erases the commit record and leaves a pending deletion in its place: no
+/// reader ever sees a part of a batch. The rows of bodies and items follow in bounded writes, and
+/// the last one erases the pending deletion as well. A crash in between leaves a row that a
+/// successor finds with `load` and completes. Core thread only.
 class BatchRetention {
  public:
   /// Keeps references; they must outlive it. @p retention is how long a finished batch is kept;
--- a/src/batch/batch_state.h
+++ b/src/batch/batch_state.h
@@ -21,7 +21,7 @@
 };
 
 /// Durable states of the items of one batch, one byte each, with running counts: no event scans
-/// them all. A write that is on its way is kept apart, and nothing is answered from it.
+/// them all. A write in flight is kept apart, and nothing is answered from it.
 class BatchState {
  public:
   BatchState(std::string batchId, BatchMeta meta);
@@ -64,8 +64,8 @@
   void advanceListed();
   /// The item of the result at place @p index, which must be below `listed`.
   std::uint64_t positionAt(std::uint64_t index) const { return ranks_.at(index + 1); }
-  /// After a takeover: takes the ranks behind a gap back, and returns their items. Nobody has read
-  /// them: a result counts once a majority has it, and writes count in their order.
+  /// After a takeover: removes the ranks behind a gap, and returns their items. No one can have
+  /// read them: a result counts once a majority has it, and writes count in their order.
   std::vector<std::uint64_t> dropRanksBehindGap();
 
   /// Returns the index of the chunk that holds @p position.
@@ -86,13 +86,13 @@
   bool runDurable = false;          ///< `run` is on a majority and may be announced.
   bool runAcknowledged = false;     ///< A heartbeat named the run.
   std::uint64_t runnerProcess = 0;  ///< Incarnation of the run's runner; 0 if not known.
-  Time lastHeartbeat{};             ///< When the runner was last heard, or the run began.
+  Time lastHeartbeat{};             ///< Of the runner, or when the run began.
   Time finishedAt{};                ///< On this owner's clock.
   std::vector<std::function<void()>> commitWaiters;
   std::vector<std::function<void()>> cancelWaiters;
-  /// Items with a write on its way, and who waits for it.
+  /// Items with a write in flight, and the events that wait for it.
   std::map<std::uint64_t, std::vector<std::function<void()>>> writing;
-  /// Highest attempt taken back per item by the run in force: a late start must not undo it.
+  /// Highest reverted attempt per item in the current run: a late start must not undo it.
   std::map<std::uint64_t, std::uint64_t> revertedAttempts;
 
  private:
--- a/src/batch/batch_uploads.cpp
+++ b/src/batch/batch_uploads.cpp
@@ -1,29 +1,11 @@
 #include "batch/batch_uploads.h"
 
 #include <iterator>
-#include <numeric>
 
 namespace shedshed {
 namespace {
 
-std::uint64_t bytesOf(const std::vector<std::string>& items) {
-  std::uint64_t bytes = 0;
-  for (const std::string& item : items) {
-    bytes += item.size();
-  }
-  return bytes;
-}
-
-std::uint64_t sumOf(const std::vector<std::uint64_t>& counts) {
-  return std::accumulate(counts.begin(), counts.end(), std::uint64_t{0});
-}
-
-bool sameContent(const BatchMeta& meta, const SubmitChunk& chunk) {
-  return meta.tenant == chunk.tenant && meta.idempotent == chunk.idempotent &&
-         meta.itemCount == chunk.itemCount && meta.digest == chunk.digest;
-}
-
-/// Tells the sender which chunk is wanted next.
+/// Names the chunk that the sender is to send next.
 BatchReply nextChunkReply(std::uint64_t request, std::uint64_t nextChunk) {
   BatchReply reply;
   reply.request = request;
@@ -42,7 +24,7 @@
   if (answeredAtOnce(from, chunk, partition)) {
     return;
   }
-  Upload* upload = uploadFor(from, chunk, partition);
+  BatchUpload* upload = uploadFor(from, chunk, partition);
   if (upload == nullptr) {
     return;
   }
@@ -51,7 +33,7 @@
     upload->pendingCommit->duplicates.emplace_back(from, std::move(chunk));
     return;
   }
-  if (chunk.chunk != upload->meta.chunkPositions.size()) {
+  if (chunk.chunk != upload->chunks()) {
     responder_.reply(from, nextChunkReply(chunk.request, upload->durableChunks));
     return;
   }
@@ -110,11 +92,11 @@
   responder_.reply(from, answer);
 }
 
-BatchUploads::Upload* BatchUploads::uploadFor(const NodeId& from, const SubmitChunk& chunk,
-                                              Partition& partition) {
+BatchUpload* BatchUploads::uploadFor(const NodeId& from, const SubmitChunk& chunk,
+                                     Partition& partition) {
   const auto found = partition.uploads.find(chunk.batchId);
   if (found != partition.uploads.end()) {
-    if (!sameContent(found->second.meta, chunk)) {
+    if (!sameContent(found->second.meta(), chunk)) {
       // Another submission under the same client key has not committed yet: neither is rejected
       // permanently before one of them has.
       responder_.reject(from, requestIdOf(chunk), ErrorCode::NotReady);
@@ -131,41 +113,24 @@
     responder_.reply(from, nextChunkReply(chunk.request, 0));
     return nullptr;
   }
-  Upload& upload = partition.uploads[chunk.batchId];
-  upload.meta.tenant = chunk.tenant;
-  upload.meta.idempotent = chunk.idempotent;
-  upload.meta.itemCount = chunk.itemCount;
-  upload.meta.digest = chunk.digest;
-  upload.meta.route = chunk.route;
-  upload.lastProgress = context_.now();
-  return &upload;
+  return &partition.uploads.emplace(chunk.batchId, BatchUpload(chunk, context_.now()))
+              .first->second;
 }
 
 bool BatchUploads::admits(const Partition& partition, const SubmitChunk& chunk,
-                          const Upload& upload) const {
-  std::uint64_t bytes = table_.owned(chunk.batchId)->bodyBytes + upload.meta.bodyBytes;
+                          const BatchUpload& upload) const {
+  std::uint64_t bytes = table_.owned(chunk.batchId)->bodyBytes + upload.meta().bodyBytes;
   for (const auto& other : partition.uploads) {
-    bytes += &other.second == &upload ? 0 : other.second.meta.bodyBytes;
+    bytes += &other.second == &upload ? 0 : other.second.meta().bodyBytes;
   }
   return store_.takesNewData(partitionOfBatch(chunk.batchId)) &&
          bytes + bytesOf(chunk.items) <= options_.maxPartitionBodyBytes;
 }
 
-void BatchUploads::append(Upload& upload, const SubmitChunk& chunk) {
-  BatchMeta& meta = upload.meta;
-  appendItemHashes(upload.hashes, chunk.items);
-  meta.names.insert(meta.names.end(), chunk.names.begin(), chunk.names.end());
-  meta.tokens.insert(meta.tokens.end(), chunk.tokens.begin(), chunk.tokens.end());
-  meta.chunkPositions.push_back(upload.stored);
-  meta.bodyBytes += bytesOf(chunk.items);
-  upload.stored += chunk.items.size();
-}
-
-void BatchUploads::storeChunk(const NodeId& from, SubmitChunk chunk, Upload& upload) {
+void BatchUploads::storeChunk(const NodeId& from, SubmitChunk chunk, BatchUpload& upload) {
   const PartitionId partition = partitionOfBatch(chunk.batchId);
   const std::uint64_t index = chunk.chunk;
-  append(upload, chunk);
-  upload.lastProgress = context_.now();
+  upload.append(chunk, context_.now());
   std::vector<TableEntry> entries;
   // The marker covers this chunk before the chunk can exist, so that no row is ever orphaned.
   entries.push_back({uploadKey(chunk.batchId), encodeRecord(PendingDeletionRecord{index + 1, 0})});
@@ -197,16 +162,16 @@
   responder_.reply(from, nextChunkReply(request.number, index + 1));
 }
 
-void BatchUploads::reserve(const NodeId& from, SubmitChunk chunk, Upload& upload) {
+void BatchUploads::reserve(const NodeId& from, SubmitChunk chunk, BatchUpload& upload) {
   const PartitionId partition = partitionOfBatch(chunk.batchId);
-  const TokenAccount account{upload.meta.tenant, upload.meta.route};
-  QueuedBatch batch{chunk.batchId, account, sumOf(upload.meta.tokens) + sumOf(chunk.tokens)};
+  const TokenAccount account{upload.meta().tenant, upload.meta().route};
+  QueuedBatch batch{chunk.batchId, account, upload.tokensWith(chunk)};
   upload.pendingCommit = PendingCommit{from, std::move(chunk), {}};
   reservations_.reserve(partition, std::move(batch));
 }
 
 void BatchUploads::reservationGranted(const PartitionId& partition, const std::string& batchId) {
-  Upload& upload = partitions_[partition].uploads.at(batchId);
+  BatchUpload& upload = partitions_[partition].uploads.at(batchId);
   PendingCommit pending = std::move(*upload.pendingCommit);
   upload.pendingCommit.reset();
   commitChunk(pending.from, std::move(pending.chunk), upload);
@@ -232,20 +197,16 @@
   }
 }
 
-void BatchUploads::commitChunk(const NodeId& from, SubmitChunk chunk, Upload& upload) {
-  append(upload, chunk);
-  const std::uint64_t items = upload.stored;
-  const bool named =
-      upload.meta.names.empty() || (upload.meta.names.size() == items && items <= kMaxNamedItems);
+void BatchUploads::commitChunk(const NodeId& from, SubmitChunk chunk, BatchUpload& upload) {
+  upload.append(chunk, context_.now());
   Partition& partition = partitions_[partitionOfBatch(chunk.batchId)];
-  if (items != chunk.itemCount || items == 0 || !named ||
-      itemsDigest(upload.hashes) != chunk.digest) {
+  if (!upload.isComplete(chunk)) {
     responder_.reject(from, requestIdOf(chunk), ErrorCode::InvalidArgument,
                       "items do not match the digest");
     abandonUpload(chunk.batchId, partition);
     return;
   }
-  BatchMeta meta = std::move(upload.meta);
+  BatchMeta meta = upload.meta();
   partition.uploads.erase(chunk.batchId);
   writeCommit(from, std::move(chunk), std::move(meta));
 }
@@ -318,7 +279,7 @@
     return;
   }
   const PartitionId id = partitionOfBatch(batchId);
-  const std::uint64_t chunks = found->second.meta.chunkPositions.size();
+  const std::uint64_t chunks = found->second.chunks();
   partition.uploads.erase(found);
   reservations_.cancel(id, batchId);
   if (chunks != 0) {
--- a/src/batch/batch_uploads.h
+++ b/src/batch/batch_uploads.h
@@ -7,25 +7,24 @@
 #include "batch/batch_retention.h"
 #include "batch/batch_settings.h"
 #include "batch/batch_table.h"
+#include "batch/batch_upload.h"
 #include "batch/queued_token_reservations.h"
 #include "batch/run_supervisor.h"
 
 #include <map>
-#include <optional>
 #include <utility>
-#include <vector>
 
 namespace shedshed {
 
 /// Takes submissions until they are committed or rejected.
 ///
 /// - A marker row is durable with the first chunk and covers each chunk before that chunk exists,
-///   so that a crash in the middle leaves no row that nobody would erase.
+///   so that a crash in the middle leaves no orphaned row.
 /// - A batch exists once its commit record, written after all of its chunks, is on a majority; the
 ///   submission is acknowledged only then. The batch id is chosen by the sender or follows from
 ///   the client key, so that a resend finds the same batch.
 /// - A commit that failed may have survived on a replica. It is rejected only once its erasure is
-///   durable: until then nobody can say that the batch will not run.
+///   durable: until then it may still run.
 /// - A rejection is remembered for a time: a duplicate that arrives late must not commit.
 /// Core thread only.
 class BatchUploads : public ReservationListener {
@@ -53,29 +52,13 @@
                            ErrorCode code) override;
 
  private:
-  /// The chunk that commits, while its tokens are being reserved.
-  struct PendingCommit {
-    NodeId from;
-    SubmitChunk chunk;
-    /// Duplicates of the chunk, without their items: all get the same answer.
-    std::vector<std::pair<NodeId, SubmitChunk>> duplicates;
-  };
-  /// An uncommitted submission.
-  struct Upload {
-    BatchMeta meta;            ///< `chunkPositions` and `bodyBytes` grow with the chunks.
-    std::string hashes;        ///< Hash of each item so far.
-    std::uint64_t stored = 0;  ///< Items handed to the store.
-    std::uint64_t durableChunks = 0;
-    Time lastProgress{};
-    std::optional<PendingCommit> pendingCommit;
-  };
   /// A submission that was rejected permanently.
   struct Rejection {
     Time at{};
     ErrorCode code = ErrorCode::StorageFull;
   };
   struct Partition {
-    std::map<std::string, Upload> uploads;  ///< By batch id.
+    std::map<std::string, BatchUpload> uploads;  ///< By batch id.
     /// By sender and number of the request.
     std::map<std::pair<NodeId, std::uint64_t>, Rejection> rejected;
   };
@@ -86,16 +69,15 @@
   void answerCommitted(const NodeId& from, const SubmitChunk& chunk, BatchState& batch,
                        bool resent);
   /// Returns the upload of the chunk, a new one for a first chunk; null if it was answered.
-  Upload* uploadFor(const NodeId& from, const SubmitChunk& chunk, Partition& partition);
+  BatchUpload* uploadFor(const NodeId& from, const SubmitChunk& chunk, Partition& partition);
   /// True if the bodies of the chunk fit into the partition.
-  bool admits(const Partition& partition, const SubmitChunk& chunk, const Upload& upload) const;
-  /// Extends the upload by the facts of the chunk, and by its bytes.
-  static void append(Upload& upload, const SubmitChunk& chunk);
-  void storeChunk(const NodeId& from, SubmitChunk chunk, Upload& upload);
+  bool admits(const Partition& partition, const SubmitChunk& chunk,
+              const BatchUpload& upload) const;
+  void storeChunk(const NodeId& from, SubmitChunk chunk, BatchUpload& upload);
   void chunkWritten(const NodeId& from, RequestId request, const std::string& batchId,
                     std::uint64_t index, const Status& status);
-  void reserve(const NodeId& from, SubmitChunk chunk, Upload& upload);
-  void commitChunk(const NodeId& from, SubmitChunk chunk, Upload& upload);
+  void reserve(const NodeId& from, SubmitChunk chunk, BatchUpload& upload);
+  void commitChunk(const NodeId& from, SubmitChunk chunk, BatchUpload& upload);
   /// Writes the commit record of an upload that is complete and matches its digest.
   void writeCommit(const NodeId& from, SubmitChunk chunk, BatchMeta meta);
   void commitWritten(const NodeId& from, RequestId request, const std::string& batchId,
--- a/src/batch/item_admission.cpp
+++ b/src/batch/item_admission.cpp
@@ -18,14 +18,14 @@
 void ItemAdmission::granted(std::uint32_t most) {
   --acquiring_;
   ++holding_;
-  refusals_ = 0;
+  rejections_ = 0;
   acquireLimit_ = std::min(2 * acquireLimit_, most);
 }
 
 void ItemAdmission::rejected(Time now, Duration pause) {
   --acquiring_;
   if (share_) {
-    ++refusals_;
+    ++rejections_;
     acquireLimit_ = std::max(acquireLimit_ / 2, 1U);
     pausedUntil_ = std::max(pausedUntil_, now + pause);
     return;
@@ -48,7 +48,7 @@
 
 Duration ItemAdmission::retryDelay(Duration most) const {
   constexpr std::uint32_t kMostDoublings = 1;
-  return std::min(most, kShareRetry * (1U << std::min(refusals_, kMostDoublings)));
+  return std::min(most, kShareRetry * (1U << std::min(rejections_, kMostDoublings)));
 }
 
 void ItemAdmission::released() {
--- a/src/batch/item_admission.h
+++ b/src/batch/item_admission.h
@@ -9,15 +9,15 @@
 
 namespace shedshed {
 
-/// Share of the slots in use that a run keeps to after a refusal. What it leaves is for others: two
+/// Share of the slots in use that a run keeps after a rejection. The rest is for others: two
 /// batches that compete for one pool come to even shares.
 inline constexpr double kWindowKeptShare = 0.75;
-/// After a refusal the window grows by one item in this time, until the next refusal.
+/// After a rejection the window grows by one item in this time, until the next one.
 inline constexpr Duration kWindowGrowthInterval = std::chrono::seconds(1);
 
-/// A run at its share asks for one slot more after this time: the share may have grown.
+/// A run at its share requests one slot more after this time: the share may have grown.
 inline constexpr Duration kShareProbeInterval = std::chrono::milliseconds(200);
-/// First pause after a refusal below the share.
+/// First backoff after a rejection below the share.
 inline constexpr Duration kShareRetry = std::chrono::milliseconds(40);
 /// Part of the free slots that a run may take beyond its share at once, since other runs see the
 /// same ones.
@@ -25,9 +25,9 @@
 
 /// A window of slots, by additive increase and multiplicative decrease.
 ///
-/// The first requests double with the grants and are bounded by the run alone. A refusal sets the
+/// The first requests double with the grants and are bounded by the run alone. A rejection sets the
 /// window to a share of the slots in use: these keep going, one item after the other, and the
-/// window probes for one more slot at a time. A refusal without any slot in use ends all requests
+/// window probes for one more slot at a time. A rejection without any slot in use ends all requests
 /// for a pause. A share that the pool's owner tells goes before the window.
 class ItemAdmission {
  public:
@@ -49,15 +49,15 @@
   /// Granted slots were released.
   void released();
 
-  /// The owner of the pool says that this run should hold @p slots, and that @p free slots are held
-  /// by nobody. From now on this bounds the requests, in place of the window.
+  /// The owner of the pool says that this run may use @p slots, and that @p free slots are not
+  /// granted. From now on this bounds the requests, in place of the window.
   void setShare(std::uint32_t slots, std::uint32_t free, Time now);
   bool hasShare() const { return share_.has_value(); }
 
   /// Time after which a rejected request may be repeated, if there is a share; at most @p most.
   Duration retryDelay(Duration most) const;
 
-  /// No item asks before @p until, and then one at first.
+  /// No item requests slots before @p until, and then one at first.
   void pause(Time until);
 
  private:
@@ -67,11 +67,11 @@
   std::uint32_t acquiring_ = 0;
   std::uint32_t holding_ = 0;
   std::uint32_t acquireLimit_ = 1;       ///< Requests at once: doubled by grants.
-  std::optional<std::uint32_t> window_;  ///< At `windowSince_`; unset before any refusal.
+  std::optional<std::uint32_t> window_;  ///< At `windowSince_`; unset before any rejection.
   Time windowSince_{};
   std::optional<std::uint32_t> share_;
   Time shareSince_{};
-  std::uint32_t refusals_ = 0;  ///< Since the last grant.
+  std::uint32_t rejections_ = 0;  ///< Since the last grant.
   Time pausedUntil_{};
 };
 
--- a/src/batch/item_lifecycle.h
+++ b/src/batch/item_lifecycle.h
@@ -11,7 +11,8 @@
 
 /// Handles the messages of runners on single items.
 ///
-/// - `Started` is on a majority before the runner hears of it and calls an engine. A crash of the
+/// - `Started` is on a majority before the runner is acknowledged and calls an engine. A crash of
+/// the
 ///   owner before the acknowledgement leaves at worst an item that is `Started` and did not run:
 ///   the runner's next heartbeat, or the next run, resolves it.
 /// - The first durable result of an item is kept. Later ones are acknowledged and change nothing.
--- a/src/batch/item_slots.h
+++ b/src/batch/item_slots.h
@@ -14,7 +14,8 @@
 namespace shedshed {
 
 /// Requests slots of the tenant's and the model's pool for one item, and gives them back.
-/// `ItemAdmission` of the item's model is told of each request and its outcome. Core thread only.
+/// `ItemAdmission` of the item's model is notified of each request and its outcome. Core thread
+/// only.
 class ItemSlots {
  public:
   /// Expires when a rejected item of a run with a share may request again.
--- a/src/batch/item_writer.cpp
+++ b/src/batch/item_writer.cpp
@@ -71,7 +71,7 @@
         }
         written->apply(position, record);
         written->advanceListed();
-        // The write is over before anyone is told: `done` may begin the next one.
+        // The write is over before the callbacks run: `done` may begin the next one.
         std::vector<std::function<void()>> waiters = takeWaiters(*written, position);
         done();
         for (const auto& waiter : waiters) {
@@ -142,7 +142,7 @@
   batch.finalWriting = true;
   const BatchStatus status = batch.status();
   std::vector<TableEntry> entries{{finalKey(batch.id()), encodeRecord(status)}};
-  // Nobody reads the body of an item that has a result.
+  // The body of an item with a result is not read any more.
   const std::uint64_t chunks =
       std::min<std::uint64_t>(batch.meta().chunkPositions.size(), erasePerWrite_);
   for (std::uint64_t chunk = 0; chunk < chunks; ++chunk) {
--- a/src/batch/item_writer.h
+++ b/src/batch/item_writer.h
@@ -17,8 +17,8 @@
 /// Makes changes of items durable, then applies them to the batch's state.
 ///
 /// While a write of an item is in flight nothing is answered from it: `BatchState` shows the state
-/// before, and events on the item are postponed. So what a runner hears is on a majority, and a
-/// successor finds at least that. Core thread only.
+/// before, and events on the item are postponed. So what a runner is acknowledged is on a majority,
+/// and a successor finds at least that. Core thread only.
 class ItemWriter {
  public:
   /// Keeps references; they must outlive it. @p erasePerWrite bounds the body rows that the write
--- a/src/batch/queued_token_reservations.h
+++ b/src/batch/queued_token_reservations.h
@@ -13,7 +13,7 @@
 
 namespace shedshed {
 
-/// Is told the outcome of reservations.
+/// Is notified of the outcome of reservations.
 class ReservationListener {
  public:
   virtual ~ReservationListener() = default;
@@ -55,7 +55,7 @@
   /// True if the queued tokens of @p route are limited.
   bool isLimited(const std::string& route) const { return settings_.queuedTokenLimit(route) != 0; }
 
-  /// Requests a reservation; the listener is told the outcome.
+  /// Requests a reservation; the listener is notified of the outcome.
   void reserve(const PartitionId& partition, QueuedBatch batch);
   /// Forgets an open reservation of a submission that is abandoned.
   void cancel(const PartitionId& partition, const std::string& batchId);
