--- a/src/register/acceptor.h
+++ b/src/register/acceptor.h
@@ -1,10 +1,11 @@
 /// @file
 /// The acceptor of all registers on a node with a disk.
 ///
-/// For each register it keeps the promised ballot, the accepted state and the complete log of
-/// that state, synced before any answer. The usual argument of single-decree agreement holds for
-/// each ballot: a proposer that has a majority of promises sees every state that an earlier ballot
-/// may have committed, and later accepts of earlier ballots are rejected by a majority.
+/// For each register it keeps the promised ballot, the accepted state and the complete
+/// applied-change log of that state, synced before any reply. The usual argument of single-decree
+/// agreement holds for each ballot: a proposer that has a majority of promises sees every state
+/// that an earlier ballot may have committed, and later accepts of earlier ballots are rejected by
+/// a majority.
 ///
 /// Member lists change by one member at a time, so majorities of two consecutive lists always
 /// intersect, but those of lists further apart need not. Therefore an acceptor that has accepted
@@ -66,7 +67,7 @@
   bool mayVote() const;
   /// Hash of the first member list of this disk's fleet; 0 if it belongs to none.
   std::uint64_t initialMembersHash() const;
-  /// True if a proposer that goes by @p membersVersion must be refused for register @p name.
+  /// True if a proposer that goes by @p membersVersion must be rejected for register @p name.
   bool isStale(const std::string& name, std::uint64_t membersVersion) const;
   /// Fills @p reply to a prepare that has been granted by @p target.
   void addPromise(const AcceptorRegister& target, const PrepareRequest& request,
--- a/src/register/applied_change_log.h
+++ b/src/register/applied_change_log.h
@@ -1,9 +1,9 @@
 /// @file
 /// The applied-change log of a register: which change request produced which version. A resent
-/// request is recognised by it and gets the answer of the first one.
+/// request is recognised by it and gets the outcome of the first one.
 ///
 /// Each version of a register was produced by exactly one change request, so the log is a sequence
-/// with one entry a version. It never travels whole in the quorum rounds: a running digest
+/// with one entry a version. It is never sent completely in the quorum rounds: a running digest
 /// (`chain`) names the complete sequence up to a version, and two ledgers with the same chain at
 /// the same version are equal. An accept carries one entry and the chain before it.
 #pragma once
--- a/src/register/ballot.h
+++ b/src/register/ballot.h
@@ -1,5 +1,5 @@
 /// @file
-/// Ballots order the attempts of all proposers.
+/// Ballots: the proposal numbers that order the attempts of all proposers.
 #pragma once
 
 #include <cstdint>
--- a/src/register/configuration_core.h
+++ b/src/register/configuration_core.h
@@ -32,14 +32,14 @@
 /// Where a node finds the configuration.
 struct ConfigurationOptions {
   std::vector<NodeId> seeds;  ///< Internal addresses of other processes, asked first.
-  bool isControl = false;     ///< Proves itself by quorum reads and answers pulls.
+  bool isControl = false;     ///< Proves itself by quorum reads and replies to pulls.
 };
 
 /// Core of `ServiceId::Configuration`. Core thread only, but for `freshUntil`.
 ///
 /// A proof is a moment on this node's clock at which all adopted values were current. A quorum
-/// read proves the moment at which it was sent. An answered pull proves the moment at which the
-/// pull was sent, less the age that the answerer gives for its own proof: the answer was made
+/// read proves the moment at which it was sent. A reply to a pull proves the moment at which the
+/// pull was sent, less the age that the replier gives for its own proof: the reply was made
 /// after the pull was sent, so the proof is at most that much older. Proofs from before this
 /// process started do not count: a restarted node could otherwise adopt values older than those it
 /// had before. A node that is cut off gets no proof, whatever it can still reach that is cut off
--- a/src/register/configuration_messages.h
+++ b/src/register/configuration_messages.h
@@ -1,8 +1,8 @@
 /// @file
 /// Messages of the configuration service.
 ///
-/// While nothing changes, pulls and their answers together are 66 bytes of payload a second and
-/// data node at `kPullInterval` (tests/register/configuration_test.cpp, where only the members
+/// While nothing changes, pulls and their replies together are 66 bytes of payload a second and
+/// data node at `kPullInterval` (tests/register/configuration_core_test.cpp, where only the members
 /// register was written), before the framing of the internal protocol and TCP.
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace shedshed {
 
-/// Asks a control node for what it holds above these versions.
+/// Requests from a control node the values above these versions.
 struct PullRequest {
   static constexpr ServiceId kService = ServiceId::Configuration;
   static constexpr std::uint16_t kKind = 1;
@@ -35,12 +35,12 @@
   MSGPACK_DEFINE(registerName, patches);
 };
 
-/// Answer to `PullRequest`. A register stands in at most one of `values` and `patches`.
+/// Reply to `PullRequest`. A register stands in at most one of `values` and `patches`.
 struct PullReply {
   static constexpr ServiceId kService = ServiceId::Configuration;
   static constexpr std::uint16_t kKind = 2;
   std::uint64_t requestId = 0;
-  bool proved = false;                ///< False if the sender holds no unexpired proof.
+  bool proved = false;                ///< False if the sender has no unexpired proof.
   std::uint64_t ageMilliseconds = 0;  ///< Age of the proof, rounded up; never a clock reading.
   std::vector<NamedValue> values;
   std::vector<NamedPatches> patches;
--- a/src/register/configuration_register.h
+++ b/src/register/configuration_register.h
@@ -31,7 +31,7 @@
     MSGPACK_DEFINE(id, storeId);
   };
   std::vector<Member> acceptors;  ///< Voters of the registers.
-  std::vector<Member> stores;     ///< Holders of the partitions. Their places are never reordered.
+  std::vector<Member> stores;     ///< Holders of the partitions. Their positions never change.
   std::uint32_t replicas = 0;     ///< Stores that hold one partition; 0: all. Never changes.
   MSGPACK_DEFINE(acceptors, stores, replicas);
 };
@@ -48,7 +48,7 @@
   std::string registerName;
   std::uint64_t baseVersion = 0;  ///< The version that the change builds on.
   std::string idempotencyKey;     ///< Chosen by the operator; the same on every resend.
-  std::string value;              ///< The whole new value.
+  std::string value;              ///< The complete new value.
   /// What the operator sent, if `value` was derived from it and from the base version (a merge
   /// patch). A resend is compared by it; empty means that `value` is compared.
   std::string content;
@@ -56,8 +56,8 @@
 
 /// Answer to a change that took effect.
 struct ChangeOutcome {
-  std::uint64_t version = 0;  ///< The version that this order produced.
-  bool repeated = false;      ///< True if the order had taken effect before this call.
+  std::uint64_t version = 0;  ///< The version that this change produced.
+  bool repeated = false;      ///< True if the change had taken effect before this call.
 };
 
 /// Proposes changes and reads, from any node. Core thread only.
@@ -70,8 +70,8 @@
   /// @p done is called once with the outcome, or with
   /// - `VersionConflict`: another change won; this one did not and will not take effect;
   /// - `IdempotencyKeyReused`: the idempotency key was used with other content; nothing changed;
-  /// - `OutcomeUnknown`: no majority told the outcome in time; resend with the same idempotency
-  /// key;
+  /// - `OutcomeUnknown`: no majority confirmed the outcome in time; resend with the same
+  /// idempotency key;
   /// - `NoQuorum`: nothing was sent that could take effect.
   virtual void change(ChangeRequest request, std::function<void(Result<ChangeOutcome>)> done) = 0;
 
--- a/src/register/fleet_bootstrap.h
+++ b/src/register/fleet_bootstrap.h
@@ -12,7 +12,7 @@
 
 /// Times of `FleetBootstrapCore`.
 struct FleetBootstrapOptions {
-  Duration check = std::chrono::milliseconds(200);    ///< Interval of the looks at the directory.
+  Duration check = std::chrono::milliseconds(200);    ///< Interval of the checks of the directory.
   Duration settle = std::chrono::milliseconds(1200);  ///< The set of stores was the same for this.
   /// A node that isn't the first of the seeds forms the fleet only after this time.
   Duration patience = std::chrono::seconds(6);
@@ -20,7 +20,7 @@
   std::uint32_t toleratedLosses = 1;
 };
 
-/// Most acceptors of the registers; further register nodes with a disk stand by for a lost one.
+/// Most acceptors of the registers; further register nodes with a disk are standbys for a lost one.
 inline constexpr std::size_t kMostAcceptors = 9;
 
 /// Acceptors or replicas of which a majority is left when @p toleratedLosses are gone.
@@ -29,7 +29,7 @@
 }
 
 /// Forms the fleet of all register nodes with a disk and all stores that the directory shows, once,
-/// and only if the platform said that this is the first start of the whole fleet.
+/// and only if the platform said that this is the first start of the entire fleet.
 ///
 /// Acceptors: an acknowledged change survives the loss of `toleratedLosses` disks only if a
 /// majority is larger than that, which takes `membersNeeded` acceptors. The seeds alone may be
@@ -37,7 +37,7 @@
 /// fewer than needed waits for them for `patience` and is then formed with a warning in the log.
 ///
 /// Safety: `FleetFormation` writes nothing unless every machine of the list is empty or holds the
-/// same list. A machine that lost its disk is not told that this is the first start, and its new
+/// same list. A machine that lost its disk does not get the flag of a first start, and its new
 /// store id makes another list, so no second history can begin.
 class FleetBootstrapCore : public Core {
  public:
--- a/src/register/member_replacement.cpp
+++ b/src/register/member_replacement.cpp
@@ -31,10 +31,10 @@
 
 }  // namespace
 
-MemberReplacement::MemberReplacement(OperationHost& host, OperationId id, MemberChange change,
-                                     NodeId oldId, NodeId newId, RunProposal runProposal,
-                                     MembershipDone done)
-    : MembershipOperation(host, id, std::move(done)), change_(change), oldId_(std::move(oldId)),
+MemberReplacement::MemberReplacement(OperationHost& host, OperationId id,
+                                     std::optional<NodeId> oldId, NodeId newId,
+                                     RunProposal runProposal, MembershipDone done)
+    : MembershipOperation(host, id, std::move(done)), oldId_(std::move(oldId)),
       newId_(std::move(newId)), runProposal_(std::move(runProposal)) {}
 
 void MemberReplacement::start() {
@@ -106,13 +106,13 @@
 
 std::optional<Error> MemberReplacement::validate() const {
   if (isMemberNow_) {
-    const bool isAnother = !isAddition() && newId_ != oldId_ && isListed(list_, oldId_);
+    const bool isAnother = !isAddition() && newId_ != oldId_ && isListed(list_, *oldId_);
     return isAnother ? std::make_optional(makeError(ErrorCode::AlreadyExists,
                                                     newId_.address + ": is another member"))
                      : std::nullopt;
   }
-  if (!isAddition() && !isListed(list_, oldId_)) {
-    return makeError(ErrorCode::NotFound, oldId_.address + ": is no member");
+  if (!isAddition() && !isListed(list_, *oldId_)) {
+    return makeError(ErrorCode::NotFound, oldId_->address + ": is no member");
   }
   if ((isAddition() || newId_ != oldId_) && isListed(list_, newId_)) {
     return makeError(ErrorCode::AlreadyExists, newId_.address + ": is a member with another disk");
@@ -180,13 +180,15 @@
   if (isAddition()) {
     list_.acceptors.push_back(joining_);
   } else {
-    replaceIn(list_.acceptors, oldId_, joining_);
-    replaceIn(list_.stores, oldId_, joining_);
+    replaceIn(list_.acceptors, *oldId_, joining_);
+    replaceIn(list_.stores, *oldId_, joining_);
   }
   ChangeRequest change;
   change.registerName = kMembersRegister;
   change.baseVersion = baseVersion_;
-  change.idempotencyKey = "replace " + oldId_.address + " by " + newId_.address + " " +
+  // The same key on all versions of this software: for an addition, the old address is empty.
+  const std::string oldAddress = oldId_ ? oldId_->address : std::string();
+  change.idempotencyKey = "replace " + oldAddress + " by " + newId_.address + " " +
                           joining_.storeId + " in " + std::to_string(baseVersion_);
   change.value = encodeRecord(list_);
   ProposalSpec spec;
--- a/src/register/member_replacement.h
+++ b/src/register/member_replacement.h
@@ -15,29 +15,23 @@
 /// Starts a proposal; its outcome goes back to the replacement.
 using RunProposal = std::function<void(ProposalSpec, std::function<void(Result<ProposalOutcome>)>)>;
 
-/// What becomes of the member list.
-enum class MemberChange {
-  Replacement,       ///< The joining member replaces a member.
-  AcceptorAddition,  ///< The joining member becomes one more acceptor; nobody leaves.
-};
-
 /// The steps of one replacement or addition, all of which may be repeated:
-/// 1. ask the joining member for its store id;
+/// 1. request the store id of the joining member;
 /// 2. commit every register again under the present list, with the joining member as an additional
-///    acceptor that must accept too: then it holds all the data, and whatever older lists committed
+///    acceptor that must accept too: then it has all the data, and whatever older lists committed
 ///    is on a majority of the present one;
 /// 3. change the members register, committed by majorities of the old and of the new list;
-/// 4. let a majority of the new list, the joining member among it, note that the new list is
-/// committed.
-///    Otherwise only this node would know, and with it lost the others could not tell: the machines
-///    of the old list that would prove it may be gone by then;
+/// 4. let a majority of the new list, the joining member among it, record durably that the new list
+/// is committed.
+///    Otherwise only this node would know, and without it the others could not prove it: the
+///    machines of the old list that would prove it may be gone by then;
 /// 5. commit every register again under the new list. Only now is the replacement reported done.
-/// The old and the new id may be equal: an emptied machine that comes back at its address.
+/// The old and the new id may be equal: an emptied machine that restarts at its address.
 class MemberReplacement : public MembershipOperation {
  public:
-  /// @p oldId is not used for an addition.
-  MemberReplacement(OperationHost& host, OperationId id, MemberChange change, NodeId oldId,
-                    NodeId newId, RunProposal runProposal, MembershipDone done);
+  /// @p oldId is the member to be replaced; nullopt adds an acceptor.
+  MemberReplacement(OperationHost& host, OperationId id, std::optional<NodeId> oldId, NodeId newId,
+                    RunProposal runProposal, MembershipDone done);
 
   void start() override;
   void onIdentityReply(const NodeId& from, const IdentityReply& reply) override;
@@ -52,13 +46,12 @@
   bool isAcknowledgedByMajority() const;
   void copyRegisters(std::size_t index);
   void changeMembers();
-  bool isAddition() const { return change_ == MemberChange::AcceptorAddition; }
+  bool isAddition() const { return !oldId_; }
   void announceMembers();
   void sendRequests() override;
   Error deadlineError() const override;
 
-  const MemberChange change_;
-  const NodeId oldId_;
+  const std::optional<NodeId> oldId_;  ///< Nullopt for an addition.
   const NodeId newId_;
   RunProposal runProposal_;
   MemberList::Member joining_;
--- a/src/register/membership_join_core.h
+++ b/src/register/membership_join_core.h
@@ -67,7 +67,7 @@
   /// True if this machine is the first of the live machines of its kind that are no members.
   bool isFirstStandby(const NodeTable& nodes) const;
   std::optional<Replacement> memberToReplace(const NodeTable& nodes) const;
-  /// True once a majority of the acceptors finds @p id unreachable; asks them otherwise.
+  /// True once a majority of the acceptors finds @p id unreachable; sends them a request otherwise.
   bool isConfirmedUnreachable(const NodeId& id);
   /// True if this machine is @p member, or sees it alive in its directory.
   bool seesAlive(const MemberList::Member& member) const;
--- a/src/register/register_core.cpp
+++ b/src/register/register_core.cpp
@@ -99,11 +99,11 @@
 }
 
 void RegisterCore::replaceMember(const NodeId& oldId, const NodeId& newId, MembershipDone done) {
-  proposer_.changeMember(MemberChange::Replacement, oldId, newId, std::move(done));
+  proposer_.changeMember(oldId, newId, std::move(done));
 }
 
 void RegisterCore::addAcceptor(const NodeId& newId, MembershipDone done) {
-  proposer_.changeMember(MemberChange::AcceptorAddition, {}, newId, std::move(done));
+  proposer_.changeMember(std::nullopt, newId, std::move(done));
 }
 
 void RegisterCore::receive(const NodeId& from, const Message& message) {
--- a/src/register/register_core.h
+++ b/src/register/register_core.h
@@ -31,8 +31,8 @@
   /// Calls @p listener for each value that an operation of this node proved to be committed.
   void setCommittedListener(std::function<void(const std::string&, const RegisterValue&)> listener);
 
-  /// Calls @p listener when this node's acceptor was asked to accept a state: a new value may be
-  /// about to be committed.
+  /// Calls @p listener when this node's acceptor was requested to accept a state: a new value may
+  /// be about to be committed.
   void setAcceptedListener(std::function<void()> listener);
 
   /// Calls @p listener once for each node that reads from this node's acceptor, at its first read
--- a/src/register/register_messages.h
+++ b/src/register/register_messages.h
@@ -19,7 +19,7 @@
 
 namespace shedshed {
 
-/// How an acceptor answered. The numeric values travel on the wire.
+/// How an acceptor replied. The numeric values travel on the wire.
 enum class AcceptorVerdict : std::uint8_t {
   Granted = 1,           ///< Promised, or accepted and synced.
   Outranked = 2,         ///< A higher ballot was promised.
@@ -27,7 +27,7 @@
   ChangeLogMissing = 4,  ///< The acceptor is fetching applied changes; send the accept again.
 };
 
-/// Phase 1: asks for a promise to accept nothing below `ballot`.
+/// Phase 1: requests a promise to accept nothing below `ballot`.
 struct PrepareRequest {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 1;
@@ -48,12 +48,12 @@
   MSGPACK_DEFINE(ballot, version, value, baseChain, entry);
 };
 
-/// Answer to `PrepareRequest`. The state is filled only if granted.
+/// Reply to `PrepareRequest`. The state is filled only if granted.
 struct PrepareReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 2;
   std::string registerName;
-  Ballot ballot;  ///< As asked.
+  Ballot ballot;  ///< As requested.
   AcceptorVerdict verdict = AcceptorVerdict::Granted;
   std::string storeId;
   Ballot promised;
@@ -67,7 +67,7 @@
                  appliedVersion, appliedContentHash, firstLoggedVersion);
 };
 
-/// Phase 2: asks to accept a state at its ballot.
+/// Phase 2: requests to accept a state at its ballot.
 struct AcceptRequest {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 3;
@@ -78,12 +78,12 @@
   MSGPACK_DEFINE(registerName, membersVersion, state, changeLogSource);
 };
 
-/// Answer to `AcceptRequest`.
+/// Reply to `AcceptRequest`.
 struct AcceptReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 4;
   std::string registerName;
-  Ballot ballot;  ///< As asked.
+  Ballot ballot;  ///< As requested.
   AcceptorVerdict verdict = AcceptorVerdict::Granted;
   std::string storeId;
   Ballot promised;
@@ -102,7 +102,7 @@
 };
 
 /// A chunk of an applied-change log; `chainBefore` is the chain before its first entry.
-/// `fromVersion` is above the one asked for only if the source has evicted the older entries.
+/// `fromVersion` is above the requested one only if the source has evicted the older entries.
 struct ChangeLogChunk {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 6;
@@ -114,7 +114,7 @@
   MSGPACK_DEFINE(registerName, fromVersion, firstVersion, chainBefore, entries);
 };
 
-/// Asks for the accepted state of all registers, without a ballot; values only above the versions
+/// Requests the accepted state of all registers, without a ballot; values only above the versions
 /// that are known.
 struct ReadRequest {
   static constexpr ServiceId kService = ServiceId::Register;
@@ -134,7 +134,7 @@
   MSGPACK_DEFINE(registerName, ballot, version, value);
 };
 
-/// Answer to `ReadRequest`.
+/// Reply to `ReadRequest`.
 struct ReadReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 8;
@@ -145,7 +145,7 @@
   MSGPACK_DEFINE(requestId, storeId, membersVersion, rows);
 };
 
-/// Asks a machine for the identity of its disk.
+/// Requests the identity of its disk.
 struct IdentityRequest {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 9;
@@ -153,7 +153,7 @@
   MSGPACK_DEFINE(requestId);
 };
 
-/// Answer to `IdentityRequest`.
+/// Reply to `IdentityRequest`.
 struct IdentityReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 10;
@@ -164,7 +164,7 @@
   MSGPACK_DEFINE(requestId, storeId, membersVersion, initialMembersHash);
 };
 
-/// Orders a machine to become an acceptor of a new fleet.
+/// Requests that a machine becomes an acceptor of a new fleet.
 struct FormRequest {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 11;
@@ -173,7 +173,7 @@
   MSGPACK_DEFINE(requestId, members);
 };
 
-/// Answer to `FormRequest`.
+/// Reply to `FormRequest`.
 struct FormReply {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 12;
@@ -182,7 +182,7 @@
   MSGPACK_DEFINE(requestId, formed);
 };
 
-/// Tells an acceptor that a member list is committed.
+/// Announces to an acceptor that a member list is committed.
 struct MembersCommitted {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 13;
@@ -191,7 +191,7 @@
   MSGPACK_DEFINE(requestId, members);
 };
 
-/// Answer to `MembersCommitted`, sent once the knowledge is synced.
+/// Reply to `MembersCommitted`, sent once the knowledge is synced.
 struct MembersAcknowledged {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 14;
--- a/src/register/register_options.h
+++ b/src/register/register_options.h
@@ -11,10 +11,10 @@
 /// Protective checks of the register protocol. All are on in every daemon; only the simulator and
 /// unit tests switch one off, to show that an invariant check notices its absence.
 struct RegisterSafeguards {
-  /// Count an acceptor's answer only if its store id is the one in the member list; an acceptor
+  /// Count an acceptor's reply only if its store id is the one in the member list; an acceptor
   /// that holds no member list gives none.
   bool storeIdCheck = true;
-  /// Send an acceptor's answers only after the records they speak of are synced.
+  /// Send an acceptor's replies only after the records that they depend on are synced.
   bool persistBeforeAnswer = true;
   /// Commit another proposer's half-done accept before a change is judged against it.
   bool finishBeforeAnswer = true;
@@ -29,13 +29,13 @@
 
 /// Time within which a change or a read is decided, or reported as undecided.
 inline constexpr Duration kOperationDeadline = std::chrono::seconds(5);
-/// Time after which one pair of quorum rounds is given up and a new ballot is tried.
+/// Time after which one pair of quorum rounds is abandoned and a new ballot is started.
 inline constexpr Duration kRoundTimeout = std::chrono::milliseconds(500);
-/// Interval at which a round's request is sent again to acceptors that have not answered.
+/// Interval at which a round's request is sent again to acceptors that have not replied.
 inline constexpr Duration kRoundResend = std::chrono::milliseconds(60);
 /// Time that a majority which does not agree waits for the other acceptors' promises.
 inline constexpr Duration kAgreementGrace = std::chrono::milliseconds(30);
-/// Shortest and longest pause before the second round; the longest doubles up to `kMaxBackoff`.
+/// Shortest and longest backoff before the second round; the longest doubles up to `kMaxBackoff`.
 inline constexpr Duration kMinBackoff = std::chrono::milliseconds(5);
 inline constexpr Duration kInitialMaxBackoff = std::chrono::milliseconds(30);
 inline constexpr Duration kMaxBackoff = std::chrono::milliseconds(400);
--- a/src/register/register_proposer.cpp
+++ b/src/register/register_proposer.cpp
@@ -65,13 +65,13 @@
   reportFinished();
 }
 
-void RegisterProposer::changeMember(MemberChange change, const NodeId& oldId, const NodeId& newId,
+void RegisterProposer::changeMember(std::optional<NodeId> oldId, const NodeId& newId,
                                     MembershipDone done) {
   const OperationId id = ++lastOperation_;
   auto run = [this](ProposalSpec spec, Proposal::Done proposalDone) {
     propose(std::move(spec), std::move(proposalDone));
   };
-  startOperation(id, std::make_unique<MemberReplacement>(host(), id, change, oldId, newId,
+  startOperation(id, std::make_unique<MemberReplacement>(host(), id, std::move(oldId), newId,
                                                          std::move(run), std::move(done)));
 }
 
--- a/src/register/register_proposer.h
+++ b/src/register/register_proposer.h
@@ -12,6 +12,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -50,8 +51,7 @@
                  MembershipDone done);
 
   /// See `MemberReplacement`.
-  void changeMember(MemberChange change, const NodeId& oldId, const NodeId& newId,
-                    MembershipDone done);
+  void changeMember(std::optional<NodeId> oldId, const NodeId& newId, MembershipDone done);
 
   void receive(const NodeId& from, const Message& message);
   void timerExpired(TimerId timer);
--- a/src/register/retirements.cpp
+++ b/src/register/retirements.cpp
@@ -50,7 +50,7 @@
   return nodes;
 }
 
-/// A machine that is no member holds nothing that counts: it may go at once.
+/// A machine that is no member counts towards no majority: its retirement is complete at once.
 Status Retirements::addEntry(const std::string& name, RetirementList& list) const {
   const std::shared_ptr<const NodeTable> table = directory_.table();
   const NodeInfo* target = nullptr;
@@ -82,11 +82,11 @@
 }
 
 void Retirements::change(const RegisterValue& base, const RetirementList& list,
-                         const std::string& order, std::function<void(Status)> done) {
+                         const std::string& action, std::function<void(Status)> done) {
   ChangeRequest request;
   request.registerName = kRetirementsRegister;
   request.baseVersion = base.version;
-  request.idempotencyKey = order + " on " + std::to_string(base.version);
+  request.idempotencyKey = action + " on " + std::to_string(base.version);
   request.value = encodeRecord(list);
   registers_.change(std::move(request), [done](const Result<ChangeOutcome>& outcome) {
     done(outcome ? okStatus() : Status(outcome.error()));
--- a/src/register/retirements.h
+++ b/src/register/retirements.h
@@ -12,12 +12,12 @@
 
 namespace shedshed {
 
-/// One member on its way out.
+/// One member that is to leave the fleet.
 struct Retirement {
   NodeId node;
   std::string name;        ///< Name that the operator knows the machine by.
-  NodeId successor;        ///< Takes its place; empty while none has offered itself.
-  bool completed = false;  ///< The successor holds everything and counts for all majorities.
+  NodeId successor;        ///< Replaces it; empty while none has offered itself.
+  bool completed = false;  ///< The successor is caught up and counts towards all majorities.
   MSGPACK_DEFINE(node, name, successor, completed);
 };
 
@@ -27,8 +27,8 @@
   MSGPACK_DEFINE(entries);
 };
 
-/// Begins and follows retirements. The state is a register, so that any node may be asked and a
-/// repeated order finds the first one. Core thread only.
+/// Begins and follows retirements. The state is a register, so that any node serves
+/// the requests and a repeated request finds the first one. Core thread only.
 class Retirements {
  public:
   /// Keeps references; they must outlive it.
@@ -38,8 +38,8 @@
   /// Begins the retirement of the store named @p name. @p done is called once: with success, also
   /// if it had begun before, or with
   /// - `NotFound`: no store has that name;
-  /// - `StoreUnavailable`: no other machine could take its place, too few would be left;
-  /// - `NoQuorum`, `OutcomeUnknown`, `VersionConflict`: send the same order again.
+  /// - `StoreUnavailable`: no standby could replace it, too few members would remain;
+  /// - `NoQuorum`, `OutcomeUnknown`, `VersionConflict`: repeat the same request.
   void begin(const std::string& name, std::function<void(Status)> done);
 
   /// Tells whether the retirement of @p name is completed. Fails with `NotFound` or `NoQuorum`.
@@ -55,7 +55,7 @@
   void update(const Retirement& entry);
 
  private:
-  void change(const RegisterValue& base, const RetirementList& list, const std::string& order,
+  void change(const RegisterValue& base, const RetirementList& list, const std::string& action,
               std::function<void(Status)> done);
   Status addEntry(const std::string& name, RetirementList& list) const;
 
--- a/src/register/synced_outbox.cpp
+++ b/src/register/synced_outbox.cpp
@@ -10,23 +10,23 @@
     context_.send(to, std::move(message));
     return;
   }
-  waiting_.push_back({requested_, to, std::move(message)});
+  pending_.push_back({requested_, to, std::move(message)});
 }
 
 void SyncedOutbox::persisted(PersistId id, const Status& status) {
   if (!status) {
     failed_ = true;
-    waiting_.clear();
+    pending_.clear();
     context_.counters().add("register_sync_failures_total");
-    // What was synced is unknown now, so the acceptor answers nothing until it is restarted.
+    // What was synced is unknown now, so the acceptor replies to nothing until it is restarted.
     context_.logEvent(
         TraceEvent("AcceptorSyncFailed", Severity::Error).field("error", status.error()));
     return;
   }
   synced_ = id;
-  while (!waiting_.empty() && waiting_.front().after <= synced_) {
-    Waiting next = std::move(waiting_.front());
-    waiting_.pop_front();
+  while (!pending_.empty() && pending_.front().after <= synced_) {
+    PendingMessage next = std::move(pending_.front());
+    pending_.pop_front();
     context_.send(next.to, std::move(next.message));
   }
 }
--- a/src/register/synced_outbox.h
+++ b/src/register/synced_outbox.h
@@ -1,5 +1,5 @@
 /// @file
-/// Holds back messages until the records that they speak of are synced.
+/// Delays messages until the records that they depend on are synced.
 #pragma once
 
 #include "kernel/core.h"
@@ -34,7 +34,7 @@
   void persisted(PersistId id, const Status& status);
 
  private:
-  struct Waiting {
+  struct PendingMessage {
     PersistId after;
     NodeId to;
     Message message;
@@ -46,7 +46,7 @@
   PersistId requested_ = 0;
   PersistId synced_ = 0;
   bool failed_ = false;
-  std::deque<Waiting> waiting_;
+  std::deque<PendingMessage> pending_;
 };
 
 }  // namespace shedshed
--- a/src/register/value_history.h
+++ b/src/register/value_history.h
@@ -1,6 +1,6 @@
 /// @file
 /// Differences between successive values of a register, so that a change costs the bytes that it
-/// changed and not the whole value at every node.
+/// changed and not the complete value at every node.
 #pragma once
 
 #include "register/configuration_register.h"
@@ -23,7 +23,7 @@
   std::uint64_t keptBefore = 0;  ///< Bytes kept from the beginning of the base value.
   std::uint64_t keptAfter = 0;   ///< Bytes kept from its end.
   std::string middle;
-  std::uint64_t resultHash = 0;  ///< XXH3 of the whole new value.
+  std::uint64_t resultHash = 0;  ///< XXH3 of the complete new value.
   MSGPACK_DEFINE(baseVersion, version, keptBefore, keptAfter, middle, resultHash);
 };
 
@@ -31,7 +31,7 @@
 ValuePatch makePatch(const RegisterValue& base, const RegisterValue& next);
 
 /// Applies @p patch. Returns nullopt if it does not fit @p base or does not lead to the value that
-/// its maker had; the whole value is to be asked for then.
+/// its maker had; the complete value is to be requested then.
 std::optional<RegisterValue> applyPatch(const RegisterValue& base, const ValuePatch& patch);
 
 /// The newest patches of one register. Each starts at the version where the one before ends.
--- a/tests/register/configuration_core_test.cpp
+++ b/tests/register/configuration_core_test.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(configuration_service)
+BOOST_AUTO_TEST_SUITE(configuration_core)
 
 BOOST_AUTO_TEST_CASE(a_new_setting_is_in_force_everywhere_within_two_seconds) {
   RegisterFleet fleet(6, 30);
@@ -66,7 +66,7 @@
   BOOST_TEST(fleet.configurationBytes < 40000U);
 }
 
-BOOST_AUTO_TEST_CASE(a_patch_that_does_not_fit_is_refused_and_the_whole_value_follows) {
+BOOST_AUTO_TEST_CASE(a_patch_that_does_not_fit_is_rejected_and_the_complete_value_follows) {
   const RegisterValue base{1, "abcabc"};
   const RegisterValue next{2, "abcXabc"};
   const ValuePatch patch = makePatch(base, next);
@@ -104,7 +104,7 @@
 }
 
 /// After the loss of all processes every tenth of a second without a proof refuses all calls.
-BOOST_AUTO_TEST_CASE(a_fleet_that_starts_whole_is_proved_soon) {
+BOOST_AUTO_TEST_CASE(a_fleet_that_restarts_completely_is_proved_soon) {
   int longest = 0;
   for (int wait = 0; wait <= 600; wait += 10) {
     RegisterFleet fleet(3, 3);
@@ -132,29 +132,29 @@
   BOOST_TEST(longest <= 200);
 }
 
-BOOST_AUTO_TEST_CASE(a_restarted_node_does_not_slip_back_behind_a_stale_control_node) {
+BOOST_AUTO_TEST_CASE(a_restarted_node_does_not_adopt_older_values_from_a_stale_control_node) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
   fleet.harness.advance(std::chrono::seconds(1));
-  fleet.island = {"a1", "a2", "a3"};
+  fleet.isolated = {"a1", "a2", "a3"};
   fleet.harness.advance(std::chrono::milliseconds(100));
   fleet.crash("d1");
-  fleet.island.insert("d1");
+  fleet.isolated.insert("d1");
   fleet.start("d1");
   // The three still hold an unexpired proof, but from before the node's start.
   for (int step = 0; step < 50; ++step) {
     fleet.harness.advance(std::chrono::milliseconds(100));
     BOOST_REQUIRE(!fleet.isFresh("d1"));
   }
-  fleet.island.clear();
+  fleet.isolated.clear();
   fleet.harness.advance(std::chrono::seconds(2));
   BOOST_TEST(fleet.isFresh("d1"));
 }
 
-BOOST_AUTO_TEST_CASE(rounds_stay_small_and_a_lagging_acceptor_fetches_the_ledger) {
+BOOST_AUTO_TEST_CASE(rounds_stay_small_and_a_lagging_acceptor_fetches_the_change_log) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
-  fleet.island = {"a6"};
+  fleet.isolated = {"a6"};
   for (std::uint64_t base = 0; base < 9000; ++base) {
     BOOST_REQUIRE(fleet.change("d1", base, "order-" + std::to_string(base), "value"));
   }
@@ -163,35 +163,13 @@
                                                 << " bytes at most");
     BOOST_TEST((entry.first == FormRequest::kKind || entry.second < 400));
   }
-  fleet.island = {"a1", "a2"};
+  fleet.isolated = {"a1", "a2"};
   BOOST_REQUIRE(fleet.change("d2", 9000, "with-a6", "value"));
   BOOST_TEST(fleet.change("d2", 17, "order-17", "value").value().version == 18U);
-  BOOST_TEST_MESSAGE("largest ledger part: " << fleet.largest[ChangeLogChunk::kKind]);
+  BOOST_TEST_MESSAGE("largest change log chunk: " << fleet.largest[ChangeLogChunk::kKind]);
   fleet.crash("a6");
   fleet.start("a6");
   BOOST_TEST(fleet.change("d1", 8123, "order-8123", "value").value().version == 8124U);
 }
 
-BOOST_AUTO_TEST_CASE(ledger_is_bounded_and_survives_in_blocks) {
-  AppliedChangeLog ledger;
-  MemoryRecords records;
-  const std::uint64_t count = AppliedChangeLog::kCapacity + 1000;
-  for (std::uint64_t number = 1; number <= count; ++number) {
-    ledger.append({digestOf(std::to_string(number)), number});
-    records.apply(ledger.takeMutations("l/"));
-  }
-  BOOST_TEST(ledger.version() == count);
-  BOOST_TEST(!ledger.versionOf(digestOf("1")));
-  BOOST_TEST(*ledger.versionOf(digestOf("2000")) == 2000U);
-  BOOST_TEST(records.rows.size() <=
-             AppliedChangeLog::kCapacity / AppliedChangeLog::kBlockEntries + 2);
-  ledger.truncate(count - 70);
-  records.apply(ledger.takeMutations("l/"));
-  const Result<AppliedChangeLog> loaded = AppliedChangeLog::load(records, "l/", count - 70);
-  BOOST_REQUIRE(loaded);
-  BOOST_TEST((loaded.value().chain() == ledger.chain()));
-  BOOST_TEST(loaded.value().firstVersion() == ledger.firstVersion());
-  BOOST_TEST(!AppliedChangeLog::load(records, "l/", count));
-}
-
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/register/fleet_bootstrap_test.cpp
+++ b/tests/register/fleet_bootstrap_test.cpp
@@ -103,7 +103,7 @@
   BOOST_TEST(registers["a1"]->knownMembers().list.acceptors.size() == 3U);
 }
 
-BOOST_FIXTURE_TEST_CASE(too_few_acceptors_are_waited_for_and_then_told, BootFleet) {
+BOOST_FIXTURE_TEST_CASE(too_few_acceptors_delay_the_formation_and_are_then_reported, BootFleet) {
   FleetBootstrapOptions options;
   options.toleratedLosses = 2;
   boot("a1", options);
--- a/tests/register/register_core_random_test.cpp
+++ b/tests/register/register_core_random_test.cpp
@@ -12,7 +12,7 @@
 
 struct Attempt {
   std::string via;
-  std::string order;
+  std::string idempotencyKey;
   std::uint64_t base = 0;
   std::optional<Result<ChangeOutcome>> outcome;
   bool isLost = false;  ///< Its node crashed before it answered.
@@ -73,11 +73,11 @@
     }
     auto attempt = std::make_shared<Attempt>();
     attempt->via = via;
-    attempt->order = "order-" + std::to_string(attempts_.size());
+    attempt->idempotencyKey = "order-" + std::to_string(attempts_.size());
     attempt->base = std::max(newestAcknowledged(), newestRead_);
     attempts_.push_back(attempt);
     fleet_.registers(via).change(
-        {kSettingsRegister, attempt->base, attempt->order, attempt->order, {}},
+        {kSettingsRegister, attempt->base, attempt->idempotencyKey, attempt->idempotencyKey, {}},
         [attempt](Result<ChangeOutcome> outcome) { attempt->outcome = std::move(outcome); });
   }
 
@@ -148,21 +148,21 @@
     for (const auto& attempt : attempts_) {
       const std::string violation = resend(*attempt, history);
       if (!violation.empty()) {
-        return attempt->order + ": " + violation;
+        return attempt->idempotencyKey + ": " + violation;
       }
     }
     if (history.size() != final.value().version) {
-      return "a version has no order";
+      return "a version has no change";
     }
     return checkReads(history);
   }
 
   std::string resend(const Attempt& attempt, std::map<std::uint64_t, std::string>& history) {
     const Result<ChangeOutcome> again =
-        fleet_.change("d2", attempt.base, attempt.order, attempt.order);
+        fleet_.change("d2", attempt.base, attempt.idempotencyKey, attempt.idempotencyKey);
     const bool tookEffect = again && again.value().repeated;
-    if (tookEffect && !history.emplace(again.value().version, attempt.order).second) {
-      return "two orders produced one version";
+    if (tookEffect && !history.emplace(again.value().version, attempt.idempotencyKey).second) {
+      return "two changes produced one version";
     }
     if (attempt.isLost) {
       return {};
@@ -175,7 +175,7 @@
     if (code == ErrorCode::OutcomeUnknown) {
       return {};
     }
-    return tookEffect ? "a refused change took effect" : "";
+    return tookEffect ? "a rejected change took effect" : "";
   }
 
   std::string checkReads(const std::map<std::uint64_t, std::string>& history) {
@@ -222,7 +222,7 @@
   BOOST_TEST(violationsIn(120, {}) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(random_runs_notice_verdicts_on_uncommitted_states) {
+BOOST_AUTO_TEST_CASE(random_runs_detect_verdicts_on_uncommitted_states) {
   RegisterSafeguards safeguards;
   safeguards.finishBeforeAnswer = false;
   BOOST_TEST(violationsIn(60, safeguards) > 0);
--- a/tests/register/register_core_test.cpp
+++ b/tests/register/register_core_test.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(register_service)
+BOOST_AUTO_TEST_SUITE(register_core)
 
 BOOST_AUTO_TEST_CASE(racing_changes_have_one_winner) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -60,7 +60,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(resent_order_gets_its_first_answer) {
+BOOST_AUTO_TEST_CASE(a_resent_change_gets_its_first_outcome) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
   // After the accepts have left, nothing reaches the proposer any more: the change takes effect
@@ -85,24 +85,24 @@
   BOOST_TEST(fleet.read("a5").value().version == 301U);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_majority_nothing_is_claimed) {
+BOOST_AUTO_TEST_CASE(without_a_majority_no_outcome_is_reported) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
   changeManyTimes(fleet, 0, 1);
-  fleet.island = {"a1", "a2", "a3", "d1"};
+  fleet.isolated = {"a1", "a2", "a3", "d1"};
   BOOST_TEST((errorOf(fleet.change("d1", 1, "x", "x")) == ErrorCode::NoQuorum));
   BOOST_TEST((fleet.read("a1").error().code == ErrorCode::NoQuorum));
   for (const auto& node : fleet.nodes) {
     BOOST_TEST(!fleet.isFresh(node.first));
   }
-  fleet.island = {"a1", "a2", "d1"};
+  fleet.isolated = {"a1", "a2", "d1"};
   fleet.harness.advance(std::chrono::seconds(3));
   BOOST_TEST((!fleet.isFresh("a1") && !fleet.isFresh("d1")));
   BOOST_TEST((fleet.isFresh("a4") && fleet.isFresh("d2")));
   BOOST_REQUIRE(fleet.change("d2", 1, "y", "v2"));
   fleet.harness.advance(std::chrono::seconds(2));
   BOOST_TEST(fleet.configuration("d1").current(kSettingsRegister).version == 1U);
-  fleet.island.clear();
+  fleet.isolated.clear();
   fleet.harness.advance(std::chrono::seconds(2));
   BOOST_TEST(fleet.isFresh("d1"));
   BOOST_TEST(fleet.configuration("d1").current(kSettingsRegister).version == 2U);
@@ -153,7 +153,7 @@
   BOOST_TEST(!powerLossBeforeSync({}).first);
 }
 
-BOOST_AUTO_TEST_CASE(answers_before_the_sync_lose_an_acknowledged_version) {
+BOOST_AUTO_TEST_CASE(replies_before_the_sync_lose_an_acknowledged_version) {
   RegisterSafeguards safeguards;
   safeguards.persistBeforeAnswer = false;
   const auto result = powerLossBeforeSync(safeguards);
@@ -161,14 +161,14 @@
   BOOST_TEST(result.second == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(corrupt_records_silence_the_acceptor) {
+BOOST_AUTO_TEST_CASE(an_acceptor_with_corrupt_records_does_not_reply) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
   changeManyTimes(fleet, 0, 3);
   fleet.crash("a1");
   fleet.harness.records["a1"].rows["register/settings/accepted"] = "\xc1";
   fleet.start("a1");
-  fleet.island = {"a2", "a3"};
+  fleet.isolated = {"a2", "a3"};
   BOOST_TEST((fleet.read("a4").error().code == ErrorCode::NoQuorum));
 }
 
@@ -177,9 +177,9 @@
 Result<RegisterValue> readAfterLossOfDisks(RegisterSafeguards safeguards) {
   RegisterFleet fleet(6, 2, safeguards);
   BOOST_REQUIRE(fleet.form());
-  fleet.island = {"a5", "a6"};
+  fleet.isolated = {"a5", "a6"};
   changeManyTimes(fleet, 0, 1);
-  fleet.island = {"a1", "a2"};
+  fleet.isolated = {"a1", "a2"};
   for (const char* emptied : {"a3", "a4"}) {
     fleet.emptyDisk(emptied);
     fleet.start(emptied);
@@ -187,7 +187,7 @@
   return fleet.read("d1");
 }
 
-BOOST_AUTO_TEST_CASE(emptied_disk_does_not_vote) {
+BOOST_AUTO_TEST_CASE(an_emptied_disk_does_not_vote) {
   const Result<RegisterValue> read = readAfterLossOfDisks({});
   BOOST_REQUIRE(!read);
   BOOST_TEST((read.error().code == ErrorCode::NoQuorum));
@@ -205,9 +205,9 @@
   RegisterFleet fleet(6, 2);
   fleet.harness.advance(std::chrono::seconds(10));
   BOOST_TEST((fleet.read("a1").error().code == ErrorCode::NoQuorum));
-  fleet.island = {"a6"};
+  fleet.isolated = {"a6"};
   BOOST_TEST((fleet.form("a2").error().code == ErrorCode::NoQuorum));
-  fleet.island.clear();
+  fleet.isolated.clear();
   BOOST_REQUIRE(fleet.form("a3"));
   BOOST_REQUIRE(fleet.form("a5"));
   changeManyTimes(fleet, 0, 2);
@@ -231,18 +231,18 @@
     fleet.harness.random.seed(seed);
     for (int number = 1; number <= 6; ++number) {
       const std::string old = "a" + std::to_string(number);
-      const std::string newcomer = number == 3 ? old : "b" + std::to_string(number);
+      const std::string joining = number == 3 ? old : "b" + std::to_string(number);
       fleet.emptyDisk(old);
-      if (newcomer == old) {
+      if (joining == old) {
         fleet.start(old);
       } else {
-        fleet.addControl(newcomer);
+        fleet.addControl(joining);
       }
       fleet.dropRate = 0.15;
       const std::string via = number == 6 ? "b1" : "a6";
-      Result<MemberList> list = fleet.replace(via, old, newcomer);
+      Result<MemberList> list = fleet.replace(via, old, joining);
       for (int attempt = 0; attempt < 5 && !list; ++attempt) {
-        list = fleet.replace(via, old, newcomer);
+        list = fleet.replace(via, old, joining);
       }
       fleet.dropRate = 0;
       BOOST_REQUIRE_MESSAGE(list, "seed " << seed << " " << old << ": " << describe(list));
@@ -262,9 +262,9 @@
 BOOST_AUTO_TEST_CASE(second_loss_right_after_a_replacement_loses_nothing) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
-  fleet.island = {"a5", "a6"};
+  fleet.isolated = {"a5", "a6"};
   const std::uint64_t version = changeManyTimes(fleet, 0, 70);
-  fleet.island.clear();
+  fleet.isolated.clear();
   fleet.emptyDisk("a1");
   fleet.addControl("b1");
   BOOST_REQUIRE(fleet.replace("a2", "a1", "b1"));
@@ -278,18 +278,18 @@
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
   fleet.harness.advance(std::chrono::seconds(1));
-  fleet.island = {"d1", "a1", "a2"};
+  fleet.isolated = {"d1", "a1", "a2"};
   for (const char* old : {"a1", "a2"}) {
-    const std::string newcomer = std::string("b") + old;
-    fleet.addControl(newcomer);
-    BOOST_REQUIRE(fleet.replace("a4", old, newcomer));
+    const std::string joining = std::string("b") + old;
+    fleet.addControl(joining);
+    BOOST_REQUIRE(fleet.replace("a4", old, joining));
   }
   BOOST_REQUIRE(fleet.change("d2", 0, "new", "v1"));
   // d1 and the two retired acceptors reach a5 and a6 of the old list: four of six.
-  fleet.island = {"d1", "a1", "a2", "a5", "a6"};
+  fleet.isolated = {"d1", "a1", "a2", "a5", "a6"};
   BOOST_TEST((errorOf(fleet.change("d1", 0, "old", "w1")) == ErrorCode::NoQuorum));
   BOOST_TEST(!fleet.isFresh("a1"));
-  fleet.island.clear();
+  fleet.isolated.clear();
   fleet.harness.advance(std::chrono::seconds(2));
   BOOST_TEST((errorOf(fleet.change("d1", 0, "old", "w1")) == ErrorCode::VersionConflict));
 }
--- a/tests/register/register_fleet.h
+++ b/tests/register/register_fleet.h
@@ -95,10 +95,10 @@
     return await(result);
   }
 
-  Result<ChangeOutcome> change(const std::string& via, std::uint64_t base, const std::string& order,
-                               const std::string& value) {
+  Result<ChangeOutcome> change(const std::string& via, std::uint64_t base,
+                               const std::string& idempotencyKey, const std::string& value) {
     std::optional<Result<ChangeOutcome>> result;
-    registers(via).change({kSettingsRegister, base, order, value, {}},
+    registers(via).change({kSettingsRegister, base, idempotencyKey, value, {}},
                           [&](auto outcome) { result = std::move(outcome); });
     return await(result);
   }
@@ -110,9 +110,9 @@
   }
 
   Result<MemberList> replace(const std::string& via, const std::string& old,
-                             const std::string& newcomer) {
+                             const std::string& joining) {
     std::optional<Result<MemberList>> result;
-    registers(via).replaceMember(NodeId{old}, NodeId{newcomer},
+    registers(via).replaceMember(NodeId{old}, NodeId{joining},
                                  [&](auto list) { result = std::move(list); });
     return await(result);
   }
@@ -145,7 +145,7 @@
   Harness harness;
   std::map<std::string, Node> nodes;
   std::vector<NodeId> acceptorIds;
-  std::set<std::string> island;  ///< Nodes that are cut off from all others.
+  std::set<std::string> isolated;  ///< Nodes in a network partition of their own.
   double lossRate = 0.1;
   double syncRate = 0.3;  ///< Probability that a random step syncs a waiting record.
   double duplicationRate = 0.1;
@@ -162,7 +162,7 @@
     } else {
       configurationBytes += size;
     }
-    if (island.count(envelope.from.address) != island.count(envelope.to.address)) {
+    if (isolated.count(envelope.from.address) != isolated.count(envelope.to.address)) {
       return false;
     }
     return std::uniform_real_distribution<double>(0, 1)(harness.random) >= dropRate;
