--- a/src/process/event_loop_node.cpp
+++ b/src/process/event_loop_node.cpp
@@ -1,17 +1,21 @@
 #include "process/event_loop_node.h"
 
+#include "process/signals.h"
+#include "runtime/logging.h"
+
 #include <limits>
 
 namespace shedshed {
 namespace {
 
-/// The engines of such a fleet are close: a caller's batch call is answered or refused soon.
+/// The engines of such a fleet are close: a client's batch request is answered or rejected soon.
 constexpr Duration kBatchCallDeadline = std::chrono::milliseconds(1800);
-/// A store that is lost must be replaced as the owner of its partitions within about a second.
+/// A store that fails must be replaced as the owner of its partitions within about a second.
 constexpr Duration kPingInterval = std::chrono::milliseconds(350);
-/// Batches are due within seconds: lent room is back within some ticks.
+/// Batches are due within seconds: lent capacity is returned within some ticks.
 constexpr double kLendingGrowth = 0.1;
-/// Live calls that arrive in this time find room at once. Each engine frees a slot about as often.
+/// Live requests that arrive in this time find free capacity at once. Each engine frees a slot
+/// about as often.
 constexpr Duration kLiveReserve = std::chrono::milliseconds(40);
 constexpr Duration kItemRetryPause = std::chrono::milliseconds(300);
 /// A batch of some 150 items, each of which takes up to a second, is due within some seconds.
@@ -25,6 +29,39 @@
 
 }  // namespace
 
+int EventLoopNode::run(const std::function<Status()>& listen, const std::function<void()>& drain) {
+  Status started = listen();
+  if (started) {
+    started = runtime.start();
+  }
+  if (!started) {
+    logError("process", started.error());
+    stop();
+    return 1;
+  }
+  logInfo("process", "serving as " + self_.address);
+  waitForStopSignal();
+  logInfo("process", "draining");
+  drain();
+  stop();
+  return 0;
+}
+
+bool EventLoopNode::pollUntil(Time deadline, std::chrono::milliseconds interval,
+                              const std::function<bool()>& condition) {
+  bool done = condition();
+  while (!done && monotonicNow() < deadline) {
+    waitForStopSignal(interval);
+    done = condition();
+  }
+  return done;
+}
+
+void EventLoopNode::stop() {
+  runtime.stop();
+  loop.dropHandlers();
+}
+
 NodeOptions eventLoopOptions(const ProcessSettings& settings, const std::string& storeId) {
   NodeOptions options;
   options.self = describeSelf(settings, storeId);
--- a/src/process/event_loop_node.h
+++ b/src/process/event_loop_node.h
@@ -1,5 +1,5 @@
 /// @file
-/// Network, cores and callers of one process on one event loop.
+/// What processes on one event loop have in common: network, runtime, start and end.
 #pragma once
 
 #include "assembly/node_options.h"
@@ -12,6 +12,8 @@
 #include "wire/tcp_transport.h"
 
 #include <boost/asio/dispatch.hpp>
+#include <chrono>
+#include <functional>
 
 namespace shedshed {
 
@@ -26,7 +28,7 @@
   boost::asio::io_context& loop_;
 };
 
-/// Hands the counters of the serving path to the process's.
+/// Adds the counters of the serving path to those of the process.
 class LoopCounters : public ServingCounters {
  public:
   explicit LoopCounters(Metrics& metrics) : metrics_(metrics) {}
@@ -38,19 +40,24 @@
 };
 
 /// What a process with one event loop consists of, besides its cores. One thread runs everything
-/// but the syncs of the disk.
-struct EventLoopNode {
+/// but the syncs of the disk; `run` and `pollUntil` are called by the main thread.
+class EventLoopNode {
+ public:
   /// @p records is null without a disk. Arguments must outlive the object.
   EventLoopNode(const ProcessSettings& settings, const ProcessKeys& keys, DurableRecords* records)
       : transport(loop, settings.internalAddress, keys.fleetKey, metrics),
         runtime(loop, settings.internalAddress, transport, records, metrics, &failStop),
-        executor(loop), counters(metrics) {}
+        executor(loop), counters(metrics), self_(settings.internalAddress) {}
+
+  /// Runs the process: calls @p listen, starts the runtime, waits for the stop signal and calls
+  /// @p drain. Returns the exit code: 1 if one of the starts failed. The event loop has ended when
+  /// it returns.
+  int run(const std::function<Status()>& listen, const std::function<void()>& drain);
 
-  /// Ends the event loop and drops what waits in it.
-  void stop() {
-    runtime.stop();
-    loop.dropHandlers();
-  }
+  /// Evaluates @p condition each @p interval, and at least once, until it is true or @p deadline
+  /// has passed. Returns its last value.
+  static bool pollUntil(Time deadline, std::chrono::milliseconds interval,
+                        const std::function<bool()>& condition);
 
   ServingIoContext loop;
   Metrics metrics;
@@ -58,9 +65,16 @@
   NodeRuntime runtime;
   LoopExecutor executor;
   LoopCounters counters;
+
+ private:
+  /// Ends the event loop and drops its pending handlers.
+  void stop();
+
+  const NodeId self_;
 };
 
-/// Identity and surroundings of a process as its settings give them; seeds get the settings' port.
+/// Options of the cores of a process with one event loop: its identity, its seeds with the port of
+/// the settings, and the times and bounds of such a fleet.
 NodeOptions eventLoopOptions(const ProcessSettings& settings, const std::string& storeId);
 
 }  // namespace shedshed
--- a/src/process/gateway_process.cpp
+++ b/src/process/gateway_process.cpp
@@ -10,9 +10,9 @@
 constexpr int kNotFound = 404;
 constexpr std::size_t kReadyBodyBytes = 1024;
 
-/// Time for which callers may still come after readiness is refused.
-constexpr std::chrono::milliseconds kLateCallers{2600};
-/// Interval at which the end of the last call is looked for while draining.
+/// Time in which clients may still connect after readiness checks fail.
+constexpr std::chrono::milliseconds kLateClients{2600};
+/// Interval of the checks for the end of the last call while draining.
 constexpr std::chrono::milliseconds kDrainPoll{50};
 /// The process ends this long before the platform would end it.
 constexpr Duration kStopMargin = std::chrono::milliseconds(1200);
@@ -54,7 +54,7 @@
 void GatewayProcess::publishSettings(const RegisterValue& value) {
   Result<SettingsTree> tree = SettingsTree::parse(value.value);
   if (!tree) {
-    // Only checked values are accepted by the registers: this process is older than the value.
+    // The registers accept only checked values: this process is older than the value.
     logError("settings", tree.error());
     return;
   }
@@ -75,45 +75,32 @@
 }
 
 int GatewayProcess::run() {
+  return node_.run([this] { return listen(); }, [this] { drain(); });
+}
+
+Status GatewayProcess::listen() {
   Status started = gateway_.start();
   if (started && !settings_.readyAddress.empty()) {
     started = readiness_.start();
   }
-  if (started) {
-    started = node_.runtime.start();
-  }
-  if (!started) {
-    logError("process", started.error());
-    node_.stop();
-    return 1;
-  }
-  logInfo("process", "serving as " + settings_.internalAddress.address);
-  waitForStopSignal();
-  drain();
-  node_.stop();
-  return 0;
+  return started;
 }
 
 void GatewayProcess::drain() {
-  logInfo("process", "draining");
   node_.runtime.runAndWait([this] {
     services_.draining = true;
     cores_.directory.announceDraining(true);
     cores_.runner->drain();
   });
-  const Time begun = monotonicNow();
-  const Time deadline = begun + settings_.stopWarning - kStopMargin;
-  while (monotonicNow() - begun < kLateCallers) {
+  const Time drainStart = monotonicNow();
+  const Time deadline = drainStart + settings_.stopWarning - kStopMargin;
+  while (monotonicNow() - drainStart < kLateClients) {
     waitForStopSignal(kDrainPoll);
   }
-  // A platform with few ready processes sends callers all the same; those that come now would be
-  // cut.
+  // A platform with few ready processes sends clients all the same; calls accepted now would be
+  // aborted.
   node_.runtime.runAndWait([this] { gateway_.stopAccepting(); });
-  bool done = idle();
-  while (!done && monotonicNow() < deadline) {
-    waitForStopSignal(kDrainPoll);
-    done = idle();
-  }
+  const bool done = EventLoopNode::pollUntil(deadline, kDrainPoll, [this] { return idle(); });
   logInfo("process", done ? "drained" : "stopping with calls still running");
 }
 
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -14,8 +14,8 @@
 /// One process, from its start to its end. Runs on one event loop.
 class GatewayProcess {
  public:
-  /// @p names and @p dialect are the wire forms that callers and engines speak; @p readyPath is
-  /// where readiness is asked for. Arguments must outlive the object.
+  /// @p names and @p dialect are the wire forms of clients and engines; @p readyPath is the path of
+  /// readiness checks. Arguments must outlive the object.
   GatewayProcess(const ProcessSettings& settings, const ProcessKeys& keys, HeaderNames names,
                  const BatchDialect& dialect, std::string readyPath);
 
@@ -25,6 +25,7 @@
  private:
   void publishSettings(const RegisterValue& value);
   GatewayAnswer answerReady(const WholeCall& call) const;
+  Status listen();
   void drain();
   bool idle();
 
--- a/src/process/state_process.cpp
+++ b/src/process/state_process.cpp
@@ -9,20 +9,20 @@
 namespace {
 
 constexpr Duration kStopMargin = std::chrono::milliseconds(1200);
-/// Time for the announcement that this node leaves to reach the others.
-constexpr std::chrono::milliseconds kLeaveNotice{300};
+/// Time for the announcement that this node drains to reach the others.
+constexpr std::chrono::milliseconds kDrainNotice{300};
 constexpr std::chrono::milliseconds kHandOverPoll{50};
 
 constexpr std::uint64_t kMegabyte = 1U << 20U;
 /// Files of a ring on a small disk: two of them hold no live records, so many small ones waste
-/// less. A file holds the largest record, settings of 4 MiB, whole.
+/// less. A file holds the largest record, settings of 4 MiB, completely.
 constexpr std::uint64_t kSmallDiskFiles = 16;
-constexpr std::uint64_t kLeastFileOfSmallDisk = 5 * kMegabyte;
+constexpr std::uint64_t kMinFileOfSmallDisk = 5 * kMegabyte;
 /// Files of a disk that is too small even for that.
 constexpr std::uint64_t kTinyDiskFiles = 4;
-constexpr std::uint64_t kLargestFile = 16 * kMegabyte;
+constexpr std::uint64_t kMaxFileBytes = 16 * kMegabyte;
 /// Bounds what a restart reads.
-constexpr std::uint64_t kMostRingFiles = 12;
+constexpr std::uint64_t kMaxRingFiles = 12;
 /// Share of the disk that the ring takes, in percent.
 constexpr std::uint64_t kDiskPercent = 75;
 
@@ -30,20 +30,21 @@
 
 RingKnobs ringKnobsFor(std::uint32_t diskMegabytes) {
   RingKnobs knobs;
-  const std::uint64_t room = diskMegabytes * kMegabyte * kDiskPercent / 100;
+  const std::uint64_t capacity = diskMegabytes * kMegabyte * kDiskPercent / 100;
   if (diskMegabytes == 0) {
     return knobs;
   }
-  if (room >= knobs.fileBytes * knobs.fileCount) {
-    knobs.fileCount =
-        static_cast<std::uint32_t>(std::min<std::uint64_t>(room / knobs.fileBytes, kMostRingFiles));
+  if (capacity >= knobs.fileBytes * knobs.fileCount) {
+    knobs.fileCount = static_cast<std::uint32_t>(
+        std::min<std::uint64_t>(capacity / knobs.fileBytes, kMaxRingFiles));
     return knobs;
   }
-  std::uint64_t files = std::min(room / kLeastFileOfSmallDisk, kSmallDiskFiles);
+  std::uint64_t files = std::min(capacity / kMinFileOfSmallDisk, kSmallDiskFiles);
   files = std::max(files, kTinyDiskFiles);
   knobs.fileCount = static_cast<std::uint32_t>(files);
   knobs.fileBytes =
-      std::clamp(room / files / kMegabyte, std::uint64_t{1}, kLargestFile / kMegabyte) * kMegabyte;
+      std::clamp(capacity / files / kMegabyte, std::uint64_t{1}, kMaxFileBytes / kMegabyte) *
+      kMegabyte;
   return knobs;
 }
 
@@ -98,35 +99,18 @@
 }
 
 int StateProcess::run(const Starter& start) {
-  Status started = start();
-  if (started) {
-    started = node_.runtime.start();
-  }
-  if (!started) {
-    logError("process", started.error());
-    node_.stop();
-    return 1;
-  }
-  logInfo("process", "serving as " + settings_.internalAddress.address);
-  waitForStopSignal();
-  drain();
-  node_.stop();
-  return 0;
+  return node_.run(start, [this] { drain(); });
 }
 
 void StateProcess::drain() {
-  logInfo("process", "draining");
   node_.runtime.runAndWait([this] {
     draining_ = true;
     cores_->directory.announceDraining(true);
   });
-  waitForStopSignal(kLeaveNotice);
-  const Time deadline = monotonicNow() + settings_.stopWarning - kStopMargin - kLeaveNotice;
-  bool done = handedOver();
-  while (!done && monotonicNow() < deadline) {
-    waitForStopSignal(kHandOverPoll);
-    done = handedOver();
-  }
+  waitForStopSignal(kDrainNotice);
+  const Time deadline = monotonicNow() + settings_.stopWarning - kStopMargin - kDrainNotice;
+  const bool done =
+      EventLoopNode::pollUntil(deadline, kHandOverPoll, [this] { return handedOver(); });
   logInfo("process", done ? "drained" : "stopping while partitions are still owned");
 }
 
--- a/src/process/state_process.h
+++ b/src/process/state_process.h
@@ -19,11 +19,11 @@
 /// One process, from its start to its end.
 class StateProcess {
  public:
-  /// Takes part in the process: listens on the event loop before the process serves.
+  /// Starts to listen on the event loop; called before the process serves.
   using Starter = std::function<Status()>;
 
-  /// @p ring is null on a register node without a disk: it takes operators' calls and reads the
-  /// listing, and votes in nothing. Arguments must outlive the object.
+  /// @p ring is null on a register node without a disk: it serves operators and reads the
+  /// listing, but is no acceptor. Arguments must outlive the object.
   StateProcess(const ProcessSettings& settings, const ProcessKeys& keys, RecordRing* ring);
 
   EventLoopNode& node() { return node_; }
