--- a/src/ctl/batches_commands.cpp
+++ b/src/ctl/batches_commands.cpp
@@ -52,16 +52,16 @@
 
 /// Returns the answer of the store that owns batch @p id. The ownership may be moving: asks
 /// again until a store answers, all say that they do not know it, or the time is over.
-Result<NodeAnswer> findOwner(CtlContext& context, const std::string& id) {
+Result<NodeResponse> findOwner(CtlContext& context, const std::string& id) {
   const std::chrono::seconds limit(context.line.timeoutSeconds);
   while (true) {
-    const auto answers = askAll(context.fleet, "store", kBatchesUrl + ("/" + id));
+    const auto answers = queryNodes(context.fleet, "store", kBatchesUrl + ("/" + id));
     if (!answers) {
       return answers.error();
     }
     bool ownerSaysNo = false;
     Error last = makeError(ErrorCode::StoreUnavailable, "no store owns the batch at present");
-    for (const NodeAnswer& answer : answers.value()) {
+    for (const NodeResponse& answer : answers.value()) {
       if (answer.answer) {
         return answer;
       }
@@ -99,13 +99,13 @@
 }
 
 ExitCode BatchesCommands::list(CtlContext& context) {
-  const Result<std::vector<NodeAnswer>> answers = askAll(context.fleet, "store", kBatchesUrl);
+  const Result<std::vector<NodeResponse>> answers = queryNodes(context.fleet, "store", kBatchesUrl);
   if (!answers) {
     return context.output.fail(answers.error());
   }
   std::vector<JsonDocument> documents;
   std::map<std::string, const cJSON*> batches;
-  for (const NodeAnswer& answer : answers.value()) {
+  for (const NodeResponse& answer : answers.value()) {
     Result<JsonDocument> document =
         JsonDocument::parse(answer.answer ? answer.answer.value().body : "{}", kAnswerBounds);
     if (!document) {
@@ -117,7 +117,7 @@
       batches[cellOf(item, "id")] = item;
     }
   }
-  const std::string missing = missingAnswers(answers.value());
+  const std::string missing = missingResponses(answers.value());
   if (context.output.isJson()) {
     const JsonDocument document = JsonDocument::object();
     cJSON* array = cJSON_AddArrayToObject(document.root(), "batches");
@@ -140,7 +140,7 @@
 }
 
 ExitCode BatchesCommands::show(CtlContext& context) {
-  const Result<NodeAnswer> owner = findOwner(context, context.line.word(2));
+  const Result<NodeResponse> owner = findOwner(context, context.line.word(2));
   if (!owner) {
     return context.output.fail(owner.error());
   }
@@ -149,7 +149,7 @@
 
 ExitCode BatchesCommands::cancel(CtlContext& context) {
   const std::string id = context.line.word(2);
-  const Result<NodeAnswer> owner = findOwner(context, id);
+  const Result<NodeResponse> owner = findOwner(context, id);
   if (!owner) {
     return context.output.fail(owner.error());
   }
@@ -157,7 +157,7 @@
   request.method = "POST";
   request.url = kBatchesUrl + ("/" + id) + "/cancel";
   request.changesState = true;
-  Result<FleetAnswer> answer = context.fleet.callNode(owner.value().operatorsAddress, request);
+  Result<FleetResponse> answer = context.fleet.callNode(owner.value().operatorsAddress, request);
   if (!answer) {
     Error error = answer.error();
     error.detail += "; a cancel may be sent again";
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -125,27 +125,27 @@
 }
 
 /// Returns the number in @p value; nullopt unless it is one from 0 to @p maximum.
-std::optional<double> numberIn(const std::string& value, double maximum) {
+std::optional<double> parseNumber(const std::string& value, double maximum) {
   char* end = nullptr;
   const double number = std::strtod(value.c_str(), &end);
-  const bool whole = !value.empty() && end == value.c_str() + value.size();
-  if (!whole || !std::isfinite(number) || number < 0 || number > maximum) {
+  const bool complete = !value.empty() && end == value.c_str() + value.size();
+  if (!complete || !std::isfinite(number) || number < 0 || number > maximum) {
     return std::nullopt;
   }
   return number;
 }
 
-Result<std::uint64_t> wholeNumber(const std::string& flag, const std::string& value) {
-  const std::optional<double> number = numberIn(value, kMaxNumber);
+Result<std::uint64_t> parseUnsigned(const std::string& flag, const std::string& value) {
+  const std::optional<double> number = parseNumber(value, kMaxNumber);
   if (!number || std::floor(*number) != *number) {
     return flagError(flag, value, "a whole number");
   }
   return static_cast<std::uint64_t>(*number);
 }
 
-Status storeWhole(const std::string& flag, const std::string& value,
-                  std::optional<std::uint64_t>& target) {
-  const Result<std::uint64_t> number = wholeNumber(flag, value);
+Status storeUnsigned(const std::string& flag, const std::string& value,
+                     std::optional<std::uint64_t>& target) {
+  const Result<std::uint64_t> number = parseUnsigned(flag, value);
   if (!number) {
     return number.error();
   }
@@ -169,7 +169,7 @@
 }
 
 Status storeTimeout(const std::string& value, CommandLine& line) {
-  const std::optional<double> seconds = numberIn(value, kMaxTimeoutSeconds);
+  const std::optional<double> seconds = parseNumber(value, kMaxTimeoutSeconds);
   if (!seconds || *seconds < 1) {
     return flagError("--timeout-s", value, "seconds from 1 to 3600");
   }
@@ -196,7 +196,7 @@
     line.json = true;
     return okStatus();
   case kBaseVersion:
-    return storeWhole("--base-version", value, line.baseVersion);
+    return storeUnsigned("--base-version", value, line.baseVersion);
   case kOrderId:
     line.orderId = value;
     return okStatus();
@@ -212,15 +212,15 @@
   case kStores:
     return storeAddresses("--stores", value, line.stores);
   case kPerSecond:
-    line.perSecond = numberIn(value, kMaxNumber);
+    line.perSecond = parseNumber(value, kMaxNumber);
     return line.perSecond ? okStatus() : Status(flagError("--per-s", value, "a number"));
   case kBurst:
-    return storeWhole("--burst", value, line.burst);
+    return storeUnsigned("--burst", value, line.burst);
   case kKeyDigest:
     line.keyDigest = value;
     return okStatus();
   case kVersion:
-    return storeWhole("--version", value, line.waitVersion);
+    return storeUnsigned("--version", value, line.waitVersion);
   default:
     return okStatus();
   }
--- a/src/ctl/command_line.h
+++ b/src/ctl/command_line.h
@@ -28,7 +28,7 @@
   std::string keyDigest;                     ///< For `tenants create`.
   std::vector<std::string> words;            ///< The command and its arguments.
 
-  /// Text of `--help` or `--version`; if it is not empty, it is all that was asked for.
+  /// Text of `--help` or `--version`; if it is not empty, nothing else is filled in.
   std::string informationText;
 
   /// Returns word @p index, or "" if there are fewer.
--- a/src/ctl/explain_command.cpp
+++ b/src/ctl/explain_command.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-ExitCode printTable(CtlContext& context, const NodeAnswer& answer) {
+ExitCode printTable(CtlContext& context, const NodeResponse& answer) {
   const Result<JsonDocument> document = JsonDocument::parse(answer.answer.value().body);
   if (!document) {
     return context.output.fail(document.error());
@@ -22,7 +22,7 @@
   return ExitCode::Ok;
 }
 
-void printJson(CtlContext& context, const NodeAnswer& answer) {
+void printJson(CtlContext& context, const NodeResponse& answer) {
   const JsonDocument document = JsonDocument::object();
   cJSON_AddStringToObject(document.root(), "node", answer.node.c_str());
   cJSON_AddRawToObject(document.root(), "call", answer.answer.value().body.c_str());
@@ -36,11 +36,11 @@
     return context.output.usage("explain needs the call's X-Request-Id");
   }
   const std::string id = context.line.word(1);
-  const auto answers = askAll(context.fleet, "data", "/v1/requests/" + id);
+  const auto answers = queryNodes(context.fleet, "data", "/v1/requests/" + id);
   if (!answers) {
     return context.output.fail(answers.error());
   }
-  for (const NodeAnswer& answer : answers.value()) {
+  for (const NodeResponse& answer : answers.value()) {
     if (!answer.answer) {
       continue;
     }
@@ -50,7 +50,7 @@
     }
     return printTable(context, answer);
   }
-  const std::string missing = missingAnswers(answers.value());
+  const std::string missing = missingResponses(answers.value());
   if (!missing.empty()) {
     return context.output.fail(
         makeError(ErrorCode::StoreUnavailable, "no node that answers knows the call; " + missing));
--- a/src/ctl/fleet_client.cpp
+++ b/src/ctl/fleet_client.cpp
@@ -26,24 +26,24 @@
 
 /// True if the answer was given after a look at what took effect, so that it also tells the
 /// outcome of earlier attempts with the same order id.
-bool settlesEarlierAttempts(ErrorCode code) {
+bool resolvesEarlierAttempts(ErrorCode code) {
   return code == ErrorCode::VersionConflict || code == ErrorCode::OrderIdReused ||
          code == ErrorCode::AlreadyExists;
 }
 
 }  // namespace
 
-Result<FleetAnswer> FleetClient::call(const FleetRequest& request) {
+Result<FleetResponse> FleetClient::call(const FleetRequest& request) {
   Error last = makeError(ErrorCode::StoreUnavailable, "no node was given; see --node");
   std::optional<Error> unknown;
   for (const std::string& node : nodes_) {
-    Result<FleetAnswer> answer = transport_.exchange(node, request);
+    Result<FleetResponse> answer = transport_.exchange(node, request);
     if (answer) {
       return answer;
     }
     last = answer.error();
     last.detail = node + ": " + last.detail;
-    if (unknown ? settlesEarlierAttempts(last.code) : isFinal(last.code)) {
+    if (unknown ? resolvesEarlierAttempts(last.code) : isFinal(last.code)) {
       return last;
     }
     if (request.changesState && last.code == ErrorCode::OutcomeUnknown) {
--- a/src/ctl/fleet_client.h
+++ b/src/ctl/fleet_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Calls the operators' HTTP of any node of the fleet.
+/// Client of the operators' HTTP of any node of the fleet.
 #pragma once
 
 #include "kernel/error.h"
@@ -21,8 +21,8 @@
   bool changesState = false;
 };
 
-/// A successful answer.
-struct FleetAnswer {
+/// A successful response.
+struct FleetResponse {
   std::string body;
   std::uint64_t version = 0;  ///< From `ETag`; 0 if absent.
 };
@@ -32,24 +32,24 @@
  public:
   virtual ~Transport() = default;
 
-  /// Returns the answer, or the error that the node sent. If no whole answer came, the error is
-  /// `StoreUnavailable` when nothing was sent, else `OutcomeUnknown`.
-  virtual Result<FleetAnswer> exchange(const std::string& node, const FleetRequest& request) = 0;
+  /// Returns the response, or the error that the node sent. If no complete response arrived, the
+  /// error is `StoreUnavailable` when nothing was sent, else `OutcomeUnknown`.
+  virtual Result<FleetResponse> exchange(const std::string& node, const FleetRequest& request) = 0;
 };
 
-/// Tries the given nodes in turn. A change is sent to the next node with the same order id, which
-/// the registers' ledger makes safe.
+/// Sends requests to the given nodes in turn. A change is sent to the next node with the same order
+/// id, which the registers' ledger makes safe.
 class FleetClient {
  public:
   FleetClient(Transport& transport, std::vector<std::string> nodes)
       : transport_(transport), nodes_(std::move(nodes)) {}
 
   /// Calls the first node that can answer. For a change of which one attempt may have taken
-  /// effect, only an answer that settles that order id ends the search; else `OutcomeUnknown`.
-  Result<FleetAnswer> call(const FleetRequest& request);
+  /// effect, only a response that resolves that order id ends the search; else `OutcomeUnknown`.
+  Result<FleetResponse> call(const FleetRequest& request);
 
   /// Calls one node.
-  Result<FleetAnswer> callNode(const std::string& node, const FleetRequest& request) {
+  Result<FleetResponse> callNode(const std::string& node, const FleetRequest& request) {
     return transport_.exchange(node, request);
   }
 
--- a/src/ctl/fleet_commands.cpp
+++ b/src/ctl/fleet_commands.cpp
@@ -81,7 +81,7 @@
   request.url = "/v1/fleet/init";
   request.body = body.print();
   request.changesState = true;
-  const Result<FleetAnswer> answer = context.fleet.call(request);
+  const Result<FleetResponse> answer = context.fleet.call(request);
   if (answer) {
     return printMembers(context, answer.value().body);
   }
@@ -93,7 +93,7 @@
 }
 
 bool InitCommand::hasTheseMembers(CtlContext& context) {
-  const Result<FleetAnswer> answer = context.fleet.call(membersRequest());
+  const Result<FleetResponse> answer = context.fleet.call(membersRequest());
   if (!answer) {
     return false;
   }
@@ -107,7 +107,7 @@
 }
 
 ExitCode MembersCommand::run(CtlContext& context) {
-  const Result<FleetAnswer> answer = context.fleet.call(membersRequest());
+  const Result<FleetResponse> answer = context.fleet.call(membersRequest());
   if (!answer) {
     return context.output.fail(answer.error());
   }
--- a/src/ctl/fleet_view.cpp
+++ b/src/ctl/fleet_view.cpp
@@ -58,12 +58,12 @@
   }
 }
 
-void askNode(FleetClient& fleet, NodeView& view) {
+void queryNode(FleetClient& fleet, NodeView& view) {
   if (view.operatorsAddress.empty()) {
     view.failure = "no operators' address";
     return;
   }
-  const Result<FleetAnswer> answer = fleet.callNode(view.operatorsAddress, statusRequest());
+  const Result<FleetResponse> answer = fleet.callNode(view.operatorsAddress, statusRequest());
   if (answer) {
     fill(view, answer.value().body);
   } else {
@@ -74,7 +74,7 @@
 }  // namespace
 
 Result<std::vector<NodeView>> readFleet(FleetClient& fleet) {
-  const Result<FleetAnswer> answer = fleet.call(statusRequest());
+  const Result<FleetResponse> answer = fleet.call(statusRequest());
   if (!answer) {
     return answer.error();
   }
@@ -90,7 +90,7 @@
   std::vector<std::future<void>> calls;
   for (NodeView& view : views) {
     if (!view.isDead()) {
-      calls.push_back(std::async(std::launch::async, [&fleet, &view] { askNode(fleet, view); }));
+      calls.push_back(std::async(std::launch::async, [&fleet, &view] { queryNode(fleet, view); }));
     }
   }
   for (std::future<void>& call : calls) {
@@ -104,7 +104,7 @@
 Result<std::vector<std::string>> memberStores(FleetClient& fleet) {
   FleetRequest request;
   request.url = "/v1/members";
-  const Result<FleetAnswer> answer = fleet.call(request);
+  const Result<FleetResponse> answer = fleet.call(request);
   if (!answer) {
     return answer.error();
   }
--- a/src/ctl/fleet_view.h
+++ b/src/ctl/fleet_view.h
@@ -1,5 +1,5 @@
 /// @file
-/// The status of every node, asked of each node itself.
+/// The status of every node, as each reports it itself.
 #pragma once
 
 #include "ctl/fleet_client.h"
@@ -10,32 +10,32 @@
 
 namespace shedshed::ctl {
 
-/// How far a store's copies of the partitions have come.
+/// Progress of a store's replicas of the partitions.
 struct StoreView {
-  bool isMember = false;      ///< The members list names it with its present disk.
-  std::uint64_t held = 0;     ///< Partitions held in full.
-  std::uint64_t settled = 0;  ///< Of these, the ones whose owner counts it as a replica.
+  bool isMember = false;           ///< The members list names it with its present disk.
+  std::uint64_t complete = 0;      ///< Partitions replicated completely.
+  std::uint64_t acknowledged = 0;  ///< Of these, the ones whose owner counts it as a replica.
   std::uint64_t total = 0;
-  bool isComplete() const { return total != 0 && held == total; }
-  bool isSettled() const { return isMember && total != 0 && settled == total; }
+  bool isComplete() const { return total != 0 && complete == total; }
+  bool isAcknowledged() const { return isMember && total != 0 && acknowledged == total; }
 };
 
-/// One node as the directory lists it, with its own status if it answered.
+/// One node as the directory lists it, with its own status if it responded.
 struct NodeView {
   std::string id;
   std::string role;
   std::string state;
   std::string zone;
   std::string operatorsAddress;
-  std::string statusJson;  ///< Body of its `GET /v1/status`; empty if it did not answer.
-  std::string failure;     ///< Why it did not answer.
+  std::string statusJson;  ///< Body of its `GET /v1/status`; empty without a response.
+  std::string failure;     ///< Why there was no response.
   bool ready = false;
-  std::optional<StoreView> store;  ///< Of a store that answered.
+  std::optional<StoreView> store;  ///< Of a store that responded.
   std::uint64_t freshRemainingMs = 0;
   std::uint64_t ownedPartitions = 0;
   std::map<std::string, std::uint64_t> versions;  ///< In force, by register.
 
-  bool answered() const { return !statusJson.empty(); }
+  bool responded() const { return !statusJson.empty(); }
   bool isDead() const { return state == "dead"; }
   std::uint64_t versionOf(const std::string& registerName) const {
     const auto found = versions.find(registerName);
@@ -43,7 +43,7 @@
   }
 };
 
-/// Asks any node for the list of nodes, then all of them at the same time for their status. The
+/// Reads the list of nodes from any node, then the status of all of them concurrently. The
 /// nodes are sorted by id.
 Result<std::vector<NodeView>> readFleet(FleetClient& fleet);
 
--- a/src/ctl/http_transport.cpp
+++ b/src/ctl/http_transport.cpp
@@ -71,7 +71,8 @@
 
 }  // namespace
 
-Result<FleetAnswer> HttpTransport::exchange(const std::string& node, const FleetRequest& request) {
+Result<FleetResponse> HttpTransport::exchange(const std::string& node,
+                                              const FleetRequest& request) {
   const std::size_t colon = node.rfind(':');
   const std::string host = node.substr(0, colon);
   const auto port =
@@ -94,7 +95,7 @@
     if (status >= kFirstErrorStatus) {
       return errorOf(request, status, body);
     }
-    return FleetAnswer{body, versionOf(client.header())};
+    return FleetResponse{body, versionOf(client.header())};
   } catch (const std::exception& exception) {
     if (request.changesState) {
       return makeError(ErrorCode::OutcomeUnknown, exception.what(), Ran::Unknown);
--- a/src/ctl/http_transport.h
+++ b/src/ctl/http_transport.h
@@ -18,7 +18,7 @@
                          std::chrono::milliseconds connectTimeout = std::chrono::seconds(2))
       : key_(std::move(key)), answerTimeout_(answerTimeout), connectTimeout_(connectTimeout) {}
 
-  Result<FleetAnswer> exchange(const std::string& node, const FleetRequest& request) override;
+  Result<FleetResponse> exchange(const std::string& node, const FleetRequest& request) override;
 
  private:
   std::string key_;
--- a/src/ctl/node_answers.cpp
+++ b/src/ctl/node_answers.cpp
@@ -4,15 +4,15 @@
 
 namespace shedshed::ctl {
 
-Result<std::vector<NodeAnswer>> askAll(FleetClient& fleet, const std::string& role,
-                                       const std::string& url) {
+Result<std::vector<NodeResponse>> queryNodes(FleetClient& fleet, const std::string& role,
+                                             const std::string& url) {
   const Result<std::vector<NodeView>> nodes = readFleet(fleet);
   if (!nodes) {
     return nodes.error();
   }
   FleetRequest request;
   request.url = url;
-  std::vector<std::future<NodeAnswer>> calls;
+  std::vector<std::future<NodeResponse>> calls;
   for (const NodeView& node : nodes.value()) {
     if (node.role != role || node.isDead() || node.operatorsAddress.empty()) {
       continue;
@@ -20,11 +20,11 @@
     const std::string id = node.id;
     const std::string address = node.operatorsAddress;
     calls.push_back(std::async(std::launch::async, [&fleet, request, id, address] {
-      return NodeAnswer{id, address, fleet.callNode(address, request)};
+      return NodeResponse{id, address, fleet.callNode(address, request)};
     }));
   }
-  std::vector<NodeAnswer> answers;
-  for (std::future<NodeAnswer>& call : calls) {
+  std::vector<NodeResponse> answers;
+  for (std::future<NodeResponse>& call : calls) {
     answers.push_back(call.get());
   }
   return answers;
@@ -34,9 +34,9 @@
   return code == ErrorCode::NotFound || code == ErrorCode::NotOwner;
 }
 
-std::string missingAnswers(const std::vector<NodeAnswer>& answers) {
+std::string missingResponses(const std::vector<NodeResponse>& answers) {
   std::string missing;
-  for (const NodeAnswer& answer : answers) {
+  for (const NodeResponse& answer : answers) {
     if (!answer.answer && !isElsewhere(answer.answer.error().code)) {
       missing += (missing.empty() ? "" : "; ") + answer.node + ": " + answer.answer.error().detail;
     }
--- a/src/ctl/node_answers.h
+++ b/src/ctl/node_answers.h
@@ -1,5 +1,5 @@
 /// @file
-/// One read asked of all nodes of a role, since each knows a part.
+/// One query to all nodes of a role, each of which knows a part of the result.
 #pragma once
 
 #include "ctl/fleet_client.h"
@@ -10,23 +10,23 @@
 
 namespace shedshed::ctl {
 
-/// What one node answered.
-struct NodeAnswer {
+/// The response of one node.
+struct NodeResponse {
   std::string node;
   std::string operatorsAddress;
-  Result<FleetAnswer> answer;
+  Result<FleetResponse> answer;
 };
 
-/// Asks every node of @p role that is not dead for @p url. Fails if no node gives the list of
+/// Reads @p url from every node of @p role that is not dead. Fails if no node returns the list of
 /// nodes.
-Result<std::vector<NodeAnswer>> askAll(FleetClient& fleet, const std::string& role,
-                                       const std::string& url);
+Result<std::vector<NodeResponse>> queryNodes(FleetClient& fleet, const std::string& role,
+                                             const std::string& url);
 
-/// The ids of the nodes that gave no answer, with the reason; "" if all did. Nodes that know
-/// nothing of what was asked (`NotFound`, `NotOwner`) count as having answered.
-std::string missingAnswers(const std::vector<NodeAnswer>& answers);
+/// The ids of the nodes without a response, with the reason; "" if all responded. Nodes that do not
+/// have the requested object (`NotFound`, `NotOwner`) count as having responded.
+std::string missingResponses(const std::vector<NodeResponse>& answers);
 
-/// True if @p code tells that the node knows nothing of what was asked.
+/// True if @p code means that the node does not have the requested object.
 bool isElsewhere(ErrorCode code);
 
 }  // namespace shedshed::ctl
--- a/src/ctl/register_change.cpp
+++ b/src/ctl/register_change.cpp
@@ -9,7 +9,7 @@
 /// Attempts of a patch that is made from the newest settings.
 constexpr int kMaxChangeAttempts = 5;
 
-ExitCode printOutcome(CtlContext& context, const FleetAnswer& answer) {
+ExitCode printOutcome(CtlContext& context, const FleetResponse& answer) {
   if (context.output.isJson()) {
     context.output.line(answer.body);
     return ExitCode::Ok;
@@ -38,7 +38,7 @@
     request.orderId = line.orderId.empty() ? newOrderId() : line.orderId;
   }
   request.changesState = true;
-  const Result<FleetAnswer> answer = context.fleet.call(request);
+  const Result<FleetResponse> answer = context.fleet.call(request);
   if (answer) {
     return printOutcome(context, answer.value());
   }
@@ -59,7 +59,7 @@
   for (int attempt = 0; attempt < kMaxChangeAttempts; ++attempt) {
     FleetRequest read;
     read.url = url;
-    const Result<FleetAnswer> present = context.fleet.call(read);
+    const Result<FleetResponse> present = context.fleet.call(read);
     if (!present) {
       return context.output.fail(present.error());
     }
@@ -79,7 +79,7 @@
     change.baseVersion = present.value().version;
     change.orderId = newOrderId();
     change.changesState = true;
-    const Result<FleetAnswer> answer = context.fleet.call(change);
+    const Result<FleetResponse> answer = context.fleet.call(change);
     if (answer) {
       return printOutcome(context, answer.value());
     }
@@ -97,7 +97,7 @@
 ExitCode printRegister(CtlContext& context, const std::string& url) {
   FleetRequest request;
   request.url = url;
-  const Result<FleetAnswer> answer = context.fleet.call(request);
+  const Result<FleetResponse> answer = context.fleet.call(request);
   if (!answer) {
     return context.output.fail(answer.error());
   }
--- a/src/ctl/register_change.h
+++ b/src/ctl/register_change.h
@@ -8,18 +8,18 @@
 
 namespace shedshed::ctl {
 
-/// Sends @p request, a change, as one order. A missing base version or order id is filled in from
-/// the command line; without `--order-id` a new one is chosen. Prints the outcome, on an unknown
-/// one also the flags for sending it again.
+/// Sends @p request, a change, with an idempotency key (order id). A missing base version or order
+/// id is filled in from the command line; without `--order-id` a new one is chosen. Prints the
+/// outcome, on an unknown one also the flags for resending it.
 ExitCode sendChange(CtlContext& context, FleetRequest request);
 
-/// Makes the body of a change from a register's value; an empty text means that nothing is to be
-/// done.
+/// Makes the body of a change from a register's value; an empty text means that the change is
+/// in effect already.
 using MakeChange = std::function<Result<std::string>(const std::string& value)>;
 
 /// Reads the register at @p url, makes a change of its value, and sends it with @p method. If
-/// another change wins in between, reads and makes it again, a few times. Sending such a command
-/// again is always safe, since the change is made from the value as it is.
+/// another change is committed in between, reads and makes it again, a few times. Repeating such a
+/// command is always safe, since the change is made from the value as it is.
 ExitCode changeRegister(CtlContext& context, const char* method, const std::string& url,
                         const MakeChange& makeChange);
 
--- a/src/ctl/settings_commands.cpp
+++ b/src/ctl/settings_commands.cpp
@@ -108,7 +108,7 @@
   FleetRequest request;
   request.url = std::string(kSettingsUrl) + "?effective=" + percentEncoded(tenant) +
                 "&route=" + percentEncoded(route);
-  const Result<FleetAnswer> answer = context.fleet.call(request);
+  const Result<FleetResponse> answer = context.fleet.call(request);
   if (!answer) {
     return context.output.fail(answer.error());
   }
@@ -154,7 +154,7 @@
   if (!context.line.baseVersion) {
     FleetRequest read;
     read.url = kSettingsUrl;
-    const Result<FleetAnswer> current = context.fleet.call(read);
+    const Result<FleetResponse> current = context.fleet.call(read);
     if (!current) {
       return context.output.fail(current.error());
     }
@@ -164,17 +164,17 @@
 }
 
 ExitCode SettingsCommands::diff(CtlContext& context) {
-  const Result<std::string> wanted = readInput(context, context.line.word(2));
-  if (!wanted) {
-    return context.output.usage(wanted.error().detail);
+  const Result<std::string> requested = readInput(context, context.line.word(2));
+  if (!requested) {
+    return context.output.usage(requested.error().detail);
   }
   FleetRequest read;
   read.url = kSettingsUrl;
-  const Result<FleetAnswer> current = context.fleet.call(read);
+  const Result<FleetResponse> current = context.fleet.call(read);
   if (!current) {
     return context.output.fail(current.error());
   }
-  const Result<std::string> patch = createMergePatch(current.value().body, wanted.value());
+  const Result<std::string> patch = createMergePatch(current.value().body, requested.value());
   if (!patch) {
     return context.output.usage(patch.error().detail);
   }
@@ -209,7 +209,7 @@
   }
   FleetRequest read;
   read.url = kEnginesUrl;
-  const Result<FleetAnswer> answer = context.fleet.call(read);
+  const Result<FleetResponse> answer = context.fleet.call(read);
   if (!answer) {
     return context.output.fail(answer.error());
   }
--- a/src/ctl/slots_command.cpp
+++ b/src/ctl/slots_command.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Everything that the stores told. The documents own the nodes that the maps point to.
+/// The responses of all stores. The documents own the nodes that the maps point to.
 struct Merged {
   std::vector<JsonDocument> documents;
   std::map<std::string, const cJSON*> pools;  ///< By limiter and key.
@@ -91,17 +91,17 @@
 }  // namespace
 
 ExitCode SlotsCommand::run(CtlContext& context) {
-  const Result<std::vector<NodeAnswer>> answers = askAll(context.fleet, "store", "/v1/slots");
+  const Result<std::vector<NodeResponse>> answers = queryNodes(context.fleet, "store", "/v1/slots");
   if (!answers) {
     return context.output.fail(answers.error());
   }
   Merged merged;
-  for (const NodeAnswer& answer : answers.value()) {
+  for (const NodeResponse& answer : answers.value()) {
     if (answer.answer) {
       merge(merged, answer.answer.value().body);
     }
   }
-  const std::string missing = missingAnswers(answers.value());
+  const std::string missing = missingResponses(answers.value());
   if (context.output.isJson()) {
     printJson(context, merged, missing);
   } else {
--- a/src/ctl/status_command.cpp
+++ b/src/ctl/status_command.cpp
@@ -26,7 +26,7 @@
 std::vector<std::string> behindIn(const NodeView& node, const Versions& newest) {
   std::vector<std::string> names;
   for (const auto& version : newest) {
-    if (node.answered() && node.versionOf(version.first) < version.second) {
+    if (node.responded() && node.versionOf(version.first) < version.second) {
       names.push_back(version.first);
     }
   }
@@ -34,7 +34,7 @@
 }
 
 std::string remarkOn(const NodeView& node, const Versions& newest) {
-  if (!node.answered()) {
+  if (!node.responded()) {
     return node.isDead() ? "" : "no answer: " + node.failure;
   }
   std::string remark;
@@ -49,12 +49,12 @@
                    "FRESH_MS", "OWNS", "REMARK"});
   for (const NodeView& node : nodes) {
     std::vector<std::string> row = {node.id, node.role, node.zone, node.state};
-    row.push_back(node.answered() ? (node.ready ? "yes" : "no") : "-");
+    row.push_back(node.responded() ? (node.ready ? "yes" : "no") : "-");
     for (const char* name : kRegisters) {
-      row.push_back(node.answered() ? std::to_string(node.versionOf(name)) : "-");
+      row.push_back(node.responded() ? std::to_string(node.versionOf(name)) : "-");
     }
-    row.push_back(node.answered() ? std::to_string(node.freshRemainingMs) : "-");
-    row.push_back(node.answered() ? std::to_string(node.ownedPartitions) : "-");
+    row.push_back(node.responded() ? std::to_string(node.freshRemainingMs) : "-");
+    row.push_back(node.responded() ? std::to_string(node.ownedPartitions) : "-");
     row.push_back(remarkOn(node, newest));
     table.add(std::move(row));
   }
@@ -78,7 +78,7 @@
     for (const std::string& name : behindIn(node, newest)) {
       cJSON_AddItemToArray(behind, cJSON_CreateString(name.c_str()));
     }
-    if (node.answered()) {
+    if (node.responded()) {
       cJSON_AddRawToObject(item, "status", node.statusJson.c_str());
     } else {
       cJSON_AddStringToObject(item, "failure", node.failure.c_str());
--- a/src/ctl/store_replacement.cpp
+++ b/src/ctl/store_replacement.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::chrono::milliseconds kPollInterval(200);
 
-/// True if the same order may succeed later.
+/// True if the same request may succeed later.
 bool isWorthRepeating(const Error& error) {
   const ExitCode code = exitCodeOf(error);
   return code == ExitCode::Unavailable || code == ExitCode::Unknown;
@@ -52,29 +52,29 @@
     report("no node answers: " + nodes.error().detail);
     return Step::Pending;
   }
-  const auto newcomer = std::find_if(nodes.value().begin(), nodes.value().end(),
-                                     [this](const NodeView& node) { return node.id == newId_; });
-  if (newcomer == nodes.value().end() || !newcomer->answered()) {
+  const auto joining = std::find_if(nodes.value().begin(), nodes.value().end(),
+                                    [this](const NodeView& node) { return node.id == newId_; });
+  if (joining == nodes.value().end() || !joining->responded()) {
     report("waiting for " + newId_ + " to join");
     return Step::Pending;
   }
-  if (!newcomer->store) {
+  if (!joining->store) {
     failure_ = context_.output.fail(
-        makeError(ErrorCode::InvalidArgument, newId_ + " is a " + newcomer->role + ", no store"));
+        makeError(ErrorCode::InvalidArgument, newId_ + " is a " + joining->role + ", no store"));
     return Step::Failed;
   }
-  const StoreView store = *newcomer->store;
+  const StoreView store = *joining->store;
   if (!admitted_ && !store.isMember && !store.isComplete()) {
-    report(newId_ + " copies: holds " + share(store.held, store.total));
+    report(newId_ + " copies: holds " + share(store.complete, store.total));
     return Step::Pending;
   }
   if (!admitted_) {
-    return admit(newcomer->operatorsAddress);
+    return admit(joining->operatorsAddress);
   }
-  if (store.isSettled()) {
+  if (store.isAcknowledged()) {
     return Step::Done;
   }
-  report(newId_ + " is admitted: " + share(store.settled, store.total) +
+  report(newId_ + " is admitted: " + share(store.acknowledged, store.total) +
          " are owned under the new members");
   return Step::Pending;
 }
@@ -107,7 +107,7 @@
   request.url = "/v1/stores/replace";
   request.body = body.print();
   request.changesState = true;
-  const Result<FleetAnswer> answer = context_.fleet.callNode(operatorsAddress, request);
+  const Result<FleetResponse> answer = context_.fleet.callNode(operatorsAddress, request);
   if (answer) {
     admitted_ = true;
     return Step::Pending;
--- a/src/ctl/store_replacement.h
+++ b/src/ctl/store_replacement.h
@@ -9,15 +9,16 @@
 
 namespace shedshed::ctl {
 
-/// Follows one replacement until it is done.
+/// Performs one replacement and waits until it is done.
 ///
-/// 1. The newcomer runs as a non-member: the owners copy all partitions to it, but it counts for
+/// 1. The joining store runs as a non-member: the owners copy all partitions to it, but it counts
+/// for
 ///    no majority.
-/// 2. Once it holds everything, it is asked to admit itself: it copies the registers and changes
+/// 2. Once its replicas are complete, it is requested to join: it copies the registers and changes
 ///    the members list.
-/// 3. The owners take their partitions anew for the new members. Only when each has done so is
-///    the replacement done: before that, a second loss could leave no majority of the members
-///    before.
+/// 3. The owners recover their partitions with the new members. The replacement is done only
+///    when each has done so: before that, a second failure could leave no majority of the former
+///    members.
 class StoreReplacement {
  public:
   StoreReplacement(CtlContext& context, std::string oldId, std::string newId)
@@ -33,7 +34,7 @@
   /// partitions is not replaced by a store.
   Status checkMembers();
   Step admit(const std::string& operatorsAddress);
-  /// Ends the replacement, unless the same order may succeed later.
+  /// Ends the replacement, unless the same request may succeed later.
   Step failed(const Error& error);
   void report(const std::string& progress);
   ExitCode printDone();
--- a/src/ctl/stores_commands.cpp
+++ b/src/ctl/stores_commands.cpp
@@ -27,8 +27,8 @@
     std::vector<std::string> row = {node.id, node.zone, node.state};
     if (node.store) {
       row.push_back(node.store->isMember ? "yes" : "no");
-      row.push_back(std::to_string(node.store->held));
-      row.push_back(std::to_string(node.store->settled));
+      row.push_back(std::to_string(node.store->complete));
+      row.push_back(std::to_string(node.store->acknowledged));
       row.push_back(std::to_string(node.store->total));
     } else {
       row.insert(row.end(), 4, "-");
@@ -49,8 +49,8 @@
     cJSON_AddStringToObject(item, "state", node.state.c_str());
     if (node.store) {
       cJSON_AddBoolToObject(item, "member", node.store->isMember ? 1 : 0);
-      addUnsigned(item, "held", node.store->held);
-      addUnsigned(item, "settled", node.store->settled);
+      addUnsigned(item, "held", node.store->complete);
+      addUnsigned(item, "settled", node.store->acknowledged);
       addUnsigned(item, "total", node.store->total);
     } else {
       cJSON_AddStringToObject(item, "failure", node.failure.c_str());
@@ -75,7 +75,7 @@
   for (const std::string& id : members) {
     bool settled = false;
     for (const NodeView& node : nodes) {
-      settled = settled || (node.id == id && node.store && node.store->isSettled());
+      settled = settled || (node.id == id && node.store && node.store->isAcknowledged());
     }
     if (!settled) {
       missing.push_back(id);
--- a/src/ctl/tenants_commands.cpp
+++ b/src/ctl/tenants_commands.cpp
@@ -147,7 +147,7 @@
 ExitCode TenantsCommands::list(CtlContext& context) {
   FleetRequest read;
   read.url = "/v1/settings";
-  const Result<FleetAnswer> answer = context.fleet.call(read);
+  const Result<FleetResponse> answer = context.fleet.call(read);
   if (!answer) {
     return context.output.fail(answer.error());
   }
--- a/tests/ctl/shedctl_test.cpp
+++ b/tests/ctl/shedctl_test.cpp
@@ -18,20 +18,20 @@
 /// Answers from a script for each node and URL; the last answer is repeated.
 class ScriptedTransport : public Transport {
  public:
-  Result<FleetAnswer> exchange(const std::string& node, const FleetRequest& request) override {
+  Result<FleetResponse> exchange(const std::string& node, const FleetRequest& request) override {
     const std::lock_guard<std::mutex> lock(mutex_);
     requests.push_back({node, request});
-    std::deque<Result<FleetAnswer>>& script = scripts[node + " " + request.method];
+    std::deque<Result<FleetResponse>>& script = scripts[node + " " + request.method];
     if (script.empty()) {
       return makeError(ErrorCode::StoreUnavailable, "refused");
     }
-    const Result<FleetAnswer> answer = script.front();
+    const Result<FleetResponse> answer = script.front();
     if (script.size() > 1) {
       script.pop_front();
     }
     return answer;
   }
-  std::map<std::string, std::deque<Result<FleetAnswer>>> scripts;
+  std::map<std::string, std::deque<Result<FleetResponse>>> scripts;
   std::vector<std::pair<std::string, FleetRequest>> requests;
 
  private:
@@ -59,7 +59,7 @@
                        [&time](std::chrono::milliseconds pause) { time += pause; }};
     return runCommand(context);
   }
-  void answer(const std::string& node, const std::string& method, Result<FleetAnswer> answer) {
+  void answer(const std::string& node, const std::string& method, Result<FleetResponse> answer) {
     transport.scripts[node + " " + method].push_back(std::move(answer));
   }
 
@@ -89,7 +89,7 @@
 BOOST_AUTO_TEST_CASE(a_change_goes_to_the_next_node_with_the_same_order_id) {
   Shell shell;
   shell.answer(kFirst, "PUT", unknownOutcome());
-  shell.answer(kSecond, "PUT", FleetAnswer{R"({"version":4,"repeated":true})", 4});
+  shell.answer(kSecond, "PUT", FleetResponse{R"({"version":4,"repeated":true})", 4});
   BOOST_TEST((shell.run({"settings", "set", "-", "-b", "3"}, "{}") == ExitCode::Ok));
   BOOST_TEST(shell.out.str() == "version 4 (had taken effect before)\n");
   const auto& requests = shell.transport.requests;
@@ -140,11 +140,11 @@
       R"({"tenants":{"acme":{"per_s":2,"keys":[{"digest":"d1"},{"digest":"d2"}]}}})";
   const std::string after =
       R"({"tenants":{"acme":{"keys":[{"digest":"d1"},{"digest":"d2","withdrawn":true}]}}})";
-  shell.answer(kFirst, "GET", FleetAnswer{before, 3});
-  shell.answer(kFirst, "GET", FleetAnswer{before, 4});
-  shell.answer(kFirst, "GET", FleetAnswer{after, 5});
+  shell.answer(kFirst, "GET", FleetResponse{before, 3});
+  shell.answer(kFirst, "GET", FleetResponse{before, 4});
+  shell.answer(kFirst, "GET", FleetResponse{after, 5});
   shell.answer(kFirst, "PATCH", makeError(ErrorCode::VersionConflict));
-  shell.answer(kFirst, "PATCH", FleetAnswer{R"({"version":5,"repeated":false})", 5});
+  shell.answer(kFirst, "PATCH", FleetResponse{R"({"version":5,"repeated":false})", 5});
   BOOST_TEST((shell.run({"keys", "withdraw", "acme", "d2"}) == ExitCode::Ok));
   const FleetRequest sent = shell.transport.requests.back().second;
   BOOST_TEST(sent.body == after);
@@ -157,9 +157,9 @@
 
 BOOST_AUTO_TEST_CASE(wait_ends_when_all_live_nodes_have_the_version) {
   Shell shell;
-  shell.answer(kFirst, "GET", FleetAnswer{nodeStatus(7), 0});
-  shell.answer(kSecond, "GET", FleetAnswer{nodeStatus(6), 0});
-  shell.answer(kSecond, "GET", FleetAnswer{nodeStatus(7), 0});
+  shell.answer(kFirst, "GET", FleetResponse{nodeStatus(7), 0});
+  shell.answer(kSecond, "GET", FleetResponse{nodeStatus(6), 0});
+  shell.answer(kSecond, "GET", FleetResponse{nodeStatus(7), 0});
   BOOST_TEST((shell.run({"wait", "--version", "7"}) == ExitCode::Ok));
   BOOST_TEST(shell.out.str() == "settings version 7 is in force everywhere after 50 ms\n");
   BOOST_TEST(
@@ -169,8 +169,8 @@
 
 BOOST_AUTO_TEST_CASE(status_names_the_nodes_that_are_behind) {
   Shell shell;
-  shell.answer(kFirst, "GET", FleetAnswer{nodeStatus(7), 0});
-  shell.answer(kSecond, "GET", FleetAnswer{nodeStatus(6), 0});
+  shell.answer(kFirst, "GET", FleetResponse{nodeStatus(7), 0});
+  shell.answer(kSecond, "GET", FleetResponse{nodeStatus(6), 0});
   BOOST_TEST((shell.run({"status"}) == ExitCode::Ok));
   BOOST_TEST(shell.out.str().find("behind in settings") != std::string::npos);
   BOOST_TEST((shell.run({"status", "--json"}) == ExitCode::Ok));
@@ -179,9 +179,9 @@
 
 BOOST_AUTO_TEST_CASE(a_tenant_is_created_once_and_listed) {
   Shell shell;
-  shell.answer(kFirst, "GET", FleetAnswer{"{}", 0});
-  shell.answer(kFirst, "GET", FleetAnswer{R"({"tenants":{"acme":{"per_s":2.5,"burst":3}}})", 1});
-  shell.answer(kFirst, "PATCH", FleetAnswer{R"({"version":1,"repeated":false})", 1});
+  shell.answer(kFirst, "GET", FleetResponse{"{}", 0});
+  shell.answer(kFirst, "GET", FleetResponse{R"({"tenants":{"acme":{"per_s":2.5,"burst":3}}})", 1});
+  shell.answer(kFirst, "PATCH", FleetResponse{R"({"version":1,"repeated":false})", 1});
   const std::vector<const char*> create = {"tenants", "create",  "acme", "--per-s",
                                            "2.5",     "--burst", "3"};
   BOOST_TEST((shell.run(create) == ExitCode::Ok));
@@ -196,7 +196,7 @@
 namespace {
 
 /// A status that lists the stores a (127.0.0.1:1) and b (127.0.0.2:1), with what the node holds.
-FleetAnswer storeStatus(bool member, int held, int settled, const char* role = "store") {
+FleetResponse storeStatus(bool member, int held, int settled, const char* role = "store") {
   return {std::string(R"({"ready":true,"store":{"member":)") + (member ? "true" : "false") +
               R"(,"held":)" + std::to_string(held) + R"(,"settled":)" + std::to_string(settled) +
               R"(,"total":64},"nodes":[)" + R"({"id":"10.0.0.1:1","state":"alive","role":")" +
@@ -206,7 +206,7 @@
           0};
 }
 
-const FleetAnswer kStoreMembers{R"({"stores":[{"id":"10.0.0.1:1"},{"id":"10.0.0.9:1"}]})", 2};
+const FleetResponse kStoreMembers{R"({"stores":[{"id":"10.0.0.1:1"},{"id":"10.0.0.9:1"}]})", 2};
 
 /// Scripts the first node for so many polls, each a list and its own status, then the members.
 void answerPolls(Shell& shell, int polls) {
@@ -229,7 +229,7 @@
   shell.answer(kSecond, "GET", storeStatus(true, 64, 12));
   shell.answer(kSecond, "GET", storeStatus(true, 64, 64));
   shell.answer(kSecond, "POST", makeError(ErrorCode::OutcomeUnknown, "lost", Ran::Unknown));
-  shell.answer(kSecond, "POST", FleetAnswer{"{}", 0});
+  shell.answer(kSecond, "POST", FleetResponse{"{}", 0});
   const std::vector<const char*> replace = {"stores", "replace", "10.0.0.9:1", "10.0.0.2:1"};
   BOOST_TEST((shell.run(replace) == ExitCode::Ok));
   BOOST_TEST(shell.errors.str().find("holds 63 of 64") != std::string::npos);
@@ -253,7 +253,7 @@
   answerPolls(shell, 1);
   shell.answer(kFirst, "GET", storeStatus(true, 64, 64));
   shell.answer(kSecond, "GET", storeStatus(true, 64, 63));
-  shell.answer(kSecond, "POST", FleetAnswer{"{}", 0});
+  shell.answer(kSecond, "POST", FleetResponse{"{}", 0});
   BOOST_TEST((shell.run({"stores", "replace", "10.0.0.9:1", "10.0.0.2:1", "-t", "1"}) ==
               ExitCode::NotInForceYet));
   BOOST_TEST(shell.errors.str().find("63 of 64") != std::string::npos);
@@ -278,13 +278,13 @@
       R"("unscaled":9,"scale":1,"live":1,"batch_items":0,"epoch":)";
   shell.answer(kFirst, "GET", storeStatus(true, 64, 64));
   shell.answer(kFirst, "GET", storeStatus(true, 64, 64));
-  shell.answer(kFirst, "GET", FleetAnswer{R"({"pools":[)" + pool + "3}]}", 0});
+  shell.answer(kFirst, "GET", FleetResponse{R"({"pools":[)" + pool + "3}]}", 0});
   shell.answer(kSecond, "GET", storeStatus(true, 64, 64));
   shell.answer(kSecond, "GET",
-               FleetAnswer{R"({"pools":[)" + pool +
-                               R"(4,"slots":[{"number":2,"holder":"h:1","class":"live",)"
-                               R"("age_ms":70,"expires_in_ms":900}]}]})",
-                           0});
+               FleetResponse{R"({"pools":[)" + pool +
+                                 R"(4,"slots":[{"number":2,"holder":"h:1","class":"live",)"
+                                 R"("age_ms":70,"expires_in_ms":900}]}]})",
+                             0});
   BOOST_TEST((shell.run({"slots"}) == ExitCode::Ok));
   BOOST_TEST(shell.out.str().find("ceil(4/s x 2000 ms) + 1 = 9") != std::string::npos);
   BOOST_TEST(shell.out.str().find("h:1") != std::string::npos);
@@ -298,8 +298,8 @@
   shell.answer(kFirst, "GET", storeStatus(true, 64, 64));
   shell.answer(kFirst, "GET", makeError(ErrorCode::NotOwner));
   shell.answer(kSecond, "GET", storeStatus(true, 64, 64));
-  shell.answer(kSecond, "GET", FleetAnswer{batch, 0});
-  shell.answer(kSecond, "POST", FleetAnswer{batch, 0});
+  shell.answer(kSecond, "GET", FleetResponse{batch, 0});
+  shell.answer(kSecond, "POST", FleetResponse{batch, 0});
   BOOST_TEST((shell.run({"batches", "cancel", "b1"}) == ExitCode::Ok));
   BOOST_TEST(shell.transport.requests.back().second.url == "/v1/batches/b1/cancel");
   BOOST_TEST(shell.out.str().find("cancelled") != std::string::npos);
@@ -313,8 +313,8 @@
   shell.answer(kSecond, "GET", storeStatus(true, 64, 64, "data"));
   shell.answer(
       kSecond, "GET",
-      FleetAnswer{R"({"steps":[{"after_ms":3,"step":"slot","detail":"tenant acme: number 4"}]})",
-                  0});
+      FleetResponse{R"({"steps":[{"after_ms":3,"step":"slot","detail":"tenant acme: number 4"}]})",
+                    0});
   BOOST_TEST((shell.run({"explain", "r1"}) == ExitCode::Ok));
   BOOST_TEST(shell.out.str().find("tenant acme: number 4") != std::string::npos);
   Shell nobody;
@@ -332,9 +332,9 @@
       R"({"engines":[{"id":"e1","address":"1.1.1.1:1","model":"m","max_running":8}]})";
   const std::string drained =
       R"({"engines":[{"id":"e1","address":"1.1.1.1:1","model":"m","max_running":8,"draining":true}]})";
-  shell.answer(kFirst, "GET", FleetAnswer{plain, 3});
-  shell.answer(kFirst, "GET", FleetAnswer{drained, 4});
-  shell.answer(kFirst, "PUT", FleetAnswer{R"({"version":4,"repeated":false})", 4});
+  shell.answer(kFirst, "GET", FleetResponse{plain, 3});
+  shell.answer(kFirst, "GET", FleetResponse{drained, 4});
+  shell.answer(kFirst, "PUT", FleetResponse{R"({"version":4,"repeated":false})", 4});
   BOOST_TEST((shell.run({"engines", "drain", "e1"}) == ExitCode::Ok));
   BOOST_TEST(shell.transport.requests.back().second.body == drained);
   BOOST_TEST((shell.run({"engines", "drain", "e1"}) == ExitCode::Ok));
