--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -9,13 +9,13 @@
 namespace shedshed {
 namespace {
 
-/// Time for the announcement that this node leaves to reach the others.
-constexpr std::chrono::milliseconds kLeaveNotice{300};
+/// Time for the announcement that this node drains to reach the others.
+constexpr std::chrono::milliseconds kDrainNotice{300};
 
-/// Longest wait for other stores to take this store's partitions over.
+/// Longest wait for other stores to take over the partitions of this store.
 constexpr std::chrono::seconds kHandOverLimit{10};
 
-/// Interval at which the end of the hand-over is looked for.
+/// Interval of the checks for the end of the hand-over.
 constexpr std::chrono::milliseconds kHandOverPoll{20};
 
 NodeOptions nodeOptions(const ProcessSettings& settings, const std::string& storeId) {
@@ -97,7 +97,7 @@
     draining_ = true;
     cores_.directory.announceDraining(true);
   });
-  waitForStopSignal(kLeaveNotice);
+  waitForStopSignal(kDrainNotice);
   const Time deadline = monotonicNow() + kHandOverLimit;
   bool done = handedOver();
   while (!done && monotonicNow() < deadline) {
--- a/src/data/data_process.cpp
+++ b/src/data/data_process.cpp
@@ -1,6 +1,7 @@
 #include "data/data_process.h"
 
 #include "process/node_status.h"
+#include "process/settings_publisher.h"
 #include "process/signals.h"
 #include "runtime/logging.h"
 
@@ -9,17 +10,17 @@
 
 constexpr std::size_t kServingThreads = 2;
 
-/// Calls that still run this long after the request to stop are cut off.
+/// Calls that still run this long after the request to stop are aborted.
 constexpr std::chrono::seconds kDrainLimit{20};
 
-/// Longest wait, after the last call, for the owners to know that slots and batches are given back.
-/// Together with `kDrainLimit` within the platform's warning of 25 s.
-constexpr std::chrono::seconds kGiveBackLimit{3};
+/// Longest wait, after the last call, for the owners to acknowledge the return of slots and
+/// batches. Together with `kDrainLimit` within the platform's warning of 25 s.
+constexpr std::chrono::seconds kReturnLimit{3};
 
 /// Time for the announcement that this node drains to reach the others.
-constexpr std::chrono::milliseconds kLeaveNotice{300};
+constexpr std::chrono::milliseconds kDrainNotice{300};
 
-/// Interval at which the end of the last call is looked for while draining.
+/// Interval of the checks for the end of the last call while draining.
 constexpr std::chrono::milliseconds kDrainPoll{20};
 
 NodeOptions nodeOptions(const ProcessSettings& settings) {
@@ -49,8 +50,9 @@
                        [this] { return process_.metrics().text(); }},
       callers_(servingServices_, settings.clientAddress), operatorServices_{cores_.registers} {
   cores_.addRunner(process_.runtime(), engineRunner_);
-  cores_.configuration.subscribe(kSettingsRegister,
-                                 [this](const RegisterValue& value) { publishSettings(value); });
+  cores_.configuration.subscribe(kSettingsRegister, [this](const RegisterValue& value) {
+    publishSettings(value, settingsTree_);
+  });
   servingServices_.journal = &journal_;
   engineClient_.setJournal(journal_);
   operatorServices_.explainCall = [this](const std::string& id) { return journal_.explain(id); };
@@ -59,17 +61,6 @@
   operatorServices_.metrics = [this] { return process_.metrics().text(); };
 }
 
-void DataProcess::publishSettings(const RegisterValue& value) {
-  Result<SettingsTree> tree = SettingsTree::parse(value.value);
-  if (!tree) {
-    // Only values that passed the same check are accepted by the registers, so this process is
-    // older than the value: it keeps the last one and says so.
-    logError("settings", tree.error());
-    return;
-  }
-  settingsTree_.publish(std::make_shared<const SettingsTree>(std::move(tree.value())));
-}
-
 NodeStatus DataProcess::status() {
   NodeStatus status = describeNode(settings_, cores_.configuration, cores_.directory);
   status.engines = cores_.engines().table();
@@ -102,17 +93,17 @@
     cores_.directory.announceDraining(true);
     cores_.runner->drain();
   });
-  waitForStopSignal(kLeaveNotice);
+  waitForStopSignal(kDrainNotice);
   const Time deadline = monotonicNow() + kDrainLimit;
   while (!idle() && monotonicNow() < deadline) {
     waitForStopSignal(kDrainPoll);
   }
   const bool drained = idle();
-  const Time giveBackDeadline = monotonicNow() + kGiveBackLimit;
-  while (drained && !givenBack() && monotonicNow() < giveBackDeadline) {
+  const Time returnDeadline = monotonicNow() + kReturnLimit;
+  while (drained && !allReturned() && monotonicNow() < returnDeadline) {
     waitForStopSignal(kDrainPoll);
   }
-  if (drained && !givenBack()) {
+  if (drained && !allReturned()) {
     process_.runtime().runAndWait([this] {
       logInfo("process", cores_.runner->handedBack() ? "slots are not all released"
                                                      : "batch runs are not all handed back");
@@ -122,7 +113,7 @@
   logInfo("process", drained ? "drained" : "stopping with calls still running");
 }
 
-bool DataProcess::givenBack() {
+bool DataProcess::allReturned() {
   bool done = false;
   process_.runtime().runAndWait(
       [this, &done] { done = cores_.runner->handedBack() && cores_.slots.idle(); });
--- a/src/data/data_process.h
+++ b/src/data/data_process.h
@@ -23,7 +23,7 @@
   NodeRuntime& runtime_;
 };
 
-/// Hands the serving path's metrics to the process's.
+/// Adds the counters of the serving path to those of the process.
 class ServingMetrics : public ServingCounters {
  public:
   explicit ServingMetrics(Metrics& metrics) : metrics_(metrics) {}
@@ -44,11 +44,10 @@
   int run();
 
  private:
-  void publishSettings(const RegisterValue& value);
   NodeStatus status();
   void drain();
   bool idle();
-  bool givenBack();
+  bool allReturned();
 
   const ProcessSettings& settings_;
   NodeProcess process_;
--- a/src/process/gateway_process.cpp
+++ b/src/process/gateway_process.cpp
@@ -1,5 +1,6 @@
 #include "process/gateway_process.h"
 
+#include "process/settings_publisher.h"
 #include "process/signals.h"
 #include "runtime/logging.h"
 
@@ -46,21 +47,12 @@
                    done(answerReady(call));
                  }) {
   cores_.addRunner(node_.runtime, items_);
-  cores_.configuration.subscribe(kSettingsRegister,
-                                 [this](const RegisterValue& value) { publishSettings(value); });
+  cores_.configuration.subscribe(kSettingsRegister, [this](const RegisterValue& value) {
+    publishSettings(value, settingsTree_);
+  });
   forwarder_.setJournal(journal_);
 }
 
-void GatewayProcess::publishSettings(const RegisterValue& value) {
-  Result<SettingsTree> tree = SettingsTree::parse(value.value);
-  if (!tree) {
-    // The registers accept only checked values: this process is older than the value.
-    logError("settings", tree.error());
-    return;
-  }
-  settingsTree_.publish(std::make_shared<const SettingsTree>(std::move(tree.value())));
-}
-
 GatewayAnswer GatewayProcess::answerReady(const WholeCall& call) const {
   GatewayAnswer answer;
   if (call.target != readyPath_) {
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -23,7 +23,6 @@
   int run();
 
  private:
-  void publishSettings(const RegisterValue& value);
   GatewayAnswer answerReady(const WholeCall& call) const;
   Status listen();
   void drain();
