--- a/src/engines/engine_runner.h
+++ b/src/engines/engine_runner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs one whole (not streamed) request on an engine, for batch items.
+/// Runs one request on an engine and buffers its response, for batch items.
 #pragma once
 
 #include "kernel/error.h"
@@ -13,14 +13,14 @@
 struct EngineCall {
   std::string requestId;  ///< Sent to the engine, which must echo it.
   std::string model;
-  std::string body;    ///< As handed in: JSON of a chat completion, or an encoded opaque call.
+  std::string body;    ///< As submitted: JSON of a chat completion, or an encoded opaque call.
   std::string tenant;  ///< Whose batch it is.
   std::string suggestedEngine;  ///< Engine that the owner of the item's slot suggests, or empty.
   /// False once the item must not reach an engine any more; called on the core thread.
   std::function<bool()> isWanted = [] { return true; };
 };
 
-/// A whole answer.
+/// A complete response.
 struct EngineAnswer {
   int status = 0;
   std::string body;
@@ -31,12 +31,12 @@
  public:
   virtual ~EngineRunner() = default;
 
-  /// Routes and runs @p call. @p done is called once, on the core thread. An error's `ran` tells
-  /// whether any byte has gone to an engine: `No`, or `Unknown`.
+  /// Routes and runs @p call. @p done is called once, on the core thread. An error's `ran` is `No`
+  /// if no byte was sent to an engine, else `Unknown`.
   virtual void run(EngineCall call, std::function<void(Result<EngineAnswer>)> done) = 0;
 
-  /// Returns the model or service that an item with @p body asks for; empty if no engine can ever
-  /// serve it. Here: the member `model` of a JSON object.
+  /// Returns the model or service that an item with @p body requests; empty if no engine can ever
+  /// serve it. By default the member `model` of a JSON object.
   virtual std::string modelOf(const std::string& body) const;
 };
 
--- a/src/engines/listing_source.h
+++ b/src/engines/listing_source.h
@@ -1,5 +1,5 @@
 /// @file
-/// Where the listing of engines comes from.
+/// Interface to the platform's listing of engines.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -10,7 +10,7 @@
 
 namespace shedshed {
 
-/// Reads the whole listing from the platform. Core thread only.
+/// Reads the complete listing from the platform. Core thread only.
 class ListingSource {
  public:
   virtual ~ListingSource() = default;
--- a/src/slots/released_tokens.h
+++ b/src/slots/released_tokens.h
@@ -13,8 +13,9 @@
 /// does not take a slot again.
 inline constexpr Duration kReleasedTokenMemory = std::chrono::seconds(30);
 
-/// Tokens that must not take a slot any more. In memory only: a successor does not know them, and
-/// lets a slot that such a copy takes there expire. Core thread only.
+/// Tokens that must not take a slot any more. In memory only: a successor does not know them. A
+/// slot that a delayed copy takes there is released by its holder when the owner queries it, or
+/// expires. Core thread only.
 class ReleasedTokens {
  public:
   void remember(const OwnerToken& token, Time now);
--- a/src/slots/slot_usage_reporter.h
+++ b/src/slots/slot_usage_reporter.h
@@ -13,9 +13,9 @@
 /// Interval of the reports to the other stores.
 inline constexpr Duration kReportInterval = std::chrono::milliseconds(500);
 
-/// Sends the slots in use to the lending singleton, and the mean hold times to all stores, so that
-/// each can compute the sum over all pools and a successor starts from the measured value. Reports
-/// are repeated; a lost one is replaced by the next. Core thread only.
+/// Sends the slots in use, for the lending singleton, and the mean hold times to all stores. With
+/// the hold times each store can compute the sum over all pools, and a successor starts from the
+/// measured value. Reports are repeated; a lost one is replaced by the next. Core thread only.
 class SlotUsageReporter {
  public:
   /// Keeps references to all; they must outlive this object.
