--- a/tests/partition/partition_owner_test.cpp
+++ b/tests/partition/partition_owner_test.cpp
@@ -74,18 +74,33 @@
   };
 }
 
+/// One write, and what its writer knows of it.
+struct Expected {
+  std::string writer;
+  std::string value;
+  Outcome outcome;
+  bool writerEnded = false;  ///< Its process ended before the outcome was known.
+};
+
+/// The writes of each key, oldest first.
+using History = std::map<std::pair<PartitionId, std::string>, std::vector<Expected>>;
+
+/// Records that @p writer ended before it knew the outcome of its pending writes.
+void markWriterEnded(History& history, const std::string& writer) {
+  for (auto& entry : history) {
+    for (Expected& written : entry.second) {
+      written.writerEnded =
+          written.writerEnded || (written.writer == writer && written.outcome.pending());
+    }
+  }
+}
+
 /// Writes and restarts at random; afterwards every acknowledged row must be found.
 void runLossySeed(std::uint64_t seed) {
   RandomEngine random(seed);
   Fleet fleet;
   makeLossy(fleet, random);
-  struct Expected {
-    std::string writer;
-    std::string value;
-    Outcome outcome;
-    bool writerEnded = false;  ///< Its process ended before the outcome was known.
-  };
-  std::map<std::pair<PartitionId, std::string>, std::vector<Expected>> history;
+  History history;
   std::string down;
   for (int step = 0; step < 120; ++step) {
     for (const PartitionId& id : {kSlots, kBatches}) {
@@ -99,12 +114,7 @@
     if (step % 40 == 20) {
       down = fleet.names()[random() % 3];
       fleet.lose(down);
-      for (auto& entry : history) {
-        for (Expected& written : entry.second) {
-          written.writerEnded =
-              written.writerEnded || (written.writer == down && written.outcome.pending());
-        }
-      }
+      markWriterEnded(history, down);
     }
     if (step % 40 == 35) {
       fleet.start(down);
