--- a/src/slots/pool_sizer.cpp
+++ b/src/slots/pool_sizer.cpp
@@ -25,8 +25,9 @@
 }
 
 std::uint32_t quotaPoolSize(const PoolRate& rate) {
-  const double uneven = std::floor(rate.perSecond * seconds(kQuotaEvenness) + kRoundingTolerance);
-  return static_cast<std::uint32_t>(std::max(1.0, uneven)) + rate.burst;
+  const double minimumBurst =
+      std::floor(rate.perSecond * seconds(kQuotaMinimumBurstInterval) + kRoundingTolerance);
+  return static_cast<std::uint32_t>(std::max(1.0, minimumBurst)) + rate.burst;
 }
 
 std::uint32_t readyEngineCapacity(const EngineTable& engines, const std::string& model) {
@@ -74,9 +75,9 @@
   const double factor = std::pow(kHoldTimeChangePerSecond, seconds(elapsed));
   for (auto& entry : measurements_) {
     Measurement& measured = entry.second;
-    const double lowest = measured.inForceSeconds / factor;
-    const double highest = measured.inForceSeconds * factor;
-    measured.inForceSeconds = std::clamp(measured.meanSeconds, lowest, highest);
+    const double lowest = measured.effectiveSeconds / factor;
+    const double highest = measured.effectiveSeconds * factor;
+    measured.effectiveSeconds = std::clamp(measured.meanSeconds, lowest, highest);
   }
   scale_ = computeScale();
 }
@@ -87,7 +88,7 @@
     return kDefaultHoldTime;
   }
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(found->second.inForceSeconds));
+      std::chrono::duration<double>(found->second.effectiveSeconds));
 }
 
 /// Without any ready engine nothing is scaled: routing refuses such a call with its own error, and
--- a/src/slots/pool_sizer.h
+++ b/src/slots/pool_sizer.h
@@ -39,11 +39,11 @@
 
 /// A quota lets this much of its rate begin at once even without a burst: calls of a steady tenant
 /// do not come evenly.
-inline constexpr Duration kQuotaEvenness = std::chrono::milliseconds(100);
+inline constexpr Duration kQuotaMinimumBurstInterval = std::chrono::milliseconds(100);
 
-/// Returns how many requests of a quota may begin at once: its burst, and `kQuotaEvenness` of its
-/// rate, at least one. As the numbers expire one after the other at the rate, at most
-/// per second × t + this many requests begin in any time t.
+/// Returns how many requests of a quota may begin at once: its burst, and
+/// `kQuotaMinimumBurstInterval` of its rate, at least one. As the numbers expire one after the
+/// other at the rate, at most per second × t + this many requests begin in any time t.
 std::uint32_t quotaPoolSize(const PoolRate& rate);
 
 /// Returns the sum of `maxRunning` over the ready engines, of @p model or (empty) of all.
@@ -75,7 +75,7 @@
  private:
   struct Measurement {
     double meanSeconds = 0;
-    double inForceSeconds = 0;
+    double effectiveSeconds = 0;
   };
   using Key = std::pair<std::string, std::string>;
 
--- a/src/slots/recovery_windows.cpp
+++ b/src/slots/recovery_windows.cpp
@@ -5,11 +5,11 @@
 namespace shedshed {
 
 void RecoveryWindows::open(const PartitionId& partition, std::uint64_t epoch, Time now,
-                           Duration longest, Time directoryCompleteAt) {
+                           Duration maximumSlotLifetime, Time directoryCompleteAt) {
   Window window;
   window.epoch = epoch;
   window.mayCloseAt = std::max(now + kMinimumRecoveryWindow, directoryCompleteAt);
-  window.endsAt = now + longest;
+  window.endsAt = now + maximumSlotLifetime;
   windows_[partition] = window;
 }
 
--- a/src/slots/recovery_windows.h
+++ b/src/slots/recovery_windows.h
@@ -30,10 +30,10 @@
 /// has been renewed, and thereby re-asserted, or has expired at its holder.
 class RecoveryWindows {
  public:
-  /// @p longest: time after which every earlier grant has expired. @p directoryCompleteAt: from
-  /// then on the directory has all holders.
-  void open(const PartitionId& partition, std::uint64_t epoch, Time now, Duration longest,
-            Time directoryCompleteAt);
+  /// @p maximumSlotLifetime: time after which every earlier grant has expired. @p
+  /// directoryCompleteAt: from then on the directory has all holders.
+  void open(const PartitionId& partition, std::uint64_t epoch, Time now,
+            Duration maximumSlotLifetime, Time directoryCompleteAt);
   void close(const PartitionId& partition) { windows_.erase(partition); }
   bool isOpen(const PartitionId& partition) const { return windows_.count(partition) != 0; }
   bool empty() const { return windows_.empty(); }
--- a/src/slots/released_tokens.cpp
+++ b/src/slots/released_tokens.cpp
@@ -4,13 +4,13 @@
 
 namespace shedshed {
 
-void ReleasedTokens::remember(const OwnerToken& token, Time now) {
-  forgetAt_[token] = now + kReleasedTokenMemory;
+void ReleasedTokens::add(const OwnerToken& token, Time now) {
+  evictAt_[token] = now + kReleasedTokenRetention;
 }
 
-void ReleasedTokens::forgetExpired(Time now) {
-  for (auto it = forgetAt_.begin(); it != forgetAt_.end();) {
-    it = it->second <= now ? forgetAt_.erase(it) : std::next(it);
+void ReleasedTokens::evictExpired(Time now) {
+  for (auto it = evictAt_.begin(); it != evictAt_.end();) {
+    it = it->second <= now ? evictAt_.erase(it) : std::next(it);
   }
 }
 
--- a/src/slots/released_tokens.h
+++ b/src/slots/released_tokens.h
@@ -11,21 +11,21 @@
 
 /// A released token is remembered this long, so that a delayed copy of its acquisition or renewal
 /// does not take a slot again.
-inline constexpr Duration kReleasedTokenMemory = std::chrono::seconds(30);
+inline constexpr Duration kReleasedTokenRetention = std::chrono::seconds(30);
 
 /// Tokens that must not take a slot any more. In memory only: a successor does not know them. A
 /// slot that a delayed copy takes there is released by its holder when the owner queries it, or
 /// expires. Core thread only.
 class ReleasedTokens {
  public:
-  void remember(const OwnerToken& token, Time now);
-  bool contains(const OwnerToken& token) const { return forgetAt_.count(token) != 0; }
+  void add(const OwnerToken& token, Time now);
+  bool contains(const OwnerToken& token) const { return evictAt_.count(token) != 0; }
 
-  /// Forgets the tokens that were released `kReleasedTokenMemory` or longer before @p now.
-  void forgetExpired(Time now);
+  /// Forgets the tokens that were released `kReleasedTokenRetention` or longer before @p now.
+  void evictExpired(Time now);
 
  private:
-  std::map<OwnerToken, Time> forgetAt_;
+  std::map<OwnerToken, Time> evictAt_;
 };
 
 }  // namespace shedshed
--- a/src/slots/share_allocator.cpp
+++ b/src/slots/share_allocator.cpp
@@ -17,7 +17,7 @@
 
 std::uint32_t ShareAllocator::allocate(const ShareRequest& request, std::uint32_t poolSize,
                                        Duration meanHoldTime, Time now) {
-  forgetInactiveRuns(now);
+  removeInactiveRuns(now);
   runs_[request.run] = {now + request.dueIn, request.requestedSlots, now};
   const auto priority = [&](const std::string& name, const Run& run) {
     const bool overdue = run.due < now + kOverdueHoldTimes * meanHoldTime;
@@ -35,7 +35,7 @@
                                  poolSize - static_cast<std::uint32_t>(allocatedBefore));
 }
 
-void ShareAllocator::forgetInactiveRuns(Time now) {
+void ShareAllocator::removeInactiveRuns(Time now) {
   for (auto run = runs_.begin(); run != runs_.end();) {
     run = now - run->second.lastRequestAt >= kRunTimeout ? runs_.erase(run) : std::next(run);
   }
--- a/src/slots/share_allocator.h
+++ b/src/slots/share_allocator.h
@@ -39,7 +39,7 @@
     std::uint32_t requestedSlots = 0;
     Time lastRequestAt{};
   };
-  void forgetInactiveRuns(Time now);
+  void removeInactiveRuns(Time now);
 
   std::map<std::string, Run> runs_;  ///< By `ShareRequest::run`.
 };
--- a/src/slots/slot_owner_core.cpp
+++ b/src/slots/slot_owner_core.cpp
@@ -59,7 +59,7 @@
   lastSizeUpdate_ = now;
   pools_.expireAll();
   queryUnresponsiveHolders(environment_, pools_);
-  pools_.releasedTokens().forgetExpired(now);
+  pools_.releasedTokens().evictExpired(now);
   recovery_.tick();
   reporter_.tick(acquireHandler_.liveGrants());
   environment_.context.startTimer(kTickTimer, kOwnerTick);
--- a/src/slots/slot_release_handler.cpp
+++ b/src/slots/slot_release_handler.cpp
@@ -14,7 +14,7 @@
     return;
   }
   const Time now = environment_.context.now();
-  pools_.releasedTokens().remember(request.token, now);
+  pools_.releasedTokens().add(request.token, now);
   SlotPool& pool = owned->pool(name);
   const std::optional<std::uint32_t> number = pool.numberOf(request.token);
   if (!number) {
--- a/src/slots/slot_renewer.cpp
+++ b/src/slots/slot_renewer.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// An answer to a renewal that comes later than this no longer extends a lease.
-constexpr Duration kRequestMemory = std::chrono::seconds(10);
+constexpr Duration kSentRequestRetention = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -52,7 +52,7 @@
 
 void SlotRenewer::tick() {
   sendDueRenewals();
-  forgetOldRequests();
+  evictOldRequests();
 }
 
 void SlotRenewer::sendDueRenewals() {
@@ -83,8 +83,8 @@
   context_.send(owner, request);
 }
 
-void SlotRenewer::forgetOldRequests() {
-  const Time oldest = context_.now() - kRequestMemory;
+void SlotRenewer::evictOldRequests() {
+  const Time oldest = context_.now() - kSentRequestRetention;
   while (!requestsSentAt_.empty() && requestsSentAt_.begin()->second < oldest) {
     requestsSentAt_.erase(requestsSentAt_.begin());
   }
--- a/src/slots/slot_renewer.h
+++ b/src/slots/slot_renewer.h
@@ -74,7 +74,7 @@
   /// Numbers @p request and sends it.
   void sendRenewal(const NodeId& owner, RenewSlots request);
   void sendDueRenewals();
-  void forgetOldRequests();
+  void evictOldRequests();
   Time nextRenewal(const SlotClaim& claim);
   void applyRenewal(const NodeId& from, const RenewSlotsReply& reply, const RenewedSlot& slot);
   void confirm(RenewedLease& lease, const RenewSlotsReply& reply, std::uint32_t number);
--- a/tests/slots/engine_placement_test.cpp
+++ b/tests/slots/engine_placement_test.cpp
@@ -25,14 +25,14 @@
 BOOST_AUTO_TEST_CASE(holders_are_spread_evenly) {
   const EngineTable table = tableOf(8);
   EnginePlacement placement;
-  std::map<std::string, int> sent;
+  std::map<std::string, int> holdersByEngine;
   for (std::uint64_t holder = 0; holder < 80; ++holder) {
     const std::string engine = placement.suggest(table, kPool, "", holder * 7919);
     placement.addHolder(engine);
-    ++sent[engine];
+    ++holdersByEngine[engine];
   }
-  BOOST_TEST(sent.size() == 8U);
-  for (const auto& entry : sent) {
+  BOOST_TEST(holdersByEngine.size() == 8U);
+  for (const auto& entry : holdersByEngine) {
     BOOST_TEST(entry.second == 10);
   }
 }
@@ -70,7 +70,7 @@
     grants[grant.value().suggestedEngine()] = grant.value().grantId;
   }
   BOOST_REQUIRE(grants.size() == 2U);
-  fleet.fronts[0]->core.release(grants["e1"]);
+  fleet.dataNodes[0]->core.release(grants["e1"]);
   fleet.harness.settle();
   const Result<SlotGrant> next = fleet.acquire(1, limits);
   BOOST_REQUIRE(next.has_value());
--- a/tests/slots/holder_query_test.cpp
+++ b/tests/slots/holder_query_test.cpp
@@ -17,39 +17,39 @@
   return limit;
 }
 
-void restartFront(SlotFleet& fleet) {
+void restartDataNode(SlotFleet& fleet) {
   fleet.harness.crash("f1:1");
-  fleet.fronts[0] = std::make_unique<Front>(fleet.harness, "f1:1", fleet.directory,
-                                            fleet.configuration, SlotSafeguards{});
+  fleet.dataNodes[0] = std::make_unique<DataNode>(fleet.harness, "f1:1", fleet.directory,
+                                                  fleet.configuration, SlotSafeguards{});
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(numbers_of_a_killed_front_are_free_once_it_has_restarted) {
+BOOST_AUTO_TEST_CASE(numbers_of_a_killed_data_node_are_free_once_it_has_restarted) {
   SlotFleet fleet;
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
-  restartFront(fleet);
+  restartDataNode(fleet);
   fleet.harness.advance(kRecoveryLimit);
   BOOST_TEST(fleet.acquire(1, {longLimit()}).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(without_queries_numbers_of_a_killed_front_stay_taken) {
+BOOST_AUTO_TEST_CASE(without_queries_numbers_of_a_killed_data_node_stay_taken) {
   SlotSafeguards safeguards;
   safeguards.queryUnresponsiveHolders = false;
   SlotFleet fleet(safeguards);
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
-  restartFront(fleet);
+  restartDataNode(fleet);
   fleet.harness.advance(kRecoveryLimit);
   BOOST_TEST(codeOf(fleet.acquire(1, {longLimit()})) == ErrorCode::PoolFull);
 }
 
-BOOST_AUTO_TEST_CASE(numbers_of_a_killed_front_are_free_at_a_new_owner_too) {
+BOOST_AUTO_TEST_CASE(numbers_of_a_killed_data_node_are_free_at_a_new_owner_too) {
   SlotFleet fleet;
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
-  restartFront(fleet);
+  restartDataNode(fleet);
   fleet.takeOver(1, RecoveryKind::Complete);
   fleet.harness.advance(kRecoveryLimit);
   BOOST_TEST(fleet.acquire(1, {longLimit()}).has_value());
@@ -60,7 +60,7 @@
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   BOOST_REQUIRE(fleet.acquire(0, {longLimit()}).has_value());
   fleet.harness.advance(seconds(30));
-  BOOST_TEST(fleet.fronts[0]->core.leases().size() == 2U);
+  BOOST_TEST(fleet.dataNodes[0]->core.leases().size() == 2U);
   BOOST_TEST(codeOf(fleet.acquire(1, {longLimit()})) == ErrorCode::PoolFull);
 }
 
@@ -87,6 +87,6 @@
   fleet.harness.settle();
   BOOST_REQUIRE(outcome->has_value());
   BOOST_TEST((*outcome)->has_value());
-  BOOST_TEST(fleet.fronts[0]->core.leases().size() == 1U);
+  BOOST_TEST(fleet.dataNodes[0]->core.leases().size() == 1U);
   BOOST_TEST(fleet.rows() == 1U);
 }
--- a/tests/slots/lending_core_test.cpp
+++ b/tests/slots/lending_core_test.cpp
@@ -35,7 +35,8 @@
       request.serviceClass = SlotClass::BatchItem;
       request.limits = {limit(tenant), limit("m", false, {}, kBatchLimiter)};
       auto outcome = std::make_shared<std::optional<Result<SlotGrant>>>();
-      fronts[0]->core.acquire(request, [outcome](Result<SlotGrant> result) { *outcome = result; });
+      dataNodes[0]->core.acquire(request,
+                                 [outcome](Result<SlotGrant> result) { *outcome = result; });
       harness.settle();
       granted = outcome->has_value() && (*outcome)->has_value();
       admitted += granted ? 1 : 0;
--- a/tests/slots/pool_sizer_test.cpp
+++ b/tests/slots/pool_sizer_test.cpp
@@ -55,7 +55,7 @@
     const Result<SlotGrant> grant = fleet.acquire(0, {SlotFleet::limit("t")});
     BOOST_REQUIRE(grant.has_value());
     fleet.harness.advance(milliseconds(500));
-    fleet.fronts[0]->core.release(grant.value().grantId);
+    fleet.dataNodes[0]->core.release(grant.value().grantId);
     fleet.harness.settle();
   }
   const auto pools = fleet.stores[0]->core.explain();
--- a/tests/slots/quota_test.cpp
+++ b/tests/slots/quota_test.cpp
@@ -31,7 +31,7 @@
     const Result<SlotGrant> grant = fleet.acquire(step % 2, {quotaOf("t")});
     if (grant) {
       granted.push_back(fleet.harness.now);
-      fleet.fronts[static_cast<std::size_t>(step % 2)]->core.release(grant.value().grantId);
+      fleet.dataNodes[static_cast<std::size_t>(step % 2)]->core.release(grant.value().grantId);
     }
     fleet.harness.advance(milliseconds(100));
   }
@@ -64,18 +64,18 @@
 BOOST_AUTO_TEST_CASE(a_burst_fills_up_again_at_the_rate) {
   SlotFleet fleet;
   fleet.rates.rates["t"] = {10, 20};
-  const auto takeAll = [&] {
+  const auto acquireAll = [&] {
     int granted = 0;
     while (fleet.acquire(0, {quotaOf("t")}).has_value()) {
       ++granted;
     }
     return granted;
   };
-  BOOST_TEST(takeAll() == 21);
+  BOOST_TEST(acquireAll() == 21);
   fleet.harness.advance(milliseconds(1050));
-  BOOST_TEST(takeAll() == 10);
+  BOOST_TEST(acquireAll() == 10);
   fleet.harness.advance(seconds(10));
-  BOOST_TEST(takeAll() == 21);
+  BOOST_TEST(acquireAll() == 21);
 }
 
 /// The successor does not know when the numbers were taken; it may refuse for a while, not grant
--- a/tests/slots/slot_faults_test.cpp
+++ b/tests/slots/slot_faults_test.cpp
@@ -10,17 +10,19 @@
 namespace {
 
 /// Drops, duplicates, delays and reorders messages, from a seed.
-class Chaos {
+class FaultInjector {
  public:
-  Chaos(SlotFleet& fleet, std::uint64_t seed) : fleet_(fleet), random_(seed) {
-    fleet.harness.filter = [this](const Harness::Envelope& envelope) { return pass(envelope); };
+  FaultInjector(SlotFleet& fleet, std::uint64_t seed) : fleet_(fleet), random_(seed) {
+    fleet.harness.filter = [this](const Harness::Envelope& envelope) {
+      return shouldDeliver(envelope);
+    };
     for (const auto& store : fleet.stores) {
       store->table.delayWrites = true;
     }
   }
 
   bool chance(std::uint32_t percent) { return random_() % 100 < percent; }
-  std::size_t below(std::size_t bound) { return random_() % bound; }
+  std::size_t randomBelow(std::size_t bound) { return random_() % bound; }
 
   void step() {
     fleet_.harness.advance(milliseconds(10));
@@ -35,25 +37,25 @@
       }
       fleet_.harness.queue.push_front(std::move(delayed_[i]));
       delayed_.erase(delayed_.begin() + static_cast<std::ptrdiff_t>(i));
-      passing_ = true;
+      redelivering_ = true;
       fleet_.harness.settle();
     }
     if (chance(1)) {
       takeOver();
     }
     if (chance(1)) {
-      isolatedFront_ = chance(50) ? "" : chance(50) ? "f1:1" : "f2:1";
+      isolatedNode_ = chance(50) ? "" : chance(50) ? "f1:1" : "f2:1";
     }
   }
 
  private:
-  bool pass(const Harness::Envelope& envelope) {
-    if (passing_) {
-      passing_ = false;
+  bool shouldDeliver(const Harness::Envelope& envelope) {
+    if (redelivering_) {
+      redelivering_ = false;
       return true;
     }
     const bool isolated =
-        envelope.to.address == isolatedFront_ || envelope.from.address == isolatedFront_;
+        envelope.to.address == isolatedNode_ || envelope.from.address == isolatedNode_;
     if (isolated || chance(5)) {
       return false;
     }
@@ -67,14 +69,14 @@
   void takeOver() {
     const int to = fleet_.majority.owner.address == "s1:1" ? 1 : 0;
     const RecoveryKind recovery = chance(30) ? RecoveryKind::MemoryLost : RecoveryKind::Complete;
-    fleet_.takeOver(to, recovery, chance(50), below(3));
+    fleet_.takeOver(to, recovery, chance(50), randomBelow(3));
   }
 
   SlotFleet& fleet_;
   RandomEngine random_;
   std::vector<Harness::Envelope> delayed_;
-  std::string isolatedFront_;
-  bool passing_ = false;
+  std::string isolatedNode_;
+  bool redelivering_ = false;
 };
 
 }  // namespace
@@ -85,25 +87,26 @@
     SlotFleet fleet;
     fleet.harness.random.seed(seed);
     fleet.majority.indices = {poolPartition({kTenantLimiter, "t"}).index};
-    Chaos chaos(fleet, seed);
+    FaultInjector faults(fleet, seed);
     std::vector<std::pair<int, std::uint64_t>> granted;
     for (int step = 0; step < 2000; ++step) {
-      if (chaos.chance(5)) {
-        const int front = static_cast<int>(chaos.below(2));
-        fleet.fronts[front]->core.acquire({"r", SlotClass::Live, {SlotFleet::limit("t")}},
-                                          [&, front](Result<SlotGrant> result) {
-                                            if (result) {
-                                              granted.push_back({front, result.value().grantId});
-                                              ++grants;
-                                            }
-                                          });
+      if (faults.chance(5)) {
+        const int dataNode = static_cast<int>(faults.randomBelow(2));
+        fleet.dataNodes[dataNode]->core.acquire(
+            {"r", SlotClass::Live, {SlotFleet::limit("t")}},
+            [&, dataNode](Result<SlotGrant> result) {
+              if (result) {
+                granted.push_back({dataNode, result.value().grantId});
+                ++grants;
+              }
+            });
       }
-      if (!granted.empty() && chaos.chance(2)) {
-        const std::size_t chosen = chaos.below(granted.size());
-        fleet.fronts[granted[chosen].first]->core.release(granted[chosen].second);
+      if (!granted.empty() && faults.chance(2)) {
+        const std::size_t chosen = faults.randomBelow(granted.size());
+        fleet.dataNodes[granted[chosen].first]->core.release(granted[chosen].second);
         granted.erase(granted.begin() + static_cast<std::ptrdiff_t>(chosen));
       }
-      chaos.step();
+      faults.step();
       BOOST_REQUIRE_MESSAGE(!fleet.numberGrantedTwice(), "seed " << seed << " step " << step);
     }
   }
--- a/tests/slots/slot_fleet.h
+++ b/tests/slots/slot_fleet.h
@@ -82,9 +82,9 @@
 }
 
 /// One front with its client.
-struct Front {
-  Front(Harness& harness, const std::string& name, FakeDirectory& directory,
-        FakeConfiguration& configuration, SlotSafeguards safeguards)
+struct DataNode {
+  DataNode(Harness& harness, const std::string& name, FakeDirectory& directory,
+           FakeConfiguration& configuration, SlotSafeguards safeguards)
       : locator(directory, configuration), context(harness.context(name, ServiceId::SlotClient)),
         core(context, locator, {safeguards, kStoreDeadline}) {
     harness.attach(context, core);
@@ -127,8 +127,8 @@
       const std::string number = std::to_string(i + 1);
       stores.push_back(std::make_unique<Store>(harness, "s" + number + ":1", majority, rates,
                                                engines, directory, safeguards));
-      fronts.push_back(std::make_unique<Front>(harness, "f" + number + ":1", directory,
-                                               configuration, safeguards));
+      dataNodes.push_back(std::make_unique<DataNode>(harness, "f" + number + ":1", directory,
+                                                     configuration, safeguards));
     }
     stores[0]->table.takeOver(nullptr, 0, RecoveryKind::Complete);
     harness.settle();
@@ -156,18 +156,18 @@
     return {{limiter, key}, failOpen, block, milliseconds(100), kTestTimeToLive};
   }
 
-  /// Starts an acquisition on front @p front; the outcome is stored in the returned object.
-  std::shared_ptr<std::optional<Result<SlotGrant>>> start(int front,
+  /// Starts an acquisition on front @p dataNode; the outcome is stored in the returned object.
+  std::shared_ptr<std::optional<Result<SlotGrant>>> start(int dataNode,
                                                           std::vector<SlotLimit> limits) {
     auto outcome = std::make_shared<std::optional<Result<SlotGrant>>>();
-    fronts[front]->core.acquire({"request", SlotClass::Live, std::move(limits)},
-                                [outcome](Result<SlotGrant> result) { *outcome = result; });
+    dataNodes[dataNode]->core.acquire({"request", SlotClass::Live, std::move(limits)},
+                                      [outcome](Result<SlotGrant> result) { *outcome = result; });
     return outcome;
   }
 
   /// Acquires and waits for up to two store deadlines.
-  Result<SlotGrant> acquire(int front, std::vector<SlotLimit> limits) {
-    const auto outcome = start(front, std::move(limits));
+  Result<SlotGrant> acquire(int dataNode, std::vector<SlotLimit> limits) {
+    const auto outcome = start(dataNode, std::move(limits));
     harness.settle();
     for (int i = 0; i < 40 && !*outcome; ++i) {
       harness.advance(milliseconds(100));
@@ -178,8 +178,8 @@
   /// True if two holders rely on the same number at present.
   bool numberGrantedTwice() const {
     std::set<std::pair<std::string, std::uint32_t>> numbers;
-    for (const auto& front : fronts) {
-      for (const HolderLease& lease : front->core.leases()) {
+    for (const auto& dataNode : dataNodes) {
+      for (const HolderLease& lease : dataNode->core.leases()) {
         const bool valid = lease.validUntil > harness.now;
         if (valid && !numbers.insert({lease.claim.key, lease.claim.number}).second) {
           return true;
@@ -215,7 +215,7 @@
   FakeRates rates;
   FakeMajority majority;
   std::vector<std::unique_ptr<Store>> stores;
-  std::vector<std::unique_ptr<Front>> fronts;
+  std::vector<std::unique_ptr<DataNode>> dataNodes;
 };
 
 }  // namespace shedshed::test
--- a/tests/slots/slot_protocol_test.cpp
+++ b/tests/slots/slot_protocol_test.cpp
@@ -49,9 +49,9 @@
 
   SlotSafeguards mutated;
   mutated.idempotentTokens = false;
-  SlotFleet careless(mutated);
-  sendRequests(careless, {acquisition(7), acquisition(7)});
-  BOOST_TEST(careless.rows() == 2U);
+  SlotFleet fleetWithoutIdempotency(mutated);
+  sendRequests(fleetWithoutIdempotency, {acquisition(7), acquisition(7)});
+  BOOST_TEST(fleetWithoutIdempotency.rows() == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(full_pool_refuses_at_once) {
@@ -76,7 +76,7 @@
   fleet.harness.advance(seconds(20));
   BOOST_TEST(fleet.rows() == 4U);
   for (std::uint64_t grant = 1; grant <= 4; ++grant) {
-    fleet.fronts[0]->core.release(grant);
+    fleet.dataNodes[0]->core.release(grant);
   }
   fleet.harness.settle();
   BOOST_TEST(fleet.rows() == 0U);
@@ -86,23 +86,23 @@
 }
 
 BOOST_AUTO_TEST_CASE(refusal_releases_what_was_taken) {
-  for (const bool safe : {true, false}) {
+  for (const bool enabled : {true, false}) {
     SlotSafeguards safeguards;
-    safeguards.releaseBeforeRefusal = safe;
+    safeguards.releaseBeforeRefusal = enabled;
     SlotFleet fleet(safeguards);
     fleet.rates.rates["z"] = {0, 0};
     const Result<SlotGrant> refused =
         fleet.acquire(0, {SlotFleet::limit("z"), SlotFleet::limit("t")});
     BOOST_TEST(refused.has_error());
     fleet.harness.settle();
-    BOOST_TEST(fleet.rows() == (safe ? 0U : 1U));
+    BOOST_TEST(fleet.rows() == (enabled ? 0U : 1U));
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_grant_after_the_store_deadline_is_released) {
-  for (const bool safe : {true, false}) {
+  for (const bool enabled : {true, false}) {
     SlotSafeguards safeguards;
-    safeguards.releaseLateGrants = safe;
+    safeguards.releaseLateGrants = enabled;
     safeguards.queryUnresponsiveHolders = false;  // The owner's query would free it as well.
     SlotFleet fleet(safeguards);
     fleet.stores[0]->table.delayWrites = true;
@@ -113,7 +113,7 @@
     while (fleet.stores[0]->table.completeOne()) {
     }
     fleet.harness.advance(seconds(2));
-    BOOST_TEST(fleet.rows() == (safe ? 0U : 1U));
+    BOOST_TEST(fleet.rows() == (enabled ? 0U : 1U));
   }
 }
 
@@ -128,7 +128,7 @@
     return true;
   };
   const Result<SlotGrant> grant = fleet.acquire(0, {SlotFleet::limit("t")});
-  fleet.fronts[0]->core.release(grant.value().grantId);
+  fleet.dataNodes[0]->core.release(grant.value().grantId);
   fleet.harness.settle();
   fleet.heal();
   for (const Harness::Envelope& copy : copies) {
@@ -142,7 +142,7 @@
   SlotFleet fleet;
   const Result<SlotGrant> grant = fleet.acquire(0, {SlotFleet::limit("t")});
   fleet.isolate("f1:1");
-  fleet.fronts[0]->core.release(grant.value().grantId);
+  fleet.dataNodes[0]->core.release(grant.value().grantId);
   fleet.harness.advance(milliseconds(700));
   BOOST_TEST(fleet.rows() == 1U);
   fleet.heal();
@@ -160,10 +160,10 @@
   const auto waiting = fleet.start(0, both);
   for (int i = 0; i < 50; ++i) {
     fleet.harness.advance(milliseconds(10));
-    BOOST_TEST(fleet.fronts[0]->core.leases().empty());
+    BOOST_TEST(fleet.dataNodes[0]->core.leases().empty());
   }
   BOOST_TEST(!waiting->has_value());
-  fleet.fronts[1]->core.release(holder.value().grantId);
+  fleet.dataNodes[1]->core.release(holder.value().grantId);
   fleet.harness.advance(milliseconds(200));
   BOOST_REQUIRE(waiting->has_value());
   BOOST_TEST((*waiting)->has_value());
@@ -203,7 +203,7 @@
   BOOST_TEST(fleet.acquire(0, {SlotFleet::limit("t")}).has_value());
   fleet.harness.advance(5 * kTestTimeToLive);
   BOOST_TEST(fleet.rows() == 1U);
-  BOOST_TEST((fleet.fronts[0]->core.leases()[0].validUntil > fleet.harness.now));
+  BOOST_TEST((fleet.dataNodes[0]->core.leases()[0].validUntil > fleet.harness.now));
   fleet.isolate("f1:1");
   fleet.harness.advance(2 * kTestTimeToLive);
   BOOST_TEST(fleet.rows() == 0U);
@@ -222,7 +222,7 @@
   fleet.heal();
   fleet.harness.advance(seconds(3));
   BOOST_TEST(fleet.rows() == 2U);
-  BOOST_TEST(fleet.fronts[0]->core.leases().size() == 1U);
+  BOOST_TEST(fleet.dataNodes[0]->core.leases().size() == 1U);
   BOOST_TEST(fleet.harness.counters.values["slot_over_admissions_total"] == 1);
   BOOST_TEST(!fleet.numberGrantedTwice());
 }
--- a/tests/slots/slot_recovery_test.cpp
+++ b/tests/slots/slot_recovery_test.cpp
@@ -8,9 +8,9 @@
 using namespace shedshed::test;
 
 BOOST_AUTO_TEST_CASE(lost_memory_grants_nothing_before_holders_reassert) {
-  for (const bool safe : {true, false}) {
+  for (const bool enabled : {true, false}) {
     SlotSafeguards safeguards;
-    safeguards.recoveryWindow = safe;
+    safeguards.recoveryWindow = enabled;
     SlotFleet fleet(safeguards);
     fleet.harness.advance(kDirectorySettle);
     fleet.rates.rates["t"].burst = 1;
@@ -18,9 +18,9 @@
     fleet.isolate("f1:1");
     fleet.takeOver(1, RecoveryKind::MemoryLost);
     const Result<SlotGrant> early = fleet.acquire(1, {SlotFleet::limit("t")});
-    BOOST_TEST(early.has_value() == !safe);
-    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
-    if (!safe) {
+    BOOST_TEST(early.has_value() == !enabled);
+    BOOST_TEST(fleet.numberGrantedTwice() == !enabled);
+    if (!enabled) {
       continue;
     }
     fleet.heal();
@@ -45,9 +45,9 @@
 /// A holder that is confirmed dead may only be frozen or partitioned, and counts on its slots until
 /// they expire: the window must not close on the answers of the others (chaos 36 of the simulator).
 BOOST_AUTO_TEST_CASE(a_window_waits_for_holders_that_are_confirmed_dead) {
-  for (const bool safe : {true, false}) {
+  for (const bool enabled : {true, false}) {
     SlotSafeguards safeguards;
-    safeguards.awaitDeadHolders = safe;
+    safeguards.awaitDeadHolders = enabled;
     SlotFleet fleet(safeguards);
     fleet.harness.advance(kDirectorySettle);
     fleet.rates.rates["t"].burst = 1;
@@ -56,9 +56,9 @@
     fleet.setState("f1:1", NodeState::Dead);
     fleet.takeOver(1, RecoveryKind::MemoryLost);
     fleet.harness.advance(kMinimumRecoveryWindow + seconds(1));
-    BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value() == !safe);
-    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
-    if (safe) {
+    BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value() == !enabled);
+    BOOST_TEST(fleet.numberGrantedTwice() == !enabled);
+    if (enabled) {
       fleet.harness.advance(kTestTimeToLive);
       BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value());
       BOOST_TEST(!fleet.numberGrantedTwice());
@@ -102,16 +102,16 @@
   fleet.harness.advance(seconds(2));
   fleet.takeOver(1, RecoveryKind::Complete);  // The window was closed: none is opened.
   BOOST_TEST(!fleet.stores[1]->core.explain().at(0).recovering);
-  fleet.fronts[0]->core.release(1);
+  fleet.dataNodes[0]->core.release(1);
   fleet.harness.advance(2 * kHolderTick);  // The first request is redirected.
   BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value());
 }
 
 /// The grant is in flight while its owner's memory is lost and the holder answers the recovery.
 BOOST_AUTO_TEST_CASE(grant_from_before_the_recovery_is_discarded) {
-  for (const bool safe : {true, false}) {
+  for (const bool enabled : {true, false}) {
     SlotSafeguards safeguards;
-    safeguards.discardOldGrants = safe;
+    safeguards.discardOldGrants = enabled;
     SlotFleet fleet(safeguards);
     fleet.harness.advance(kDirectorySettle);
     fleet.rates.rates["t"].burst = 1;
@@ -135,6 +135,6 @@
     fleet.heal();
     fleet.harness.queue.push_front(delayed.front());
     fleet.harness.settle();
-    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
+    BOOST_TEST(fleet.numberGrantedTwice() == !enabled);
   }
 }
--- a/tests/slots/takeover_test.cpp
+++ b/tests/slots/takeover_test.cpp
@@ -20,9 +20,9 @@
 
 /// A grant whose write never reached a majority must not be known to its holder.
 BOOST_AUTO_TEST_CASE(grant_waits_for_a_majority) {
-  for (const bool safe : {true, false}) {
+  for (const bool enabled : {true, false}) {
     SlotSafeguards safeguards;
-    safeguards.grantAfterMajority = safe;
+    safeguards.grantAfterMajority = enabled;
     SlotFleet fleet(safeguards);
     fleet.rates.rates["t"].burst = 1;
     fleet.stores[0]->table.delayWrites = true;
@@ -31,15 +31,15 @@
     fleet.takeOver(1, RecoveryKind::Complete);
     fleet.start(1, {SlotFleet::limit("t")});
     fleet.harness.advance(milliseconds(300));
-    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
+    BOOST_TEST(fleet.numberGrantedTwice() == !enabled);
   }
 }
 
 /// A fenced owner that still answers renewals would let a holder outlive its successor's expiry.
 BOOST_AUTO_TEST_CASE(fenced_owner_confirms_no_renewal) {
-  for (const bool safe : {true, false}) {
+  for (const bool enabled : {true, false}) {
     SlotSafeguards safeguards;
-    safeguards.confirmRenewals = safe;
+    safeguards.confirmRenewals = enabled;
     SlotFleet fleet(safeguards);
     fleet.rates.rates["t"].burst = 1;
     BOOST_TEST(fleet.acquire(0, {SlotFleet::limit("t")}).has_value());
@@ -47,11 +47,11 @@
     fleet.harness.filter = [](const Harness::Envelope& envelope) {
       return !(envelope.from.address == "f1:1" && envelope.to.address == "s2:1");
     };
-    fleet.fronts[0]->locator.redirected(poolPartition({kTenantLimiter, "t"}), {"s1:1"});
-    fleet.fronts[1]->locator.redirected(poolPartition({kTenantLimiter, "t"}), {"s2:1"});
+    fleet.dataNodes[0]->locator.redirected(poolPartition({kTenantLimiter, "t"}), {"s1:1"});
+    fleet.dataNodes[1]->locator.redirected(poolPartition({kTenantLimiter, "t"}), {"s2:1"});
     fleet.harness.advance(2 * kTestTimeToLive);
     BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value());
-    BOOST_TEST(fleet.numberGrantedTwice() == !safe);
+    BOOST_TEST(fleet.numberGrantedTwice() == !enabled);
   }
 }
 
@@ -65,8 +65,8 @@
   BOOST_REQUIRE(grant.has_value());
   BOOST_TEST(fleet.rows() == 1U);
   fleet.takeOver(first, RecoveryKind::Complete);
-  fleet.fronts[0]->core.release(grant.value().grantId);
+  fleet.dataNodes[0]->core.release(grant.value().grantId);
   fleet.harness.advance(seconds(2));
   BOOST_TEST(fleet.rows() == 0U);
-  BOOST_TEST(fleet.fronts[0]->core.idle());
+  BOOST_TEST(fleet.dataNodes[0]->core.idle());
 }
