--- a/src/slots/batch_share_assigner.h
+++ b/src/slots/batch_share_assigner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Adds the share of a batch run to the answers of the batch pools' owner.
+/// Adds the slot share of a batch run to the replies of the batch pools' owner.
 #pragma once
 
 #include "slots/pool_capacity.h"
@@ -12,9 +12,9 @@
 
 namespace shedshed {
 
-/// One `ShareAllocator` for each batch pool that this store has answered for. Shares are advice: a
-/// run that takes more is bounded by the pool's size alone, so losing them with the process is
-/// safe.
+/// Keeps one `ShareAllocator` for each batch pool whose requests this store has answered. Shares
+/// are advisory: a run that exceeds its share is still bounded by the pool's size, so losing them
+/// with the process is safe.
 class BatchShareAssigner {
  public:
   /// Keeps references to all; they must outlive this object.
@@ -22,8 +22,8 @@
                      const PoolCapacity& capacity, const PoolSizer& sizer)
       : environment_(environment), pools_(pools), capacity_(capacity), sizer_(sizer) {}
 
-  /// Adds to @p reply how many slots the run that sent @p request should hold. Does nothing for a
-  /// request that names no run, and outside of batch pools that this store owns.
+  /// Adds to @p reply how many slots the run that sent @p request should hold. Does nothing if the
+  /// request names no run, or if its pool is not a batch pool that this store owns.
   void addShare(const AcquireSlot& request, AcquireSlotReply& reply);
 
  private:
--- a/src/slots/engine_placement.cpp
+++ b/src/slots/engine_placement.cpp
@@ -7,12 +7,13 @@
 namespace shedshed {
 namespace {
 
-/// Holders by which an engine in another zone must have fewer.
+/// Number of holders added to the load of an engine in another zone.
 constexpr double kOtherZonePenalty = 1.0;
 
-/// True if the holders of @p pool may run at @p engine.
+/// Returns whether the calls of @p pool's holders may run on @p engine.
 bool serves(const EngineInfo& engine, const PoolName& pool) {
-  // The owner of a tenant's pool knows only some of an engine's calls, and not their model.
+  // The owner of a tenant's pool sees only some of an engine's calls, and not the model they
+  // request.
   const bool knowsLoad = pool.limiter == kServiceLimiter || pool.limiter == kBatchLimiter;
   return knowsLoad && engine.state == EngineState::Ready && engine.model == pool.key;
 }
--- a/src/slots/engine_placement.h
+++ b/src/slots/engine_placement.h
@@ -11,13 +11,14 @@
 
 namespace shedshed {
 
-/// Counts for each engine the slots of one pool to whose holders it was suggested. All holders of a
-/// pool request their slots of one owner, which thus knows the load that no single holder knows.
+/// Counts, per engine, the slots of one pool whose holders it was suggested to. All holders of a
+/// pool acquire their slots from one owner, so the owner sees the total load, which no single
+/// holder does.
 class EnginePlacement {
  public:
-  /// The ready engine with the fewest holders for its size; one in @p zone is preferred to an
-  /// equal one elsewhere. Empty if @p table has no ready engine of @p pool, and for pools of
-  /// tenants.
+  /// Returns the ready engine with the fewest holders relative to its `maxRunning`. An engine in
+  /// @p zone is preferred to an equally loaded one in another zone; @p random breaks ties. Empty if
+  /// @p table has no ready engine for @p pool, and for tenants' pools.
   std::string suggest(const EngineTable& table, const PoolName& pool, const std::string& zone,
                       std::uint64_t random) const;
 
@@ -25,7 +26,7 @@
   void removeHolder(const std::string& engine);
 
  private:
-  std::map<std::string, std::uint32_t> holders_;  ///< By engine id; none with 0.
+  std::map<std::string, std::uint32_t> holders_;  ///< By engine id; no entry has a count of 0.
 };
 
 }  // namespace shedshed
--- a/src/slots/holder_query.cpp
+++ b/src/slots/holder_query.cpp
@@ -11,7 +11,7 @@
 
 void addDueSlots(SlotPool& pool, Time now, QueriesByHolder& queries) {
   if (pool.name().limiter == kQuotaLimiter) {
-    return;  // These numbers are never released.
+    return;  // Quota numbers are left to expire.
   }
   for (auto& entry : pool.slots()) {
     GrantedSlot& slot = entry.second;
--- a/src/slots/holder_query.h
+++ b/src/slots/holder_query.h
@@ -1,5 +1,5 @@
 /// @file
-/// Queries to the holders of slots that were not renewed for a while.
+/// Queries to the holders of slots that have not been renewed recently.
 #pragma once
 
 #include "slots/slot_pools.h"
@@ -10,8 +10,8 @@
 inline constexpr Duration kHolderCheckRetry = std::chrono::seconds(1);
 
 /// Asks the holders of all slots of @p pools whose `checkAt` has passed whether they still hold
-/// them. A number whose holder was killed would otherwise stay taken for its time to live, although
-/// the holder has restarted. Only the holder itself can say that it holds nothing: an unresponsive
+/// them. Without these queries, a number whose holder was killed and has restarted would stay taken
+/// for its time to live. Only the holder itself can report that it holds nothing: an unresponsive
 /// one may be frozen.
 void queryUnresponsiveHolders(const SlotOwnerEnvironment& environment, SlotPools& pools);
 
--- a/src/slots/lending_core.cpp
+++ b/src/slots/lending_core.cpp
@@ -53,8 +53,8 @@
   announceLimits();
 }
 
-/// Reports of one process are numbered; one with a lower number arrived late. Another
-/// incarnation starts anew.
+/// Reports of one process are numbered; one with a lower number arrived late and is ignored. A new
+/// incarnation starts a new sequence.
 void LendingCore::recordUsage(const NodeId& from, const SlotUsageReport& report) {
   const auto found = usage_.find(from);
   if (found == usage_.end() || found->second.report.incarnation != report.incarnation) {
@@ -90,8 +90,8 @@
   }
 }
 
-/// Live slots are counted over all models: a tenant's pool does not know which model its calls ask
-/// for, and lending too little is safe.
+/// Live slots are counted over all models: a tenant's pool does not know which model its calls
+/// request, and lending too little is safe.
 LendingExplanation LendingCore::computeLimit(const std::string& model, bool complete) const {
   LendingExplanation result;
   result.model = model;
@@ -137,8 +137,8 @@
   return total;
 }
 
-/// Ownership is proved first, so that a singleton that was replaced while it was frozen does not
-/// announce capacity that its successor has already taken back.
+/// Confirms ownership first, so that a singleton that was replaced while it was frozen does not
+/// announce capacity that its successor has already reclaimed.
 void LendingCore::announceLimits() {
   const std::uint64_t epoch = epoch_;
   store_.confirmOwnership(partition(), [this, epoch](Status status) {
--- a/src/slots/lending_core.h
+++ b/src/slots/lending_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// The singleton that sets how much idle engine capacity is lent to batch items.
+/// The singleton that determines how much idle engine capacity is lent to batch items.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -25,24 +25,24 @@
 inline constexpr double kLendingGrowthPerTick = 0.025;
 /// The reserve covers the live calls that arrive within this time.
 inline constexpr Duration kReserveHorizon = std::chrono::seconds(1);
-/// Share of the arrival rate in force that is kept per tick after live arrivals fall.
+/// Factor by which the estimated rate of live arrivals decays per tick.
 inline constexpr double kArrivalDecay = 0.9;
 
-/// How freely capacity is lent. Choose a growth that restores the lent capacity well before the
-/// results of a batch are due, and a horizon of about the time that a live call holds its slot.
+/// Bounds on lending. `growthPerTick` should restore the lent capacity well before the results of a
+/// batch are due; `reserveHorizon` should be about the time for which a live call holds its slot.
 struct LendingOptions {
   double growthPerTick = kLendingGrowthPerTick;
   Duration reserveHorizon = kReserveHorizon;
 };
 
-/// Runs on every store; acts on the owner of the partition of the name "lending", under that
-/// partition's epoch. Lent capacity that is not announced again expires, so a partitioned
-/// singleton cannot lend for long.
+/// Runs on every store and is active on the owner of the partition named "lending", under that
+/// partition's epoch. Lent capacity that is not announced again expires, so a partitioned singleton
+/// cannot lend for long.
 ///
-/// N = engine capacity − live slots in use − reserve. It falls at once and grows slowly.
+/// N = engine capacity − live slots in use − reserve. N drops immediately and grows slowly.
 ///
-/// Nothing is durable: a successor starts with no capacity lent and lets it grow again, and the
-/// limits of its higher epoch replace those of its predecessor.
+/// No state is durable: a successor starts with no capacity lent and grows it again, and the limits
+/// of its higher epoch replace those of its predecessor.
 class LendingCore : public Core {
  public:
   /// Keeps references to all; they must outlive it.
@@ -63,7 +63,7 @@
   struct StoreUsage {
     SlotUsageReport report;
     Time receivedAt;
-    double arrivalsPerSecond = 0;  ///< Rises at once, falls by `kArrivalDecay`.
+    double arrivalsPerSecond = 0;  ///< Rises immediately, decays by `kArrivalDecay`.
   };
 
   void recordUsage(const NodeId& from, const SlotUsageReport& report);
--- a/src/slots/pool_capacity.cpp
+++ b/src/slots/pool_capacity.cpp
@@ -37,8 +37,8 @@
   return std::min(limit->second.size, readyEngineCapacity(*environment_.engines.table(), model));
 }
 
-/// Items take numbers above those of the tenant's live calls, as many as capacity is lent: a batch
-/// then neither keeps a live call from its slot nor waits while engines are idle.
+/// Batch items take numbers above those of the tenant's live calls, up to the lent capacity. A
+/// batch thus neither takes a slot from a live call nor waits while engines are idle.
 NumberRange PoolCapacity::grantableNumbers(const PoolName& name, SlotClass serviceClass) const {
   const std::uint32_t poolSize = size(name);
   if (serviceClass == SlotClass::Live || name.limiter != kTenantLimiter) {
@@ -48,7 +48,7 @@
   if (lent == 0) {
     return {0, static_cast<std::uint32_t>(std::ceil(poolSize * kItemShareOfTenantPool))};
   }
-  // A tenant without competitors leaves nothing to others by taking less.
+  // If there is only one tenant, a smaller share would only leave capacity idle.
   const double share = environment_.rates.tenantPools().size() > 1 ? kItemShareOfLentCapacity : 1.0;
   return {poolSize, static_cast<std::uint32_t>(std::ceil(lent * share))};
 }
--- a/src/slots/pool_capacity.h
+++ b/src/slots/pool_capacity.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many numbers of each kind of pool may be granted at present.
+/// Computes how many numbers of each kind of pool may currently be granted.
 #pragma once
 
 #include "slots/pool_sizer.h"
@@ -12,7 +12,7 @@
 
 namespace shedshed {
 
-/// A lending limit that was not repeated for this long counts as 0.
+/// A lending limit that has not been announced again for this long counts as 0.
 inline constexpr Duration kLendingLimitLifetime = std::chrono::seconds(3);
 /// Share of a tenant's numbers that its batch items may take while no capacity is lent; the rest is
 /// for its live calls.
@@ -26,7 +26,7 @@
   std::uint32_t count = 0;
 };
 
-/// Sizes of pools from the rates in force, the ready engines, and the limits that the lending
+/// Derives pool sizes from the current rates, the ready engines, and the limits that the lending
 /// singleton announces. Core thread only.
 class PoolCapacity {
  public:
@@ -37,10 +37,10 @@
   /// Applies @p limit unless a newer one of its model is known.
   void applyLendingLimit(const LendingLimit& limit);
 
-  /// N of pool @p name.
+  /// Returns N, the number of slots of pool @p name.
   std::uint32_t size(const PoolName& name) const;
 
-  /// The numbers of pool @p name that a holder of @p serviceClass may take.
+  /// Returns the numbers of pool @p name that a holder of @p serviceClass may take.
   NumberRange grantableNumbers(const PoolName& name, SlotClass serviceClass) const;
 
  private:
@@ -52,7 +52,7 @@
   };
 
   std::uint32_t batchPoolSize(const std::string& model) const;
-  /// The capacity that is lent to batch items, of all models together.
+  /// Returns the capacity that is lent to batch items, summed over all models.
   std::uint32_t lendableCapacity() const;
 
   const SlotOwnerEnvironment& environment_;
--- a/src/slots/pool_explanation.h
+++ b/src/slots/pool_explanation.h
@@ -1,5 +1,5 @@
 /// @file
-/// What operators are shown of pools of slots, and of the capacity lent to batch items.
+/// State of the slot pools and of the capacity lent to batch items, as shown to operators.
 #pragma once
 
 #include "kernel/node_id.h"
@@ -20,7 +20,7 @@
   NodeId holder;
   SlotClass serviceClass = SlotClass::Live;
   std::optional<Duration> age;  ///< Unknown if an earlier owner granted it.
-  Duration expiresIn{0};        ///< Without a renewal.
+  Duration expiresIn{0};        ///< Unless renewed.
 };
 
 /// One pool of an owned partition.
@@ -29,23 +29,23 @@
   std::uint32_t liveSlots = 0;
   std::uint32_t batchSlots = 0;
   bool recovering = false;
-  std::uint64_t epoch = 0;  ///< Of the owner that made this explanation.
+  std::uint64_t epoch = 0;  ///< Epoch of the owner that reports the pool.
   std::vector<GrantedSlotExplanation> grantedSlots;
 };
 
-/// Values behind a model's lent capacity.
+/// A model's lent capacity and the values that it was computed from.
 struct LendingExplanation {
   std::string model;
   std::uint32_t lent = 0;            ///< N of the pool {"batch", model}.
-  std::uint32_t engineCapacity = 0;  ///< What the ready engines run at once.
+  std::uint32_t engineCapacity = 0;  ///< Concurrent calls of the ready engines.
   std::uint32_t liveSlots = 0;       ///< In use by live calls.
   std::uint32_t reserve = 0;         ///< Kept free for live arrivals.
 };
 
-/// All that one store knows.
+/// Everything that one store reports.
 struct SlotExplanation {
   std::vector<PoolExplanation> pools;
-  std::vector<LendingExplanation> lending;  ///< Empty on a store that does not lend.
+  std::vector<LendingExplanation> lending;  ///< Empty unless the store is the lending singleton.
 };
 
 }  // namespace shedshed
--- a/src/slots/pool_rates.cpp
+++ b/src/slots/pool_rates.cpp
@@ -22,7 +22,7 @@
     route = separator == std::string::npos ? "" : pool.key.substr(separator + 1);
   }
   const EffectiveSettings settings = tree_.effective(tenant, route);
-  // Settings with routes are those of a fleet whose operators name each rate that they mean.
+  // Settings with routes define every rate explicitly, so a tenant without a quota is unlimited.
   const bool unlimited = !tree_.routes().empty() && !tree_.hasQuota(tenant);
   return {settings.perSecond, settings.burst, unlimited};
 }
--- a/src/slots/pool_rates.h
+++ b/src/slots/pool_rates.h
@@ -1,5 +1,5 @@
 /// @file
-/// Rates of the pools, from the settings in force.
+/// Rates of the pools, from the current settings.
 #pragma once
 
 #include "kernel/time.h"
@@ -19,23 +19,23 @@
 inline constexpr const char* kQuotaLimiter = "quota";      ///< Key: tenant name; see `SlotLimit`.
 inline constexpr const char* kServiceLimiter = "service";  ///< Key: service; calls of no tenant.
 
-/// Rates that the settings give one pool.
+/// Rates that the settings define for one pool.
 struct PoolRate {
   double perSecond = 0;     ///< Sustained requests per second.
-  std::uint32_t burst = 0;  ///< Slots above the sustained need.
-  bool unlimited =
-      false;  ///< The settings name no rate: only the engines' capacity bounds the pool.
+  std::uint32_t burst = 0;  ///< Slots beyond those for the sustained rate.
+  /// The settings define no rate: only the engines' capacity bounds the pool.
+  bool unlimited = false;
 };
 
-/// Rates in force. Core thread only.
+/// Source of the current rates. Core thread only.
 class PoolRateSource {
  public:
   virtual ~PoolRateSource() = default;
 
-  /// The rate of @p pool ("tenant" and "route" limiters).
+  /// Returns the rate of @p pool ("tenant" and "route" limiters).
   virtual PoolRate rate(const PoolName& pool) const = 0;
 
-  /// All pools that share the engines: one for each tenant.
+  /// Returns all pools that share the engines: one for each tenant.
   virtual std::vector<PoolName> tenantPools() const = 0;
 
   /// Share of the engines' capacity, 0 to 1, that is never lent to batches.
@@ -45,7 +45,8 @@
   virtual Duration longestTimeToLive() const = 0;
 };
 
-/// Rates from the "settings" register. A value that does not parse leaves the last one in force.
+/// Rates from the "settings" register. A value that does not parse is ignored; the last valid one
+/// stays in effect.
 class SettingsPoolRates : public PoolRateSource {
  public:
   /// Subscribes to @p configuration; this object must outlive it.
--- a/src/slots/pool_sizer.cpp
+++ b/src/slots/pool_sizer.cpp
@@ -6,7 +6,8 @@
 namespace shedshed {
 namespace {
 
-/// Keeps a product such as 0.1 × 30 from being rounded up past its whole value.
+/// Keeps floating-point error from rounding a product such as 0.1 × 30 past its exact integer
+/// value.
 constexpr double kRoundingTolerance = 1e-9;
 
 double seconds(Duration duration) {
@@ -91,8 +92,8 @@
       std::chrono::duration<double>(found->second.effectiveSeconds));
 }
 
-/// Without any ready engine nothing is scaled: routing refuses such a call with its own error, and
-/// an owner whose engine table is still empty must not refuse in its place.
+/// Does not scale without a ready engine: routing rejects such a call with a specific error, and an
+/// owner whose engine table is still empty must not reject it first.
 double PoolSizer::computeScale() const {
   const std::uint32_t capacity = readyEngineCapacity(*engines_.table());
   std::uint64_t total = 0;
--- a/src/slots/pool_sizer.h
+++ b/src/slots/pool_sizer.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many numbers a pool hands out.
+/// Computes how many numbers a pool may grant.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -14,14 +14,14 @@
 
 namespace shedshed {
 
-/// Hold time of a pool that has no measurement yet.
+/// Hold time assumed for a pool without a measurement.
 inline constexpr Duration kDefaultHoldTime = std::chrono::seconds(2);
-/// Bounds of the hold time in force.
+/// Bounds of the effective hold time.
 inline constexpr Duration kMinimumHoldTime = std::chrono::milliseconds(50);
 inline constexpr Duration kMaximumHoldTime = std::chrono::minutes(10);
 /// Weight of one measured hold time in the smoothed mean.
 inline constexpr double kHoldTimeSmoothing = 0.1;
-/// The hold time in force changes by at most this factor in one second.
+/// The effective hold time changes by at most this factor in one second.
 inline constexpr double kHoldTimeChangePerSecond = 1.25;
 
 /// Size of a pool and the values that it was computed from, for operators.
@@ -30,46 +30,47 @@
   std::uint32_t size = 0;      ///< N after scaling.
   std::uint32_t unscaled = 0;  ///< ceil(perSecond × holdTime) + burst.
   PoolRate rate;
-  Duration holdTime{0};  ///< Hold time in force.
+  Duration holdTime{0};  ///< Effective hold time.
   double scale = 1;      ///< At most 1.
 };
 
 /// Returns ceil(perSecond × holdTime) + burst (Little's law).
 std::uint32_t unscaledPoolSize(const PoolRate& rate, Duration holdTime);
 
-/// A quota lets this much of its rate begin at once even without a burst: calls of a steady tenant
-/// do not come evenly.
+/// A quota admits the requests that its rate allows in this interval at once, even without a burst:
+/// the calls of a steady tenant do not arrive at regular intervals.
 inline constexpr Duration kQuotaMinimumBurstInterval = std::chrono::milliseconds(100);
 
-/// Returns how many requests of a quota may begin at once: its burst, and
-/// `kQuotaMinimumBurstInterval` of its rate, at least one. As the numbers expire one after the
-/// other at the rate, at most per second × t + this many requests begin in any time t.
+/// Returns how many requests of a quota may start at once: its burst plus what its rate allows in
+/// `kQuotaMinimumBurstInterval`, which counts as at least one. Since the numbers expire one after
+/// the other at the rate, at most perSecond × t + this many requests start in any interval t.
 std::uint32_t quotaPoolSize(const PoolRate& rate);
 
-/// Returns the sum of `maxRunning` over the ready engines, of @p model or (empty) of all.
+/// Returns the sum of `maxRunning` over the ready engines of @p model, or over all if it is empty.
 std::uint32_t readyEngineCapacity(const EngineTable& engines, const std::string& model = {});
 
 /// Computes N for the pools of tenants and routes from their rates and measured hold times, scaled
-/// down in proportion when the tenants' pools together pass what the ready engines run at once.
+/// down in proportion when the tenants' pools together exceed the capacity of the ready engines.
 /// Core thread only.
 class PoolSizer {
  public:
   /// Keeps references to both; they must outlive it.
   PoolSizer(const PoolRateSource& rates, const EngineSource& engines);
 
-  /// N of @p pool with the reasons. A pool whose unscaled size is above 0 keeps at least 1.
+  /// Returns the size of @p pool and the values that it was computed from. A pool whose unscaled
+  /// size is above 0 keeps at least 1.
   PoolSize size(const PoolName& pool) const;
 
   /// Records that a slot of @p pool was held for @p holdTime.
   void observeHoldTime(const PoolName& pool, Duration holdTime);
 
-  /// Takes over the hold time that the owner of @p pool reported.
+  /// Replaces the hold time of @p pool with the one that its owner reported.
   void adoptHoldTime(const PoolName& pool, Duration holdTime);
 
-  /// Moves the hold times in force toward the measured means, and renews the scale.
+  /// Moves the effective hold times toward the measured means, and recomputes the scale.
   void update(Duration elapsed);
 
-  /// Hold time in force.
+  /// Effective hold time.
   Duration holdTime(const PoolName& pool) const;
 
  private:
--- a/src/slots/share_allocator.cpp
+++ b/src/slots/share_allocator.cpp
@@ -9,8 +9,8 @@
 
 /// A run without a request for this long needs no more slots, or its node has failed.
 constexpr Duration kRunTimeout = std::chrono::seconds(1);
-/// A run counts as overdue when less than this many mean hold times are left: most items need no
-/// longer.
+/// A run counts as overdue when fewer than this many mean hold times are left before it is due:
+/// most items take no longer.
 constexpr int kOverdueHoldTimes = 2;
 
 }  // namespace
--- a/src/slots/share_allocator.h
+++ b/src/slots/share_allocator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Divides the slots of a model's batch pool between the runs of batches by their due times.
+/// Divides the slots of a model's batch pool among batch runs by their due times.
 #pragma once
 
 #include "kernel/time.h"
@@ -10,22 +10,22 @@
 
 namespace shedshed {
 
-/// What one run of a batch requests of a model's batch pool.
+/// Request of one batch run for slots of a model's batch pool.
 struct ShareRequest {
-  std::string run;                   ///< Names the run; any text.
+  std::string run;                   ///< Identifies the run; an opaque string.
   Duration dueIn{0};                 ///< Time until all results are due; negative if overdue.
   std::uint32_t requestedSlots = 0;  ///< Items that hold a slot or wait for one.
 };
 
 /// How many slots of the batch pool a run should hold.
 struct ShareAssignment {
-  std::uint32_t slots = 0;  ///< At most; by the due times of all runs.
-  std::uint32_t free = 0;   ///< Slots of the pool that nobody holds.
+  std::uint32_t slots = 0;  ///< Maximum, by the due times of all runs.
+  std::uint32_t free = 0;   ///< Slots of the pool that are not granted.
 };
 
-/// Allocates the slots of one model's batch pool, earliest due time first. A run that is overdue
-/// comes after all that can still be in time: its results have already lost value, those of the
-/// others have not. Core thread only.
+/// Allocates the slots of one model's batch pool, earliest due time first. Overdue runs rank after
+/// all runs that can still finish in time, because their results have already lost value and those
+/// of the others have not. Core thread only.
 class ShareAllocator {
  public:
   /// Records @p request and returns how many of the pool's @p poolSize slots its run should hold at
--- a/src/slots/slot_acquire_handler.cpp
+++ b/src/slots/slot_acquire_handler.cpp
@@ -44,12 +44,12 @@
   if (number) {
     return number;
   }
-  pools_.expire(partition, pool);  // What has expired since the last tick is free.
+  pools_.expire(partition, pool);  // Frees what has expired since the last tick.
   return pool.probe(range.count, random, range.first);
 }
 
-/// A copy of the request that arrives while the first write is outstanding needs no answer of its
-/// own; after a failed write the row is written again.
+/// A duplicate request that arrives while the first write is outstanding is not answered
+/// separately; after a failed write the row is written again.
 void SlotAcquireHandler::answerRepeatedAcquisition(const NodeId& from, const AcquireSlot& request,
                                                    OwnedPartition& owned, std::uint32_t number) {
   GrantedSlot& slot = *owned.pool(request.claim.pool()).find(number);
@@ -95,7 +95,7 @@
   slot.row.claim.number = number;
   slot.expiresAt = firstExpiry(pool, request.claim);
   if (pool.name().limiter == kQuotaLimiter) {
-    // A successor lets the number expire after as long a time again.
+    // A successor restarts this time to live, so the number expires there after the same time.
     slot.row.claim.timeToLiveMilliseconds = toMilliseconds(slot.expiresAt - now) + 1;
   }
   slot.acquiredAt = now;
@@ -122,8 +122,8 @@
   replyGranted(from, request, claim.number, epoch);
 }
 
-/// The numbers of a quota expire one after the other at its rate, as in a token bucket. A rate of 0
-/// leaves them their own time to live.
+/// The numbers of a quota expire one after the other at its rate, as in a token bucket. With a rate
+/// of 0 they keep their own time to live.
 Time SlotAcquireHandler::firstExpiry(const SlotPool& pool, const SlotClaim& claim) const {
   const Time now = environment_.context.now();
   const double perSecond = environment_.rates.rate(pool.name()).perSecond;
--- a/src/slots/slot_acquire_handler.h
+++ b/src/slots/slot_acquire_handler.h
@@ -1,5 +1,5 @@
 /// @file
-/// The owner's answer to a request for a slot.
+/// Owner-side handling of slot acquisitions.
 #pragma once
 
 #include "slots/batch_share_assigner.h"
@@ -18,8 +18,8 @@
 ///
 /// A grant is answered once a majority has its row, so a successor's merge finds every grant that a
 /// holder knows of. Until then the number is taken in memory: if the process dies or the write
-/// fails, no holder counts on it. What is answered without a write first proves with a majority
-/// that this node still owns the partition.
+/// fails, no holder relies on it. A grant that is answered again without a write first confirms
+/// with a majority that this node still owns the partition.
 class SlotAcquireHandler {
  public:
   /// Keeps references to all; they must outlive this object.
@@ -43,11 +43,11 @@
              std::uint32_t number);
   GrantedSlot newGrant(const NodeId& from, const AcquireSlot& request, const SlotPool& pool,
                        std::uint32_t number);
-  /// The write of @p claim's row has ended with @p status.
+  /// Called when the write of @p claim's row has completed with @p status.
   void grantWritten(const NodeId& from, const AcquireSlot& request, const SlotClaim& claim,
                     std::uint64_t epoch, const Status& status);
   Time firstExpiry(const SlotPool& pool, const SlotClaim& claim) const;
-  /// The engine for a new holder of @p pool at node @p holder; empty if none is suggested.
+  /// Returns the engine for a new holder of @p pool on node @p holder; empty if none is suggested.
   std::string suggestEngine(const SlotPool& pool, const NodeId& holder);
   void replyGranted(const NodeId& from, const AcquireSlot& request, std::uint32_t number,
                     std::uint64_t epoch);
--- a/src/slots/slot_acquisition.h
+++ b/src/slots/slot_acquisition.h
@@ -1,5 +1,5 @@
 /// @file
-/// The state of one request for slots while its limits are requested one after the other.
+/// State of one request for slots whose limits are requested one after the other.
 #pragma once
 
 #include "kernel/node_id.h"
@@ -16,25 +16,24 @@
 /// The requests for one limit's slot, all with one token.
 struct LimitAttempt {
   SlotClaim claim;
-  NodeId target;              ///< Where the last request went; empty if its answer is known.
+  NodeId target;              ///< Destination of the last request; empty if answered.
   std::uint64_t attempt = 0;  ///< Number of the last request; echoed by the owner.
   std::uint32_t candidate = 0;
   std::uint32_t redirects = 0;  ///< Since the last pause.
   std::uint32_t requests = 0;
   Time firstSentAt;
-  Time storeDeadline;  ///< The limit's fail mode decides then.
+  Time storeDeadline;  ///< The limit's fail mode applies after this.
 };
 
-/// One request for slots on its way through its limits. Sends nothing itself; `SlotClientCore`
-/// does.
+/// Progress of one request for slots through its limits. Sends no messages; `SlotClientCore` does.
 ///
 /// The limits are requested in the order of their pools' names, which is the same on every node, so
-/// that two requests never wait for each other's slots.
+/// that two requests cannot deadlock on each other's slots.
 class SlotAcquisition {
  public:
   using Done = std::function<void(Result<SlotGrant>)>;
 
-  /// @p done is called by the caller of `finish`.
+  /// @p done is called by `finishGranted` and `finishRejected`.
   SlotAcquisition(SlotRequest request, Done done, Time now);
 
   const SlotRequest& request() const { return request_; }
@@ -60,7 +59,7 @@
   const std::vector<OwnerToken>& renewedTokens() const { return renewedTokens_; }
   /// Claims whose slots are left to expire, unless the request is rejected.
   const std::vector<SlotClaim>& expiringClaims() const { return expiringClaims_; }
-  /// The caller has released all slots that were granted so far.
+  /// Clears the granted slots after the caller has released them.
   void clearGranted();
 
   /// Reports the slots to the requester. Call once, when complete.
@@ -71,7 +70,7 @@
   /// The requests for the current limit.
   LimitAttempt& attempt() { return attempt_; }
 
-  /// From now on, until `restart`, the request waits to start again with the first limit.
+  /// Marks the request as waiting to start again with the first limit, until `restart`.
   void startPolling() { polling_ = true; }
   bool polling() const { return polling_; }
 
--- a/src/slots/slot_client.h
+++ b/src/slots/slot_client.h
@@ -23,11 +23,11 @@
   std::string key;      ///< Tenant name, "tenant/route", or model.
 };
 
-/// One limit that must grant.
+/// One limit whose pool must grant a slot.
 struct SlotLimit {
   PoolName pool;
   bool failOpen = true;  ///< Run without a slot if the store cannot be reached.
-  Duration block{0};     ///< Opt-in wait before a refusal.
+  Duration block{0};     ///< Maximum wait before a rejection; 0: none.
   Duration poll{0};      ///< Interval between attempts while blocked, with a jitter of half of it.
   Duration timeToLive{0};  ///< Slot TTL.
   /// The number is neither renewed nor released: its owner lets it expire, and so bounds how many
@@ -40,11 +40,11 @@
   std::string requestId;
   SlotClass serviceClass = SlotClass::Live;
   std::vector<SlotLimit> limits;
-  /// Time after which a store that does not answer is decided by the fail mode; 0: the default.
+  /// Time without an answer from the store after which the fail mode applies; 0: the default.
   Duration storeDeadline{0};
   /// Sent to the owner of the batch pool with each acquisition, if set.
   std::optional<ShareRequest> shareRequest;
-  /// Called with each share that this owner assigns in an answer.
+  /// Called with each share that this owner assigns in a reply.
   std::function<void(const ShareAssignment&)> onShareAssigned;
 };
 
@@ -59,7 +59,7 @@
   };
   std::vector<Slot> slots;
 
-  /// The suggestion of the first pool that makes one; empty if none does.
+  /// Returns the engine suggested by the first pool that suggests one; empty if none does.
   std::string suggestedEngine() const {
     for (const Slot& slot : slots) {
       if (!slot.engine.empty()) {
@@ -76,8 +76,8 @@
  public:
   virtual ~SlotClient() = default;
 
-  /// Asks every limit's pool for a slot, all or nothing. @p done is called once with the grant, or
-  /// `PoolFull`, or `StoreUnavailable` (a limit that fails closed).
+  /// Acquires a slot from every limit's pool, all or nothing. @p done is called once with the
+  /// grant, or `PoolFull`, or `StoreUnavailable` (a limit that fails closed).
   virtual void acquire(SlotRequest request, std::function<void(Result<SlotGrant>)> done) = 0;
 
   /// Releases all slots of a grant. Idempotent; unknown ids are ignored.
--- a/src/slots/slot_client_core.cpp
+++ b/src/slots/slot_client_core.cpp
@@ -123,8 +123,8 @@
   context_.startTimer(id, std::max(Duration{0}, std::min(backoff, left)));
 }
 
-/// The owner did not answer, or a backoff has ended: the next candidate is asked with the same
-/// token, so that at most one slot is granted.
+/// The owner did not answer, or a backoff has ended: the request is sent to the next candidate with
+/// the same token, so that at most one slot is granted.
 void SlotClientCore::onRequestTimeout(std::uint64_t id) {
   LimitAttempt& attempt = acquisitions_.at(id).attempt();
   if (context_.now() >= attempt.storeDeadline) {
@@ -163,13 +163,13 @@
   } else if (reply.outcome == SlotOutcome::NotOwner) {
     onRedirected(id, from, reply);
   } else {
-    attempt.target = {};  // It has answered: asked again, not passed over.
+    attempt.target = {};  // It has answered, so it is retried, not skipped.
     scheduleRetry(id, kAttemptBackoff);
   }
 }
 
-/// A grant that is already past its own time to live, or of an epoch whose memory was lost since,
-/// does not count: the same token is requested again.
+/// Ignores a grant that has already outlived its time to live, or whose epoch precedes a loss of
+/// memory: the same token is requested again.
 void SlotClientCore::onGranted(std::uint64_t id, const AcquireSlotReply& reply) {
   SlotAcquisition& acquisition = acquisitions_.at(id);
   const LimitAttempt& attempt = acquisition.attempt();
@@ -235,8 +235,8 @@
   requestCurrentLimit(id);
 }
 
-/// A token that is neither held nor requested is one of an earlier process of this node, or was
-/// abandoned: no call counts on it and none ever will.
+/// A token that is neither held nor requested belongs to an earlier process of this node or was
+/// abandoned: no call relies on it, now or later.
 void SlotClientCore::onGrantedSlotsQuery(const NodeId& from, const GrantedSlotsQuery& query) {
   renewer_.answerQuery(from, query.claims);
   for (const SlotClaim& claim : query.claims) {
--- a/src/slots/slot_client_core.h
+++ b/src/slots/slot_client_core.h
@@ -18,12 +18,12 @@
 
 namespace shedshed {
 
-/// A limit whose owner has not granted or rejected by then is decided by its fail mode.
+/// Time after which a limit's fail mode applies if its owner has neither granted nor rejected.
 inline constexpr Duration kStoreDeadline = std::chrono::milliseconds(1500);
-/// A store that has not answered after this time is passed over for the next candidate.
+/// Time after which a store that has not answered is skipped for the next candidate.
 inline constexpr Duration kAttemptTimeout = std::chrono::milliseconds(250);
-/// Backoff before the same owner is asked again after `NotReady`, or after redirects that lead
-/// nowhere.
+/// Backoff before a request is sent again after `NotReady`, or after redirects that do not reach
+/// the owner.
 inline constexpr Duration kAttemptBackoff = std::chrono::milliseconds(100);
 /// Redirects that are followed without a backoff.
 inline constexpr std::uint32_t kImmediateRedirects = 2;
@@ -33,7 +33,7 @@
   Duration storeDeadline = kStoreDeadline;
 };
 
-/// Acquires slots for this data node; `SlotRenewer` keeps them, `SlotReleaser` returns them.
+/// Acquires slots for this data node; `SlotRenewer` renews them, `SlotReleaser` releases them.
 ///
 /// The limits of a request are requested one after the other, each with a token of its own. A token
 /// whose request was abandoned is released, whether or not its grant ever arrives.
--- a/src/slots/slot_messages.h
+++ b/src/slots/slot_messages.h
@@ -18,7 +18,7 @@
 
 namespace shedshed {
 
-/// Names one acquisition of one slot. 128 random bits chosen by the holder.
+/// Identifies one acquisition of one slot. 128 random bits chosen by the holder.
 struct OwnerToken {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -44,12 +44,12 @@
   MSGPACK_DEFINE(limiter, key, token, number, timeToLiveMilliseconds, serviceClass);
 };
 
-/// Holder → owner: asks for a free number.
+/// Holder → owner: requests a free number.
 struct AcquireSlot {
   static constexpr ServiceId kService = ServiceId::SlotOwner;
   static constexpr std::uint16_t kKind = 1;
-  std::uint64_t attempt =
-      0;  ///< Echoed; distinguishes a refusal of this attempt from an older one.
+  /// Echoed; distinguishes a rejection of this attempt from that of an older one.
+  std::uint64_t attempt = 0;
   SlotClaim claim;
   std::string run;  ///< Run of the item, if it requests a share; see `ShareRequest`.
   std::int64_t dueInMilliseconds = 0;
@@ -61,7 +61,7 @@
 enum class SlotOutcome : std::uint8_t {
   Granted = 1,        ///< The token holds `number`.
   Full = 2,           ///< No number is free.
-  NotOwner = 3,       ///< Ask `ownerHint`.
+  NotOwner = 3,       ///< Retry at `ownerHint`.
   NotReady = 4,       ///< The owner waits for holders to re-assert their slots.
   Overcommitted = 5,  ///< The number went to another token and no other one is free.
   Released = 6,       ///< The token holds nothing.
@@ -72,13 +72,13 @@
   static constexpr ServiceId kService = ServiceId::SlotClient;
   static constexpr std::uint16_t kKind = 1;
   std::uint64_t attempt = 0;
-  SlotClaim claim;  ///< As asked for, with the number if the answer is `Granted`.
+  SlotClaim claim;  ///< As requested, with the number if the answer is `Granted`.
   SlotOutcome outcome = SlotOutcome::NotReady;
   std::uint32_t poolSize = 0;  ///< N if the answer is `Full`.
   std::uint64_t epoch = 0;     ///< Epoch of the owner that granted.
   NodeId ownerHint;
-  std::string
-      engine;  ///< With `Granted`: engine with the fewest holders of the pool; may be empty.
+  /// With `Granted`: engine with the fewest holders of the pool; may be empty.
+  std::string engine;
   bool shareAssigned = false;  ///< `share` and `free` are set.
   std::uint32_t share = 0;     ///< See `ShareAssignment`.
   std::uint32_t free = 0;
@@ -96,7 +96,7 @@
   MSGPACK_DEFINE(limiter, key, token);
 };
 
-/// Owner → holder: the token holds nothing any more, or another node is the owner.
+/// Owner → holder: the token no longer holds a slot, or another node is the owner.
 struct ReleaseSlotReply {
   static constexpr ServiceId kService = ServiceId::SlotClient;
   static constexpr std::uint16_t kKind = 2;
@@ -139,7 +139,8 @@
   MSGPACK_DEFINE(partition, epoch, requestNumber, ownerHint, slots);
 };
 
-/// Owner → all live holders: the memory of `partition` was lost; re-assert what you hold.
+/// Owner → all live holders: the memory of `partition` was lost; holders must re-assert their
+/// slots.
 struct RecoveryNotice {
   static constexpr ServiceId kService = ServiceId::SlotClient;
   static constexpr std::uint16_t kKind = 4;
@@ -148,8 +149,9 @@
   MSGPACK_DEFINE(partition, epoch);
 };
 
-/// Owner → holder: these slots have not been renewed for a while. The holder renews those that it
-/// holds and releases those that it does not know: a process that was killed left them.
+/// Owner → holder: these slots have not been renewed recently. The holder renews those that it
+/// holds and releases those that it does not know: they were granted to an earlier process that was
+/// killed.
 struct GrantedSlotsQuery {
   static constexpr ServiceId kService = ServiceId::SlotClient;
   static constexpr std::uint16_t kKind = 5;
@@ -193,8 +195,8 @@
   std::uint32_t liveSlots = 0;   ///< Slots of class `Live` held in tenants' pools.
   std::uint32_t batchSlots = 0;  ///< Slots of class `BatchItem` held in tenants' pools.
   std::uint64_t liveGrants = 0;  ///< Grants of class `Live` since the process started.
-  std::uint64_t incarnation =
-      0;  ///< Random per process: distinguishes a restart from a counter that went back.
+  /// Random per process: distinguishes a restart from a report that arrived late.
+  std::uint64_t incarnation = 0;
   MSGPACK_DEFINE(number, liveSlots, batchSlots, liveGrants, incarnation);
 };
 
--- a/src/slots/slot_owner_core.h
+++ b/src/slots/slot_owner_core.h
@@ -25,12 +25,12 @@
 /// Interval of the owner's housekeeping: expiry, recovery notices, sizes.
 inline constexpr Duration kOwnerTick = std::chrono::milliseconds(250);
 
-/// Owns the slots of the partitions of this store: passes each message, change of ownership and
-/// tick to the part that it concerns. Core thread only.
+/// Owns the slots of the partitions of this store: dispatches messages, ownership changes and ticks
+/// to its components. Core thread only.
 ///
-/// `SlotPools` has the granted slots, `SlotAcquireHandler`, `SlotRenewHandler` and
+/// `SlotPools` keeps the granted slots, `SlotAcquireHandler`, `SlotRenewHandler` and
 /// `SlotReleaseHandler` answer the holders, `SlotRecovery` restores a table whose memory was lost,
-/// `PoolCapacity` with `PoolSizer` says how many numbers a pool has, and `SlotUsageReporter`
+/// `PoolCapacity` with `PoolSizer` determines how many numbers a pool has, and `SlotUsageReporter`
 /// informs the other stores.
 class SlotOwnerCore : public Core, public PartitionListener {
  public:
@@ -47,7 +47,7 @@
                        RecoveryKind recovery) override;
   void ownershipLost(const PartitionId& partition) override;
 
-  /// The pools of the owned partitions, for operators.
+  /// Returns the pools of the owned partitions, for operators.
   std::vector<PoolExplanation> explain() const;
 
  private:
--- a/src/slots/slot_owner_environment.h
+++ b/src/slots/slot_owner_environment.h
@@ -1,5 +1,6 @@
 /// @file
-/// What the parts of a slot owner share: the services of its node, and its options.
+/// Dependencies shared by the components of a slot owner: the services of its node, and its
+/// options.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -14,7 +15,7 @@
 
 struct SlotOwnerOptions {
   SlotSafeguards safeguards;
-  Duration directorySettle = kDirectorySettle;  ///< See there.
+  Duration directorySettle = kDirectorySettle;  ///< See `kDirectorySettle`.
 };
 
 /// References to the services of the node; all outlive the slot owner. Holds no state of the owner.
--- a/src/slots/slot_pool.h
+++ b/src/slots/slot_pool.h
@@ -1,5 +1,5 @@
 /// @file
-/// One pool of numbered slots as its owner keeps it.
+/// One pool of numbered slots in its owner's memory.
 #pragma once
 
 #include "kernel/core.h"
@@ -28,7 +28,7 @@
 std::string slotRowKey(const PoolName& pool, std::uint32_t number);
 
 /// A replicated row: who holds the slot. Carries no expiry, since clocks of two machines are never
-/// compared: every owner starts the time to live anew.
+/// compared: every owner restarts the time to live.
 struct SlotRow {
   SlotClaim claim;
   NodeId holder;
@@ -49,7 +49,7 @@
   std::optional<Time> acquiredAt;  ///< Unknown if an earlier owner granted it.
   std::string engine;              ///< Engine suggested to the holder; may be empty.
   bool acknowledged = false;       ///< A majority has the row.
-  bool writeOutstanding = false;   ///< The first write of the row has not ended yet.
+  bool writeOutstanding = false;   ///< The first write of the row has not completed.
 };
 
 /// The granted slots of one pool: an index over the rows of the owner's table.
@@ -66,8 +66,8 @@
   /// Returns the number that @p token holds.
   std::optional<std::uint32_t> numberOf(const OwnerToken& token) const;
 
-  /// Probes each of @p size numbers from @p first on once, from a random start, and returns the
-  /// first that nobody holds.
+  /// Probes the @p size numbers from @p first on once each, from a random start, and returns the
+  /// first that is free.
   std::optional<std::uint32_t> probe(std::uint32_t size, RandomEngine& random,
                                      std::uint32_t first = 0) const;
 
@@ -78,13 +78,13 @@
   void put(std::uint32_t number, GrantedSlot slot);
   void erase(std::uint32_t number);
 
-  /// When the last of the granted slots expires; `Time::min()` if there is none.
+  /// Returns when the last of the granted slots expires; `Time::min()` if there is none.
   Time latestExpiry() const;
 
   /// Which engines were suggested to the holders of the pool's slots.
   const EnginePlacement& placement() const { return placement_; }
 
-  /// Slots granted to holders of @p serviceClass.
+  /// Returns the number of slots granted to holders of @p serviceClass.
   std::uint32_t used(SlotClass serviceClass) const;
 
  private:
--- a/src/slots/slot_pools.cpp
+++ b/src/slots/slot_pools.cpp
@@ -38,9 +38,9 @@
                              });
 }
 
-/// The full time to live starts anew: the time that passed at the earlier owner is not comparable,
-/// and a holder whose renewal that owner confirmed last counts at most one time to live from before
-/// this takeover.
+/// Restarts the full time to live: the time that passed at the previous owner is not comparable,
+/// and a holder relies on the last renewal that the previous owner confirmed for at most one time
+/// to live from before this takeover.
 void SlotPools::loadRow(OwnedPartition& owned, std::string_view key, const std::string& value) {
   Result<SlotRow> row = decodeRecord<SlotRow>(value);
   const std::optional<std::uint32_t> number = rowNumber(key);
--- a/src/slots/slot_pools.h
+++ b/src/slots/slot_pools.h
@@ -13,11 +13,11 @@
 
 namespace shedshed {
 
-/// The owner keeps a slot for this much longer than the holder counts on it. Covers the drift of
+/// The owner keeps a slot for this much longer than its holder relies on it. Covers the drift of
 /// two monotonic clocks over one time to live.
 inline constexpr Duration kExpiryMargin = std::chrono::milliseconds(250);
 /// The holder of a slot that was granted or renewed this long ago is queried whether it still holds
-/// it. Most calls are over by then.
+/// it. Most calls have completed by then.
 inline constexpr Duration kHolderCheckAge = std::chrono::seconds(2);
 
 /// When a slot that is granted or renewed at @p now expires at its owner.
@@ -60,7 +60,7 @@
   std::map<PartitionId, OwnedPartition>& partitions() { return partitions_; }
   const std::map<PartitionId, OwnedPartition>& partitions() const { return partitions_; }
 
-  /// Tokens that released their slot a short time ago.
+  /// Tokens that released their slot recently.
   ReleasedTokens& releasedTokens() { return releasedTokens_; }
 
  private:
--- a/src/slots/slot_recovery.cpp
+++ b/src/slots/slot_recovery.cpp
@@ -8,7 +8,7 @@
 void SlotRecovery::ownershipGained(const PartitionId& partition, std::uint64_t epoch,
                                    RecoveryKind recovery) {
   windows_.close(partition);
-  // A table that was installed after a loss of memory carries the row, whichever owner reads it.
+  // A table that was installed after a loss of memory contains the row, whichever owner reads it.
   const bool marked = environment_.store.get(partition, kRecoveringRow).has_value();
   const bool incomplete = marked || recovery == RecoveryKind::MemoryLost;
   if (!incomplete || !environment_.options.safeguards.recoveryWindow) {
@@ -31,8 +31,8 @@
   sendNotices();
 }
 
-/// A node that is confirmed dead may only be frozen or partitioned. It then counts on its slots,
-/// and its engines work on them, until their time to live has passed.
+/// A node that is confirmed dead may only be frozen or partitioned. It then still relies on its
+/// slots, and engines still run its calls, until their time to live has passed.
 std::vector<NodeId> SlotRecovery::possibleHolders() const {
   const auto table = environment_.directory.table();
   return environment_.options.safeguards.awaitDeadHolders ? table->known(NodeRole::Data)
--- a/src/slots/slot_recovery.h
+++ b/src/slots/slot_recovery.h
@@ -1,5 +1,6 @@
 /// @file
-/// Recovery of partitions whose memory was lost: notices to the holders, and the end of the wait.
+/// Recovery of partitions whose memory was lost: notices to the holders, and the closing of the
+/// recovery windows.
 #pragma once
 
 #include "slots/recovery_windows.h"
@@ -13,7 +14,7 @@
 /// Opens a recovery window when this store takes over a partition without a complete table, queries
 /// the holders for their slots, and closes the window when all have answered or every earlier grant
 /// has expired. While a window is open nothing new is granted in the partition: a number that looks
-/// free may be held.
+/// free may still be held.
 ///
 /// The row `kRecoveringRow` keeps the need for a window durable: a successor that takes over before
 /// the window has closed opens a new one. It is erased only after the window has closed.
--- a/src/slots/slot_release_handler.h
+++ b/src/slots/slot_release_handler.h
@@ -1,5 +1,5 @@
 /// @file
-/// The owner's answer to a release.
+/// Owner-side handling of releases.
 #pragma once
 
 #include "slots/pool_sizer.h"
@@ -17,7 +17,7 @@
 
   /// Idempotent. The number is free as soon as the tombstone is in the owner's table: writes of one
   /// partition complete in order, so no later grant of the number is answered before a majority has
-  /// it. The holder gets its answer then, too; without one it sends the release again.
+  /// it. The holder is answered at the same time; without an answer it sends the release again.
   void release(const NodeId& from, const ReleaseSlot& request);
 
  private:
--- a/src/slots/slot_releaser.h
+++ b/src/slots/slot_releaser.h
@@ -1,5 +1,5 @@
 /// @file
-/// Releases of slots that this node gave up, until their owners have acknowledged them.
+/// Sends the releases of this node's slots until their owners have acknowledged them.
 #pragma once
 
 #include "kernel/core.h"
@@ -25,16 +25,16 @@
   /// Releases the slot that the token of @p claim holds, or may hold without this node's knowledge.
   void release(const SlotClaim& claim);
 
-  /// Sends the pending release of @p token again at once: an owner has just granted to it.
+  /// Sends the pending release of @p token again at once: an owner has just granted a slot to it.
   /// @return false if no release of @p token is pending.
   bool releaseAgain(const OwnerToken& token);
 
   void onReply(const NodeId& from, const ReleaseSlotReply& reply);
 
-  /// Sends again what is due. Call every `kHolderTick`.
+  /// Resends the releases that are due. Call every `kHolderTick`.
   void tick();
 
-  /// True if every release has been acknowledged or has become needless.
+  /// True if every release has been acknowledged or is no longer needed.
   bool idle() const { return pending_.empty(); }
 
  private:
--- a/src/slots/slot_renew_handler.h
+++ b/src/slots/slot_renew_handler.h
@@ -1,5 +1,5 @@
 /// @file
-/// The owner's answer to renewals and re-assertions.
+/// Owner-side handling of renewals and re-assertions.
 #pragma once
 
 #include "slots/pool_capacity.h"
@@ -16,9 +16,9 @@
 /// Extends the time to live of granted slots, and restores slots that the owner does not know: it
 /// let them expire, or their rows were lost. Has no state of its own. Core thread only.
 ///
-/// A renewal changes no row, so its answer comes from memory alone and ownership is proved first: a
-/// fenced owner that continued to renew would let holders outlive the expiry at its successor. A
-/// restored slot is answered once a majority has its row.
+/// A renewal changes no row, so it is answered from memory, after ownership has been confirmed: a
+/// fenced owner that continued to renew would let holders rely on slots that have expired at its
+/// successor. A restored slot is answered once a majority has its row.
 class SlotRenewHandler {
  public:
   /// Keeps references to all; they must outlive this object.
--- a/src/slots/slot_renewer.cpp
+++ b/src/slots/slot_renewer.cpp
@@ -8,7 +8,7 @@
 namespace shedshed {
 namespace {
 
-/// An answer to a renewal that comes later than this no longer extends a lease.
+/// An answer to a renewal that arrives later than this no longer extends a lease.
 constexpr Duration kSentRequestRetention = std::chrono::seconds(10);
 
 }  // namespace
@@ -40,7 +40,7 @@
   return result;
 }
 
-/// All slots fall due together, so that one message per owner renews them all.
+/// Aligns the renewals of all slots, so that one message per owner renews them all.
 Time SlotRenewer::nextRenewal(const SlotClaim& claim) {
   const Time now = context_.now();
   const Time latest = now + timeToLive(claim) / kRenewalsPerTimeToLive;
--- a/src/slots/slot_renewer.h
+++ b/src/slots/slot_renewer.h
@@ -16,7 +16,7 @@
 
 /// A renewal without an answer is sent again after this long, to the next candidate.
 inline constexpr Duration kRenewalRetry = std::chrono::seconds(1);
-/// A slot is renewed when this part of its time to live has passed.
+/// Renewals of a slot within one time to live.
 inline constexpr int kRenewalsPerTimeToLive = 3;
 
 /// A granted slot as its holder sees it. The holder may rely on it until `validUntil`, which is
@@ -26,9 +26,9 @@
   Time validUntil;
 };
 
-/// Renews the slots of this node before they expire, and re-asserts them to owners that lost their
-/// memory. A slot whose renewals fail is kept: its call runs, and a later owner may confirm it.
-/// Core thread only.
+/// Renews the slots of this node before they expire, and re-asserts them to owners whose memory was
+/// lost. A slot whose renewals fail is kept: its call is still running, and a later owner may
+/// confirm it. Core thread only.
 class SlotRenewer {
  public:
   /// Keeps references to all; they must outlive this object. @p discardOldGrants: see
@@ -47,7 +47,7 @@
   void onReply(const NodeId& from, const RenewSlotsReply& reply);
   void onRecoveryNotice(const NodeId& from, const RecoveryNotice& notice);
 
-  /// Renews at @p owner those of @p claims that are held; it has not heard of them for a while.
+  /// Renews at @p owner those of @p claims that are held, in answer to its query.
   void answerQuery(const NodeId& owner, const std::vector<SlotClaim>& claims);
 
   /// True if a grant of @p epoch predates a recovery that this holder has already answered: the
@@ -68,7 +68,7 @@
     Time validUntil;
     Time renewAt;
     std::uint32_t attempt = 0;
-    NodeId target;  ///< Where the last renewal went; empty once it is answered.
+    NodeId target;  ///< Destination of the last renewal; empty once it is answered.
   };
 
   /// Numbers @p request and sends it.
--- a/src/slots/slot_safeguards.h
+++ b/src/slots/slot_safeguards.h
@@ -4,16 +4,16 @@
 
 namespace shedshed {
 
-/// Steps of the protocol that a test or the simulator may leave out, to prove that it would notice.
-/// Daemons always use the default: all on.
+/// Protocol steps that a test or the simulator may disable, to verify that it detects the
+/// violation. Daemons always use the default: all enabled.
 struct SlotSafeguards {
   /// After a loss of memory nothing new is granted before the holders have re-asserted.
   bool recoveryWindow = true;
-  /// A recovery window waits for the holders that are confirmed dead, too.
+  /// A recovery window also waits for the holders that are confirmed dead.
   bool awaitDeadHolders = true;
-  /// A grant is answered only once a majority has it.
+  /// A grant is answered only once a majority has its row.
   bool grantAfterMajority = true;
-  /// An owner proves that it still owns the partition before it answers a renewal.
+  /// An owner confirms that it still owns the partition before it answers a renewal.
   bool confirmRenewals = true;
   /// A repeated acquisition with the same token gets the slot that the token holds.
   bool idempotentTokens = true;
@@ -23,7 +23,7 @@
   bool releaseBeforeRefusal = true;
   /// A grant of an older epoch than a recovery that this holder has answered is discarded.
   bool discardOldGrants = true;
-  /// The holder of a slot that was not renewed for a while is queried whether it still holds it.
+  /// The holder of a slot that has not been renewed recently is queried whether it still holds it.
   bool queryUnresponsiveHolders = true;
 };
 
