--- a/tests/slots/fake_partition_store.h
+++ b/tests/slots/fake_partition_store.h
@@ -11,7 +11,7 @@
 
 namespace shedshed::test {
 
-/// What a majority knows: acknowledged rows, and who owns at which epoch.
+/// State that a majority has: acknowledged rows, and the owner with its epoch.
 struct FakeMajority {
   FakeMajority() {
     for (std::uint32_t index = 0; index < kPartitionCount; ++index) {
@@ -19,7 +19,7 @@
     }
   }
   using Table = std::map<std::string, std::string>;
-  std::vector<std::uint32_t> indices;  ///< Partitions that exist; a long test keeps few.
+  std::vector<std::uint32_t> indices;  ///< Partitions that exist; long tests keep few.
   std::map<PartitionId, Table> tables;
   std::uint64_t epoch = 0;
   NodeId owner;
@@ -35,15 +35,15 @@
   }
 }
 
-/// One store's view. Owns all partitions or none. An owner that was fenced goes on believing that
-/// it owns until `notifyOwnershipLost`.
+/// One store's view. Owns all partitions or none. A fenced owner continues to act as the owner
+/// until `notifyOwnershipLost`.
 class FakePartitionStore : public PartitionStore {
  public:
   FakePartitionStore(FakeMajority& majority, NodeId self)
       : majority_(majority), self_(std::move(self)) {}
 
   /// Takes over from @p previous, of whose outstanding writes the oldest @p surviving are found on
-  /// a replica. `MemoryLost` forgets everything.
+  /// a replica. `MemoryLost` discards all rows.
   void takeOver(FakePartitionStore* previous, std::size_t surviving, RecoveryKind recovery) {
     for (std::size_t i = 0; previous != nullptr && i < surviving && i < previous->pending.size();
          ++i) {
@@ -76,7 +76,8 @@
     failPending();
   }
 
-  /// Lets the oldest outstanding write or proof of ownership end. @return false if there is none.
+  /// Completes the oldest outstanding write or confirmation of ownership. @return false if there is
+  /// none.
   bool completeOne() {
     if (pending.empty()) {
       return false;
--- a/tests/slots/holder_query_test.cpp
+++ b/tests/slots/holder_query_test.cpp
@@ -1,4 +1,4 @@
-// Owners query the holders of slots that were not renewed for a while.
+// Owners query the holders of slots that have not been renewed recently.
 #include "slot_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Service must have recovered this long after the machines.
+/// Time within which service must recover once the machines have.
 constexpr Duration kRecoveryLimit = seconds(15);
 
 SlotLimit longLimit() {
--- a/tests/slots/lending_core_test.cpp
+++ b/tests/slots/lending_core_test.cpp
@@ -25,7 +25,7 @@
     const auto found = lending[store]->explain().find("m");
     return found == lending[store]->explain().end() ? 0 : found->second.lent;
   }
-  /// Items that get a slot of the pools of @p tenant and of the model.
+  /// Returns how many items get a slot from both the pool of @p tenant and the batch pool.
   std::uint32_t itemsAdmitted(const std::string& tenant) {
     std::uint32_t admitted = 0;
     bool granted = true;
@@ -46,7 +46,7 @@
   std::vector<std::unique_ptr<LendingCore>> lending;
 };
 
-/// The same with one tenant, whose pool has as many numbers as the engines run.
+/// The same with one tenant, whose pool has as many numbers as the engines have capacity.
 struct TenantLendingFleet : LendingFleet {
   TenantLendingFleet() { rates.rates["t"] = {0, 40}; }
 };
--- a/tests/slots/quota_test.cpp
+++ b/tests/slots/quota_test.cpp
@@ -22,7 +22,8 @@
 
 }  // namespace
 
-/// 2 a second with a burst of 3: no window of 5 s takes more than 13, however they come.
+/// At 2 requests per second with a burst of 3, no window of 5 s admits more than 13, however they
+/// arrive.
 BOOST_AUTO_TEST_CASE(no_window_passes_more_than_rate_times_window_and_burst) {
   SlotFleet fleet;
   fleet.rates.rates["t"] = {2, 3};
@@ -60,7 +61,7 @@
   }
 }
 
-/// What was not used in a calm time is there again, up to the burst.
+/// Unused quota accumulates at the rate, up to the burst.
 BOOST_AUTO_TEST_CASE(a_burst_fills_up_again_at_the_rate) {
   SlotFleet fleet;
   fleet.rates.rates["t"] = {10, 20};
@@ -78,8 +79,8 @@
   BOOST_TEST(acquireAll() == 21);
 }
 
-/// The successor does not know when the numbers were taken; it may refuse for a while, not grant
-/// more.
+/// The successor does not know when the numbers were taken; it may reject requests for some time,
+/// but must not grant more.
 BOOST_AUTO_TEST_CASE(a_takeover_grants_no_second_burst) {
   SlotFleet fleet;
   fleet.rates.rates["t"] = {2, 10};
--- a/tests/slots/slot_acquisition_test.cpp
+++ b/tests/slots/slot_acquisition_test.cpp
@@ -1,4 +1,4 @@
-// A request passes its limits in one order, and knows what to release.
+// A request acquires its limits in a fixed order and tracks what to release.
 #include "slots/slot_acquisition.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/slots/slot_faults_test.cpp
+++ b/tests/slots/slot_faults_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// No number is granted twice whatever the network and takeovers do.
+/// No number is granted twice under network faults and takeovers.
 #include "slot_fleet.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/slots/slot_fleet.h
+++ b/tests/slots/slot_fleet.h
@@ -1,5 +1,5 @@
 /// @file
-/// Two stores and two fronts for tests of the slots.
+/// Two stores and two data nodes for tests of the slots.
 #pragma once
 
 #include "core_harness.h"
@@ -76,12 +76,12 @@
   std::map<std::string, PoolRate> rates;
 };
 
-/// Why @p result was refused; `Internal` if it was not.
+/// Error code of a rejected @p result; `Internal` if it was granted.
 inline ErrorCode codeOf(const Result<SlotGrant>& result) {
   return result.has_error() ? result.error().code : ErrorCode::Internal;
 }
 
-/// One front with its client.
+/// One data node with its slot client.
 struct DataNode {
   DataNode(Harness& harness, const std::string& name, FakeDirectory& directory,
            FakeConfiguration& configuration, SlotSafeguards safeguards)
@@ -109,7 +109,7 @@
   SlotOwnerCore core;
 };
 
-/// The fleet. `s1:1` owns everything at the start.
+/// Two stores and two data nodes. `s1:1` owns all partitions at the start.
 class SlotFleet {
  public:
   explicit SlotFleet(SlotSafeguards safeguards = {}) {
@@ -134,7 +134,7 @@
     harness.settle();
   }
 
-  /// Store @p to takes over; the other one is notified at once if @p notified.
+  /// Store @p to takes over; the other one is notified immediately if @p notified.
   void takeOver(int to, RecoveryKind recovery, bool notified = true, std::size_t surviving = 0) {
     stores[to]->table.takeOver(&stores[1 - to]->table, surviving, recovery);
     if (notified) {
@@ -142,7 +142,7 @@
     }
   }
 
-  /// What the directory says of @p node from now on.
+  /// Sets the state that the directory reports for @p node.
   void setState(const std::string& node, NodeState state) {
     for (NodeInfo& info : directory.nodes->nodes) {
       if (info.id.address == node) {
@@ -156,7 +156,7 @@
     return {{limiter, key}, failOpen, block, milliseconds(100), kTestTimeToLive};
   }
 
-  /// Starts an acquisition on front @p dataNode; the outcome is stored in the returned object.
+  /// Starts an acquisition on data node @p dataNode; the outcome is stored in the returned object.
   std::shared_ptr<std::optional<Result<SlotGrant>>> start(int dataNode,
                                                           std::vector<SlotLimit> limits) {
     auto outcome = std::make_shared<std::optional<Result<SlotGrant>>>();
@@ -189,7 +189,7 @@
     return false;
   }
 
-  /// Acknowledged slots.
+  /// Returns the number of acknowledged slot rows.
   std::size_t rows() const {
     std::size_t count = 0;
     for (const auto& table : majority.tables) {
--- a/tests/slots/slot_recovery_test.cpp
+++ b/tests/slots/slot_recovery_test.cpp
@@ -32,7 +32,8 @@
 }
 
 /// A store that has just started may not know all holders: the answers of those that it knows do
-/// not end the window (two holders of one number in chaos 2, 23 and 29 of the simulator).
+/// not end the window (two holders of one number in seeds 2, 23 and 29 of the simulator's chaos
+/// scenario).
 BOOST_AUTO_TEST_CASE(an_owner_that_has_just_started_does_not_close_the_window_early) {
   SlotFleet fleet;
   fleet.takeOver(1, RecoveryKind::MemoryLost);
@@ -42,8 +43,9 @@
   BOOST_TEST(fleet.acquire(0, {SlotFleet::limit("t")}).has_value());
 }
 
-/// A holder that is confirmed dead may only be frozen or partitioned, and counts on its slots until
-/// they expire: the window must not close on the answers of the others (chaos 36 of the simulator).
+/// A holder that is confirmed dead may only be frozen or partitioned, and relies on its slots until
+/// they expire: the window must not close on the answers of the others (seed 36 of the simulator's
+/// chaos scenario).
 BOOST_AUTO_TEST_CASE(a_window_waits_for_holders_that_are_confirmed_dead) {
   for (const bool enabled : {true, false}) {
     SlotSafeguards safeguards;
@@ -87,7 +89,7 @@
   BOOST_TEST(fleet.acquire(1, {SlotFleet::limit("t")}).has_value());
 }
 
-/// The second takeover finds all that the first one installed, but that was incomplete.
+/// The second takeover finds the table that the first one installed, but that table is incomplete.
 BOOST_AUTO_TEST_CASE(takeover_within_a_recovery_window_opens_it_again) {
   SlotFleet fleet;
   fleet.harness.advance(kDirectorySettle);
