--- a/src/slots/pool_rates.h
+++ b/src/slots/pool_rates.h
@@ -32,7 +32,7 @@
  public:
   virtual ~PoolRateSource() = default;
 
-  /// Returns the rate of @p pool ("tenant" and "route" limiters).
+  /// Returns the rate of @p pool ("tenant", "route" and "quota" limiters).
   virtual PoolRate rate(const PoolName& pool) const = 0;
 
   /// Returns all pools that share the engines: one for each tenant.
--- a/src/slots/slot_messages.h
+++ b/src/slots/slot_messages.h
@@ -139,7 +139,7 @@
   MSGPACK_DEFINE(partition, epoch, requestNumber, ownerHint, slots);
 };
 
-/// Owner → all live holders: the memory of `partition` was lost; holders must re-assert their
+/// Owner → all known data nodes: the memory of `partition` was lost; holders must re-assert their
 /// slots.
 struct RecoveryNotice {
   static constexpr ServiceId kService = ServiceId::SlotClient;
@@ -187,12 +187,12 @@
   MSGPACK_DEFINE(model, size, epoch, number);
 };
 
-/// Owner → all live stores: slots of live calls in use on this store.
+/// Owner → all live stores: slots in use on this store.
 struct SlotUsageReport {
   static constexpr ServiceId kService = ServiceId::Lending;
   static constexpr std::uint16_t kKind = 1;
   std::uint64_t number = 0;      ///< Rises with each report of a process.
-  std::uint32_t liveSlots = 0;   ///< Slots of class `Live` held in tenants' pools.
+  std::uint32_t liveSlots = 0;   ///< Slots of class `Live` in tenants' and services' pools.
   std::uint32_t batchSlots = 0;  ///< Slots of class `BatchItem` held in tenants' pools.
   std::uint64_t liveGrants = 0;  ///< Grants of class `Live` since the process started.
   /// Random per process: distinguishes a restart from a report that arrived late.
