--- a/src/slots/pool_sizer.cpp
+++ b/src/slots/pool_sizer.cpp
@@ -6,7 +6,8 @@
 namespace shedshed {
 namespace {
 
-/// Keeps a product such as 0.1 × 30 from being rounded up past its whole value.
+/// Keeps floating-point error from rounding a product such as 0.1 × 30 past its exact integer
+/// value.
 constexpr double kRoundingTolerance = 1e-9;
 
 double seconds(Duration duration) {
@@ -25,8 +26,9 @@
 }
 
 std::uint32_t quotaPoolSize(const PoolRate& rate) {
-  const double uneven = std::floor(rate.perSecond * seconds(kQuotaEvenness) + kRoundingTolerance);
-  return static_cast<std::uint32_t>(std::max(1.0, uneven)) + rate.burst;
+  const double minimumBurst =
+      std::floor(rate.perSecond * seconds(kQuotaMinimumBurstInterval) + kRoundingTolerance);
+  return static_cast<std::uint32_t>(std::max(1.0, minimumBurst)) + rate.burst;
 }
 
 std::uint32_t readyEngineCapacity(const EngineTable& engines, const std::string& model) {
@@ -74,9 +76,9 @@
   const double factor = std::pow(kHoldTimeChangePerSecond, seconds(elapsed));
   for (auto& entry : measurements_) {
     Measurement& measured = entry.second;
-    const double lowest = measured.inForceSeconds / factor;
-    const double highest = measured.inForceSeconds * factor;
-    measured.inForceSeconds = std::clamp(measured.meanSeconds, lowest, highest);
+    const double lowest = measured.effectiveSeconds / factor;
+    const double highest = measured.effectiveSeconds * factor;
+    measured.effectiveSeconds = std::clamp(measured.meanSeconds, lowest, highest);
   }
   scale_ = computeScale();
 }
@@ -87,11 +89,11 @@
     return kDefaultHoldTime;
   }
   return std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(found->second.inForceSeconds));
+      std::chrono::duration<double>(found->second.effectiveSeconds));
 }
 
-/// Without any ready engine nothing is scaled: routing refuses such a call with its own error, and
-/// an owner whose engine table is still empty must not refuse in its place.
+/// Does not scale without a ready engine: routing rejects such a call with a specific error, and an
+/// owner whose engine table is still empty must not reject it first.
 double PoolSizer::computeScale() const {
   const std::uint32_t capacity = readyEngineCapacity(*engines_.table());
   std::uint64_t total = 0;
--- a/tests/slots/lending_core_test.cpp
+++ b/tests/slots/lending_core_test.cpp
@@ -25,7 +25,7 @@
     const auto found = lending[store]->explain().find("m");
     return found == lending[store]->explain().end() ? 0 : found->second.lent;
   }
-  /// Items that get a slot of the pools of @p tenant and of the model.
+  /// Returns how many items get a slot from both the pool of @p tenant and the batch pool.
   std::uint32_t itemsAdmitted(const std::string& tenant) {
     std::uint32_t admitted = 0;
     bool granted = true;
@@ -35,7 +35,8 @@
       request.serviceClass = SlotClass::BatchItem;
       request.limits = {limit(tenant), limit("m", false, {}, kBatchLimiter)};
       auto outcome = std::make_shared<std::optional<Result<SlotGrant>>>();
-      fronts[0]->core.acquire(request, [outcome](Result<SlotGrant> result) { *outcome = result; });
+      dataNodes[0]->core.acquire(request,
+                                 [outcome](Result<SlotGrant> result) { *outcome = result; });
       harness.settle();
       granted = outcome->has_value() && (*outcome)->has_value();
       admitted += granted ? 1 : 0;
@@ -45,7 +46,7 @@
   std::vector<std::unique_ptr<LendingCore>> lending;
 };
 
-/// The same with one tenant, whose pool has as many numbers as the engines run.
+/// The same with one tenant, whose pool has as many numbers as the engines have capacity.
 struct TenantLendingFleet : LendingFleet {
   TenantLendingFleet() { rates.rates["t"] = {0, 40}; }
 };
--- a/tests/slots/slot_fleet.h
+++ b/tests/slots/slot_fleet.h
@@ -1,5 +1,5 @@
 /// @file
-/// Two stores and two fronts for tests of the slots.
+/// Two stores and two data nodes for tests of the slots.
 #pragma once
 
 #include "core_harness.h"
@@ -76,15 +76,15 @@
   std::map<std::string, PoolRate> rates;
 };
 
-/// Why @p result was refused; `Internal` if it was not.
+/// Error code of a rejected @p result; `Internal` if it was granted.
 inline ErrorCode codeOf(const Result<SlotGrant>& result) {
   return result.has_error() ? result.error().code : ErrorCode::Internal;
 }
 
-/// One front with its client.
-struct Front {
-  Front(Harness& harness, const std::string& name, FakeDirectory& directory,
-        FakeConfiguration& configuration, SlotSafeguards safeguards)
+/// One data node with its slot client.
+struct DataNode {
+  DataNode(Harness& harness, const std::string& name, FakeDirectory& directory,
+           FakeConfiguration& configuration, SlotSafeguards safeguards)
       : locator(directory, configuration), context(harness.context(name, ServiceId::SlotClient)),
         core(context, locator, {safeguards, kStoreDeadline}) {
     harness.attach(context, core);
@@ -109,7 +109,7 @@
   SlotOwnerCore core;
 };
 
-/// The fleet. `s1:1` owns everything at the start.
+/// Two stores and two data nodes. `s1:1` owns all partitions at the start.
 class SlotFleet {
  public:
   explicit SlotFleet(SlotSafeguards safeguards = {}) {
@@ -127,14 +127,14 @@
       const std::string number = std::to_string(i + 1);
       stores.push_back(std::make_unique<Store>(harness, "s" + number + ":1", majority, rates,
                                                engines, directory, safeguards));
-      fronts.push_back(std::make_unique<Front>(harness, "f" + number + ":1", directory,
-                                               configuration, safeguards));
+      dataNodes.push_back(std::make_unique<DataNode>(harness, "f" + number + ":1", directory,
+                                                     configuration, safeguards));
     }
     stores[0]->table.takeOver(nullptr, 0, RecoveryKind::Complete);
     harness.settle();
   }
 
-  /// Store @p to takes over; the other one is notified at once if @p notified.
+  /// Store @p to takes over; the other one is notified immediately if @p notified.
   void takeOver(int to, RecoveryKind recovery, bool notified = true, std::size_t surviving = 0) {
     stores[to]->table.takeOver(&stores[1 - to]->table, surviving, recovery);
     if (notified) {
@@ -142,7 +142,7 @@
     }
   }
 
-  /// What the directory says of @p node from now on.
+  /// Sets the state that the directory reports for @p node.
   void setState(const std::string& node, NodeState state) {
     for (NodeInfo& info : directory.nodes->nodes) {
       if (info.id.address == node) {
@@ -156,18 +156,18 @@
     return {{limiter, key}, failOpen, block, milliseconds(100), kTestTimeToLive};
   }
 
-  /// Starts an acquisition on front @p front; the outcome is stored in the returned object.
-  std::shared_ptr<std::optional<Result<SlotGrant>>> start(int front,
+  /// Starts an acquisition on data node @p dataNode; the outcome is stored in the returned object.
+  std::shared_ptr<std::optional<Result<SlotGrant>>> start(int dataNode,
                                                           std::vector<SlotLimit> limits) {
     auto outcome = std::make_shared<std::optional<Result<SlotGrant>>>();
-    fronts[front]->core.acquire({"request", SlotClass::Live, std::move(limits)},
-                                [outcome](Result<SlotGrant> result) { *outcome = result; });
+    dataNodes[dataNode]->core.acquire({"request", SlotClass::Live, std::move(limits)},
+                                      [outcome](Result<SlotGrant> result) { *outcome = result; });
     return outcome;
   }
 
   /// Acquires and waits for up to two store deadlines.
-  Result<SlotGrant> acquire(int front, std::vector<SlotLimit> limits) {
-    const auto outcome = start(front, std::move(limits));
+  Result<SlotGrant> acquire(int dataNode, std::vector<SlotLimit> limits) {
+    const auto outcome = start(dataNode, std::move(limits));
     harness.settle();
     for (int i = 0; i < 40 && !*outcome; ++i) {
       harness.advance(milliseconds(100));
@@ -178,8 +178,8 @@
   /// True if two holders rely on the same number at present.
   bool numberGrantedTwice() const {
     std::set<std::pair<std::string, std::uint32_t>> numbers;
-    for (const auto& front : fronts) {
-      for (const HolderLease& lease : front->core.leases()) {
+    for (const auto& dataNode : dataNodes) {
+      for (const HolderLease& lease : dataNode->core.leases()) {
         const bool valid = lease.validUntil > harness.now;
         if (valid && !numbers.insert({lease.claim.key, lease.claim.number}).second) {
           return true;
@@ -189,7 +189,7 @@
     return false;
   }
 
-  /// Acknowledged slots.
+  /// Returns the number of acknowledged slot rows.
   std::size_t rows() const {
     std::size_t count = 0;
     for (const auto& table : majority.tables) {
@@ -215,7 +215,7 @@
   FakeRates rates;
   FakeMajority majority;
   std::vector<std::unique_ptr<Store>> stores;
-  std::vector<std::unique_ptr<Front>> fronts;
+  std::vector<std::unique_ptr<DataNode>> dataNodes;
 };
 
 }  // namespace shedshed::test
