--- a/src/gateway/batch_dialect.h
+++ b/src/gateway/batch_dialect.h
@@ -15,9 +15,9 @@
 
 /// A read or an end of a batch.
 struct BatchCall {
-  enum class Kind : std::uint8_t { Results, ItemBody, End };
+  enum class Kind : std::uint8_t { Results, ItemBody, Cancel };
   Kind kind = Kind::Results;
-  std::string batchKey;    ///< The id that the caller chose when it handed the batch in.
+  std::string clientKey;   ///< The id that the caller chose when it handed the batch in.
   std::uint64_t from = 0;  ///< First position wanted, of `Results`.
   std::string itemName;    ///< Of `ItemBody`.
 };
@@ -42,16 +42,16 @@
 
   /// Returns the call that @p method and @p target stand for; nullopt if they are no batch call.
   /// A malformed batch call is an error.
-  virtual Result<std::optional<BatchCall>> readCall(std::string_view method,
-                                                    std::string_view target) const = 0;
+  virtual Result<std::optional<BatchCall>> parseCall(std::string_view method,
+                                                     std::string_view target) const = 0;
 
   /// Reads the items of a batch that is handed in. Sets `name`, `target`, `headers`, `body` and
   /// `tokens` of each.
-  virtual Result<std::vector<BatchItemCall>> readItems(const std::string& body) const = 0;
+  virtual Result<std::vector<BatchItemCall>> parseItems(const std::string& body) const = 0;
 
   /// Writes a page of results; at most about @p maxBytes of them, but one at least.
-  virtual std::string writeResults(const ResultPage& page, std::uint64_t from,
-                                   std::size_t maxBytes) const = 0;
+  virtual std::string formatResults(const ResultPage& page, std::uint64_t from,
+                                    std::size_t maxBytes) const = 0;
 };
 
 }  // namespace shedshed
--- a/src/gateway/batch_filter.cpp
+++ b/src/gateway/batch_filter.cpp
@@ -12,8 +12,8 @@
 constexpr int kOk = 200;
 
 /// Most results of one read, and the bytes of one answer.
-constexpr std::uint32_t kMostResults = 200;
-constexpr std::size_t kMostResultBytes = 900U << 10U;
+constexpr std::uint32_t kMaxResults = 200;
+constexpr std::size_t kMaxResultBytes = 900U << 10U;
 
 void answerJson(GatewayCall& call, int status, std::string body) {
   call.answer.status = status;
@@ -22,7 +22,7 @@
 }
 
 /// A failure to reach the batch's owner: the answer to a read may be asked for again anywhere.
-Error unavailable(const Error& error) {
+Error toCallerError(const Error& error) {
   const bool final = error.code == ErrorCode::NotFound || error.code == ErrorCode::InvalidArgument;
   return final ? error : makeError(ErrorCode::StoreUnavailable, error.detail);
 }
@@ -41,7 +41,7 @@
 }
 
 Result<GatewayStep> BatchFilter::apply(GatewayCall& call, boost::asio::yield_context yield) {
-  const auto batch = dialect_.readCall(call.call.method, call.call.target);
+  const auto batch = dialect_.parseCall(call.call.method, call.call.target);
   if (!batch) {
     return batch.error();
   }
@@ -65,8 +65,8 @@
     return results(call, *batch.value(), yield);
   case BatchCall::Kind::ItemBody:
     return itemBody(call, *batch.value(), yield);
-  case BatchCall::Kind::End:
-    return end(call, *batch.value(), yield);
+  case BatchCall::Kind::Cancel:
+    return cancelBatch(call, *batch.value(), yield);
   }
   return GatewayStep::Continue;
 }
@@ -79,7 +79,7 @@
   if (call.call.method != "POST" || call.call.requestId.empty()) {
     return makeError(ErrorCode::InvalidArgument, "a batch is handed in by POST, with an id");
   }
-  Result<std::vector<BatchItemCall>> items = dialect_.readItems(call.call.body);
+  Result<std::vector<BatchItemCall>> items = dialect_.parseItems(call.call.body);
   if (!items) {
     return items.error();
   }
@@ -96,8 +96,10 @@
     submission.tokens.push_back(item.tokens);
     submission.items.push_back(encodeRecord(item));
   }
-  const auto hand = [this, submission](auto done) { services_.batches.submit(submission, done); };
-  const auto accepted = awaitCore<Result<BatchStatus>>(services_.core, yield, hand);
+  const auto submitBatch = [this, submission](auto done) {
+    services_.batches.submit(submission, done);
+  };
+  const auto accepted = awaitCore<Result<BatchStatus>>(services_.core, yield, submitBatch);
   if (!accepted) {
     return accepted.error();
   }
@@ -107,27 +109,27 @@
 
 Result<GatewayStep> BatchFilter::results(GatewayCall& call, const BatchCall& batch,
                                          boost::asio::yield_context yield) {
-  const std::string id = batchIdOfClientKey(call.call.tenant, batch.batchKey);
+  const std::string id = batchIdOfClientKey(call.call.tenant, batch.clientKey);
   const auto read = [this, &call, &batch, id](auto done) {
-    services_.batches.results(call.call.tenant, id, batch.from, kMostResults, done);
+    services_.batches.results(call.call.tenant, id, batch.from, kMaxResults, done);
   };
   const auto page = awaitCore<Result<ResultPage>>(services_.core, yield, read);
   if (!page) {
-    return unavailable(page.error());
+    return toCallerError(page.error());
   }
-  answerJson(call, kOk, dialect_.writeResults(page.value(), batch.from, kMostResultBytes));
+  answerJson(call, kOk, dialect_.formatResults(page.value(), batch.from, kMaxResultBytes));
   return GatewayStep::Answered;
 }
 
 Result<GatewayStep> BatchFilter::itemBody(GatewayCall& call, const BatchCall& batch,
                                           boost::asio::yield_context yield) {
-  const std::string id = batchIdOfClientKey(call.call.tenant, batch.batchKey);
+  const std::string id = batchIdOfClientKey(call.call.tenant, batch.clientKey);
   const auto read = [this, &call, &batch, id](auto done) {
     services_.batches.itemBody(call.call.tenant, id, batch.itemName, done);
   };
   const auto body = awaitCore<Result<std::string>>(services_.core, yield, read);
   if (!body) {
-    return unavailable(body.error());
+    return toCallerError(body.error());
   }
   Result<BatchItemCall> item = decodeRecord<BatchItemCall>(body.value());
   if (!item) {
@@ -139,15 +141,15 @@
   return GatewayStep::Answered;
 }
 
-Result<GatewayStep> BatchFilter::end(GatewayCall& call, const BatchCall& batch,
-                                     boost::asio::yield_context yield) {
-  const std::string id = batchIdOfClientKey(call.call.tenant, batch.batchKey);
+Result<GatewayStep> BatchFilter::cancelBatch(GatewayCall& call, const BatchCall& batch,
+                                             boost::asio::yield_context yield) {
+  const std::string id = batchIdOfClientKey(call.call.tenant, batch.clientKey);
   const auto cancel = [this, &call, id](auto done) {
     services_.batches.cancel(call.call.tenant, id, done);
   };
-  const auto ended = awaitCore<Result<BatchStatus>>(services_.core, yield, cancel);
-  if (!ended) {
-    return unavailable(ended.error());
+  const auto cancelled = awaitCore<Result<BatchStatus>>(services_.core, yield, cancel);
+  if (!cancelled) {
+    return toCallerError(cancelled.error());
   }
   answerJson(call, kOk, "{}");
   return GatewayStep::Answered;
--- a/src/gateway/batch_filter.h
+++ b/src/gateway/batch_filter.h
@@ -24,8 +24,8 @@
                               boost::asio::yield_context yield);
   Result<GatewayStep> itemBody(GatewayCall& call, const BatchCall& batch,
                                boost::asio::yield_context yield);
-  Result<GatewayStep> end(GatewayCall& call, const BatchCall& batch,
-                          boost::asio::yield_context yield);
+  Result<GatewayStep> cancelBatch(GatewayCall& call, const BatchCall& batch,
+                                  boost::asio::yield_context yield);
   Result<std::string> tenantOf(const GatewayCall& call) const;
 
   GatewayServices& services_;
--- a/src/gateway/buffered_request_server.cpp
+++ b/src/gateway/buffered_request_server.cpp
@@ -20,23 +20,23 @@
 
 constexpr std::size_t kStackBytes = 256U << 10U;
 constexpr std::uint32_t kMaxHeaderBytes = 16U << 10U;
-constexpr Duration kIdleLimit = std::chrono::seconds(30);
-constexpr Duration kReadLimit = std::chrono::seconds(10);
-constexpr Duration kLinger = std::chrono::milliseconds(500);
+constexpr Duration kIdleTimeout = std::chrono::seconds(30);
+constexpr Duration kReadTimeout = std::chrono::seconds(10);
+constexpr Duration kLingerTimeout = std::chrono::milliseconds(500);
 
 std::string toText(boost::beast::string_view text) {
   return std::string(text.data(), text.size());
 }
 
-BufferedRequest callOf(http::request<http::string_body>& message) {
-  BufferedRequest call;
-  call.method = toText(message.method_string());
-  call.target = toText(message.target());
+BufferedRequest requestOf(http::request<http::string_body>& message) {
+  BufferedRequest request;
+  request.method = toText(message.method_string());
+  request.target = toText(message.target());
   for (const auto& field : message.base()) {
-    call.headers.push_back({toText(field.name_string()), toText(field.value())});
+    request.headers.push_back({toText(field.name_string()), toText(field.value())});
   }
-  call.body = std::move(message.body());
-  return call;
+  request.body = std::move(message.body());
+  return request;
 }
 
 http::response<http::string_body> responseOf(const GatewayAnswer& answer, bool keepAlive) {
@@ -53,7 +53,7 @@
 }
 
 /// Runs tasks at once: server and handler share one thread.
-class SameThread : public CoreExecutor {
+class InlineExecutor : public CoreExecutor {
  public:
   void post(std::function<void()> task) override { task(); }
   Time now() const override { return {}; }
@@ -64,10 +64,10 @@
   error_code failed;
   socket.shutdown(net::ip::tcp::socket::shutdown_send, failed);
   SocketDeadline deadline(strand, socket);
-  deadline.arm(kLinger);
-  std::array<char, 4096> dropped{};
+  deadline.arm(kLingerTimeout);
+  std::array<char, 4096> discarded{};
   while (!failed) {
-    socket.async_read_some(net::buffer(dropped), yield[failed]);
+    socket.async_read_some(net::buffer(discarded), yield[failed]);
   }
 }
 
@@ -115,7 +115,7 @@
 void BufferedRequestServer::serve(net::ip::tcp::socket& socket, const ServingStrand& strand,
                                   net::yield_context yield) {
   boost::beast::flat_buffer buffer;
-  SameThread sameThread;
+  InlineExecutor inlineExecutor;
   bool open = true;
   while (open) {
     http::request_parser<http::string_body> parser;
@@ -123,7 +123,7 @@
     parser.body_limit(maxBodyBytes_);
     error_code failed;
     SocketDeadline deadline(strand, socket);
-    deadline.arm(buffer.size() > 0 ? kReadLimit : kIdleLimit);
+    deadline.arm(buffer.size() > 0 ? kReadTimeout : kIdleTimeout);
     http::async_read(socket, buffer, parser, yield[failed]);
     deadline.disarm();
     GatewayAnswer answer;
@@ -136,13 +136,13 @@
       answer = gatewayErrorAnswer(framing.error(), {});
       open = false;
     } else {
-      const BufferedRequest call = callOf(parser.get());
-      answer = awaitCore<GatewayAnswer>(sameThread, yield,
-                                        [this, &call](Done done) { handler_(call, done); });
+      const BufferedRequest request = requestOf(parser.get());
+      answer = awaitCore<GatewayAnswer>(inlineExecutor, yield,
+                                        [this, &request](Done done) { handler_(request, done); });
       open = parser.keep_alive();
     }
     auto response = responseOf(answer, open);
-    deadline.arm(kReadLimit);
+    deadline.arm(kReadTimeout);
     http::async_write(socket, response, yield[failed]);
     if (failed) {
       return;
--- a/src/gateway/buffered_request_server.h
+++ b/src/gateway/buffered_request_server.h
@@ -27,7 +27,7 @@
  public:
   using Done = std::function<void(GatewayAnswer)>;
   /// Answers a call by calling `done` once, at once or later, on the thread of the event loop.
-  using Handler = std::function<void(const BufferedRequest& call, Done done)>;
+  using Handler = std::function<void(const BufferedRequest& request, Done done)>;
 
   /// @p maxBodyBytes: a larger body is refused with 413.
   BufferedRequestServer(boost::asio::io_context& io, std::string address, std::size_t maxBodyBytes,
--- a/src/gateway/call_filters.cpp
+++ b/src/gateway/call_filters.cpp
@@ -13,28 +13,28 @@
 namespace {
 
 /// Share of a route's objective that a call waits for a store before its fail mode decides.
-constexpr int kObjectiveParts = 5;
-constexpr Duration kShortestStoreWait = std::chrono::milliseconds(40);
-constexpr Duration kLongestStoreWait = std::chrono::milliseconds(300);
+constexpr int kStoreWaitDivisor = 5;
+constexpr Duration kMinStoreWait = std::chrono::milliseconds(40);
+constexpr Duration kMaxStoreWait = std::chrono::milliseconds(300);
 
 /// A number from 0 to below 1 that follows from the id.
-double pointOf(const std::string& id) {
+double hashFraction(const std::string& id) {
   constexpr double kSteps = 1U << 20U;
   return static_cast<double>(hash64(id) % (1U << 20U)) / kSteps;
 }
 
 }  // namespace
 
-const std::string& chooseService(const RouteSettings& route, double point) {
+const std::string& chooseService(const RouteSettings& route, double fraction) {
   double total = 0;
-  for (const WeightedService& share : route.services) {
-    total += share.weight;
-  }
-  double rest = point * total;
-  for (const WeightedService& share : route.services) {
-    rest -= share.weight;
-    if (rest < 0) {
-      return share.service;
+  for (const WeightedService& candidate : route.services) {
+    total += candidate.weight;
+  }
+  double remaining = fraction * total;
+  for (const WeightedService& candidate : route.services) {
+    remaining -= candidate.weight;
+    if (remaining < 0) {
+      return candidate.service;
     }
   }
   return route.services.back().service;
@@ -58,12 +58,12 @@
 }
 
 void SettingsInForceFilter::awaitStart(const GatewayCall& call, boost::asio::yield_context yield) {
-  boost::asio::steady_timer pause(call.strand);
+  boost::asio::steady_timer timer(call.strand);
   while (!checkGatewayReady(services_) && !services_.draining && !call.abort.aborted() &&
          mayWaitForStart(services_.started, call.arrived, services_.core.now())) {
     boost::system::error_code ignored;
-    pause.expires_after(kStartWaitStep);
-    pause.async_wait(yield[ignored]);
+    timer.expires_after(kStartWaitPollInterval);
+    timer.async_wait(yield[ignored]);
   }
 }
 
@@ -86,7 +86,7 @@
   }
   const RouteSettings& route = *call.route;
   OpaqueCall& opaque = call.call;
-  opaque.service = chooseService(route, pointOf(opaque.requestId));
+  opaque.service = chooseService(route, hashFraction(opaque.requestId));
   opaque.resumable = route.kind == RouteKind::Streaming && route.resumable;
   opaque.idempotent = route.kind == RouteKind::Safe || opaque.resumable;
   opaque.maxAttempts = std::max(route.maxAttempts, 1U);
@@ -111,8 +111,8 @@
   const EffectiveSettings settings = call.settings->effective(tenant, call.route->name);
   SlotRequest request;
   request.requestId = call.call.requestId;
-  request.storeDeadline = std::clamp(Duration(call.route->objective / kObjectiveParts),
-                                     kShortestStoreWait, kLongestStoreWait);
+  request.storeDeadline =
+      std::clamp(Duration(call.route->objective / kStoreWaitDivisor), kMinStoreWait, kMaxStoreWait);
   SlotLimit limit;
   limit.failOpen = settings.failMode == FailMode::Open;
   limit.block = settings.block;
@@ -129,15 +129,15 @@
   return request;
 }
 
-bool TenantSlotFilter::mayRunWithoutQuota(const GatewayCall& call) {
+bool TenantSlotFilter::tryAcquireQuotaShare(const GatewayCall& call) {
   const EffectiveSettings settings = call.settings->effective(call.call.tenant, call.route->name);
   const auto nodes = services_.directory.table();
-  const auto fronts =
+  const auto dataNodes =
       std::count_if(nodes->nodes.begin(), nodes->nodes.end(),
                     [](const NodeInfo& node) { return node.role == NodeRole::Data; });
   const SharedQuota quota{settings.perSecond, static_cast<double>(settings.burst),
-                          static_cast<std::size_t>(fronts)};
-  return shares_.take(call.call.tenant, quota, services_.core.now());
+                          static_cast<std::size_t>(dataNodes)};
+  return quotaShare_.tryAcquire(call.call.tenant, quota, services_.core.now());
 }
 
 Result<GatewayStep> TenantSlotFilter::apply(GatewayCall& call, boost::asio::yield_context yield) {
@@ -149,7 +149,7 @@
     const bool overQuota = grant.error().code == ErrorCode::PoolFull &&
                            grant.error().detail.rfind(kQuotaLimiter, 0) == 0;
     if (overQuota) {
-      shares_.noteRefusal(call.call.tenant, services_.core.now());
+      quotaShare_.recordRefusal(call.call.tenant, services_.core.now());
     }
     return grant.error();
   }
@@ -158,7 +158,7 @@
   for (const SlotGrant::Slot& slot : grant.value().slots) {
     services_.journal->note(call.call.requestId, "slot",
                             slot.pool.limiter + " " + std::to_string(slot.number));
-    if (slot.withoutSlot && slot.pool.limiter == kQuotaLimiter && !mayRunWithoutQuota(call)) {
+    if (slot.withoutSlot && slot.pool.limiter == kQuotaLimiter && !tryAcquireQuotaShare(call)) {
       call.slots.release();
       return makeError(ErrorCode::PoolFull, "this node's share of the quota is used up");
     }
--- a/src/gateway/call_filters.h
+++ b/src/gateway/call_filters.h
@@ -44,10 +44,10 @@
  private:
   SlotRequest slotRequest(const GatewayCall& call) const;
   /// Bounds what is admitted by the fail mode: this front's share of the quota.
-  bool mayRunWithoutQuota(const GatewayCall& call);
+  bool tryAcquireQuotaShare(const GatewayCall& call);
 
   GatewayServices& services_;
-  QuotaShare shares_;
+  QuotaShare quotaShare_;
 };
 
 /// Sends the call to an engine and its answer back.
@@ -61,6 +61,6 @@
 };
 
 /// Chooses a service of @p route by weight; @p point is from 0 to below 1.
-const std::string& chooseService(const RouteSettings& route, double point);
+const std::string& chooseService(const RouteSettings& route, double fraction);
 
 }  // namespace shedshed
--- a/src/gateway/cost_load_balancer.cpp
+++ b/src/gateway/cost_load_balancer.cpp
@@ -46,12 +46,12 @@
 double CostLoadBalancer::cachedTokens(const EngineInfo& engine, const std::vector<Prefix>& prefixes,
                                       const std::string& preferred, Time now) const {
   for (auto prefix = prefixes.rbegin(); prefix != prefixes.rend(); ++prefix) {
-    const auto known = prefixReads_.find(prefix->hash);
-    if (known == prefixReads_.end()) {
+    const auto known = prefixUses_.find(prefix->hash);
+    if (known == prefixUses_.end()) {
       continue;
     }
-    const auto read = known->second.find(engine.id);
-    if (read != known->second.end() && now - read->second < costs_.prefixCacheMemory) {
+    const auto lastUse = known->second.find(engine.id);
+    if (lastUse != known->second.end() && now - lastUse->second < costs_.prefixCacheTtl) {
       return prefix->tokens;
     }
   }
@@ -64,17 +64,17 @@
   if (!zone_.empty() && engine.zone != zone_) {
     cost += costs_.otherZoneMilliseconds;
   }
-  const auto found = uses_.find(engine.id);
-  if (found == uses_.end()) {
+  const auto found = engineLoads_.find(engine.id);
+  if (found == engineLoads_.end()) {
     return cost;
   }
   cost += found->second.inFlight * costs_.callInFlightMilliseconds;
   cost += now < found->second.rejectedUntil ? costs_.afterRejectionMilliseconds : 0;
   cost += now < found->second.failedUntil ? costs_.afterFailureMilliseconds : 0;
   // An engine without power says nothing at all: its oldest unanswered call shows it.
-  const auto& waits = found->second.waits;
-  const bool unresponsive =
-      !waits.empty() && now - waits.begin()->second > costs_.unresponsiveAfter;
+  const auto& pendingResponses = found->second.pendingResponses;
+  const bool unresponsive = !pendingResponses.empty() &&
+                            now - pendingResponses.begin()->second > costs_.unresponsiveAfter;
   cost += unresponsive ? costs_.unresponsiveMilliseconds : 0;
   return cost;
 }
@@ -102,9 +102,10 @@
     const double cached = hasAffinity ? cachedTokens(*candidate, prefixes, preferred, now) : 0;
     const double uncached = hasAffinity ? prefixes.back().tokens - cached : 0;
     const double jitter = static_cast<double>(random_() % 1024) / 1024;
-    const bool other = !call.suggestedEngine.empty() && candidate->id != call.suggestedEngine;
-    const double candidateCost =
-        cost(*candidate, uncached, now) + jitter + (other ? costs_.notSuggestedMilliseconds : 0);
+    const bool notSuggested =
+        !call.suggestedEngine.empty() && candidate->id != call.suggestedEngine;
+    const double candidateCost = cost(*candidate, uncached, now) + jitter +
+                                 (notSuggested ? costs_.notSuggestedMilliseconds : 0);
     if (best == nullptr || candidateCost < bestCost) {
       best = candidate;
       bestCost = candidateCost;
@@ -113,39 +114,39 @@
   if (best == nullptr) {
     return makeError(ErrorCode::NoEngine, "no engine of the service is ready");
   }
-  ++uses_[best->id].inFlight;
+  ++engineLoads_[best->id].inFlight;
   return EngineChoice{best->id, best->address};
 }
 
-std::uint64_t CostLoadBalancer::sent(const std::string& engine, Time now) {
-  uses_[engine].waits[++lastWait_] = now;
-  return lastWait_;
+std::uint64_t CostLoadBalancer::onSent(const std::string& engine, Time now) {
+  engineLoads_[engine].pendingResponses[++lastRequestNumber_] = now;
+  return lastRequestNumber_;
 }
 
-void CostLoadBalancer::answered(const std::string& engine, std::uint64_t wait) {
-  uses_[engine].waits.erase(wait);
+void CostLoadBalancer::onAnswered(const std::string& engine, std::uint64_t requestNumber) {
+  engineLoads_[engine].pendingResponses.erase(requestNumber);
 }
 
-void CostLoadBalancer::finished(const std::string& engine) {
-  Use& use = uses_[engine];
-  use.inFlight -= use.inFlight > 0 ? 1 : 0;
+void CostLoadBalancer::onFinished(const std::string& engine) {
+  EngineLoad& load = engineLoads_[engine];
+  load.inFlight -= load.inFlight > 0 ? 1 : 0;
 }
 
-void CostLoadBalancer::rejected(const std::string& engine, Time now) {
-  uses_[engine].rejectedUntil = now + costs_.rejectionMemory;
+void CostLoadBalancer::onRejected(const std::string& engine, Time now) {
+  engineLoads_[engine].rejectedUntil = now + costs_.rejectionPenaltyDuration;
 }
 
-void CostLoadBalancer::failed(const std::string& engine, Time now) {
-  uses_[engine].failedUntil = now + costs_.failureMemory;
+void CostLoadBalancer::onFailed(const std::string& engine, Time now) {
+  engineLoads_[engine].failedUntil = now + costs_.failurePenaltyDuration;
 }
 
-void CostLoadBalancer::served(const std::string& engine, const OpaqueCall& call, Time now) {
-  if (prefixReads_.size() > kMaxPrefixes) {
-    prefixReads_.clear();
+void CostLoadBalancer::onServed(const std::string& engine, const OpaqueCall& call, Time now) {
+  if (prefixUses_.size() > kMaxPrefixes) {
+    prefixUses_.clear();
   }
   for (const Prefix& prefix : sharedPrefixes(call.prompt)) {
     if (prefix.tokens >= costs_.minSharedPrefixTokens) {
-      prefixReads_[prefix.hash][engine] = now;
+      prefixUses_[prefix.hash][engine] = now;
     }
   }
 }
@@ -155,11 +156,11 @@
   for (const EngineInfo& engine : table.engines) {
     listed.insert(engine.id);
   }
-  for (auto use = uses_.begin(); use != uses_.end();) {
-    const bool keep = listed.count(use->first) != 0 || use->second.inFlight > 0;
-    use = keep ? std::next(use) : uses_.erase(use);
+  for (auto load = engineLoads_.begin(); load != engineLoads_.end();) {
+    const bool keep = listed.count(load->first) != 0 || load->second.inFlight > 0;
+    load = keep ? std::next(load) : engineLoads_.erase(load);
   }
-  for (auto& prefix : prefixReads_) {
+  for (auto& prefix : prefixUses_) {
     for (auto engine = prefix.second.begin(); engine != prefix.second.end();) {
       engine = listed.count(engine->first) != 0 ? std::next(engine) : prefix.second.erase(engine);
     }
--- a/src/gateway/cost_load_balancer.h
+++ b/src/gateway/cost_load_balancer.h
@@ -28,9 +28,9 @@
       0.8;  ///< Probability that a prefix is cached at its preferred engine.
   std::uint32_t minSharedPrefixTokens =
       600;  ///< A shorter shared prefix has no affinity to an engine.
-  Duration rejectionMemory = std::chrono::milliseconds(150);
-  Duration failureMemory = std::chrono::milliseconds(1500);
-  Duration prefixCacheMemory = std::chrono::seconds(90);
+  Duration rejectionPenaltyDuration = std::chrono::milliseconds(150);
+  Duration failurePenaltyDuration = std::chrono::milliseconds(1500);
+  Duration prefixCacheTtl = std::chrono::seconds(90);
   Duration unresponsiveAfter = std::chrono::milliseconds(350);
 };
 
@@ -48,10 +48,10 @@
 
   /// A call was sent to the engine, which has not answered it yet.
   /// @return the number by which `answered` ends the wait
-  std::uint64_t sent(const std::string& engine, Time now);
+  std::uint64_t onSent(const std::string& engine, Time now);
 
   /// The engine has started to answer the call, or the call was abandoned.
-  void answered(const std::string& engine, std::uint64_t wait);
+  void onAnswered(const std::string& engine, std::uint64_t requestNumber);
 
   /// Chooses among the ready engines of the call's service that are not in @p excluded, and counts
   /// the call as in flight there until `finished`. Fails with `NoEngine`.
@@ -59,26 +59,27 @@
                               const std::set<std::string>& excluded, Time now);
 
   /// The call has left the engine.
-  void finished(const std::string& engine);
+  void onFinished(const std::string& engine);
 
   /// The engine rejected a call without running it.
-  void rejected(const std::string& engine, Time now);
+  void onRejected(const std::string& engine, Time now);
 
   /// The engine could not be reached, or its response was incomplete.
-  void failed(const std::string& engine, Time now);
+  void onFailed(const std::string& engine, Time now);
 
   /// The engine has read the call's prompt.
-  void served(const std::string& engine, const OpaqueCall& call, Time now);
+  void onServed(const std::string& engine, const OpaqueCall& call, Time now);
 
   /// Forgets what is known of engines that @p table does not list.
   void keepOnly(const EngineTable& table);
 
  private:
-  struct Use {
+  struct EngineLoad {
     std::uint32_t inFlight = 0;
     Time rejectedUntil{};
     Time failedUntil{};
-    std::map<std::uint64_t, Time> waits;  ///< Calls without an answer, and when each was sent.
+    std::map<std::uint64_t, Time>
+        pendingResponses;  ///< Calls without an answer, and when each was sent.
   };
   /// A prefix of a prompt: the parts up to one that is shared.
   struct Prefix {
@@ -90,15 +91,15 @@
   static std::vector<Prefix> sharedPrefixes(const PromptHints& prompt);
   double cachedTokens(const EngineInfo& engine, const std::vector<Prefix>& prefixes,
                       const std::string& preferred, Time now) const;
-  double cost(const EngineInfo& engine, double coldTokens, Time now) const;
+  double cost(const EngineInfo& engine, double uncachedTokens, Time now) const;
 
   const std::string zone_;
   RandomEngine& random_;
   const LoadBalancerCosts costs_;
-  std::map<std::string, Use> uses_;
-  std::uint64_t lastWait_ = 0;
+  std::map<std::string, EngineLoad> engineLoads_;
+  std::uint64_t lastRequestNumber_ = 0;
   /// Prefix hash → engine id → when the engine last processed the prefix.
-  std::map<std::uint64_t, std::map<std::string, Time>> prefixReads_;
+  std::map<std::uint64_t, std::map<std::string, Time>> prefixUses_;
 };
 
 }  // namespace shedshed
--- a/src/gateway/downstream_session.cpp
+++ b/src/gateway/downstream_session.cpp
@@ -16,7 +16,7 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr Duration kLinger = std::chrono::milliseconds(500);
+constexpr Duration kLingerTimeout = std::chrono::milliseconds(500);
 constexpr std::chrono::milliseconds kUnackedTimeout{3000};
 /// Time-out of a body, in addition to that of the header.
 constexpr Duration kBodyTimeout = std::chrono::seconds(10);
@@ -25,7 +25,7 @@
   return {text.data(), text.size()};
 }
 
-std::optional<Duration> millisecondsOf(std::string_view text) {
+std::optional<Duration> parseMilliseconds(std::string_view text) {
   std::int64_t number = 0;
   const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
   if (parsed.ec != std::errc() || number < 0) {
@@ -57,7 +57,7 @@
   setUnackedTimeout(socket_, kUnackedTimeout);
 }
 
-ClientLimits DownstreamSession::bounds() const {
+ClientLimits DownstreamSession::clientLimits() const {
   const auto settings = services_.settings.read();
   return settings == nullptr ? ClientLimits{} : settings->routes().clientLimits();
 }
@@ -67,7 +67,7 @@
   }
 }
 
-bool DownstreamSession::waitForCall(Duration idle, net::yield_context yield) {
+bool DownstreamSession::waitForRequest(Duration idle, net::yield_context yield) {
   if (buffer_.size() > 0) {
     return true;
   }
@@ -77,9 +77,9 @@
   SocketDeadline deadline(strand_, socket_);
   deadline.arm(idle);
   error_code failed;
-  shared_.waiting.insert(this);
+  shared_.idleSessions.insert(this);
   socket_.async_wait(net::ip::tcp::socket::wait_read, yield[failed]);
-  shared_.waiting.erase(this);
+  shared_.idleSessions.erase(this);
   return !failed;
 }
 
@@ -90,12 +90,12 @@
   }
 }
 
-bool DownstreamSession::readCall(Parser& parser, const ClientLimits& bounds,
-                                 DownstreamWriter& writer, net::yield_context yield) {
-  parser.header_limit(static_cast<std::uint32_t>(bounds.maxHeaderBytes));
-  parser.body_limit(bounds.maxBodyBytes);
+bool DownstreamSession::readRequest(Parser& parser, const ClientLimits& limits,
+                                    DownstreamWriter& writer, net::yield_context yield) {
+  parser.header_limit(static_cast<std::uint32_t>(limits.maxHeaderBytes));
+  parser.body_limit(limits.maxBodyBytes);
   SocketDeadline deadline(strand_, socket_);
-  deadline.arm(bounds.headerTimeout);
+  deadline.arm(limits.headerTimeout);
   error_code failed;
   http::async_read_header(socket_, buffer_, parser, yield[failed]);
   if (failed == http::error::header_limit || failed == http::error::body_limit) {
@@ -121,7 +121,7 @@
   if (parser.get()[http::field::expect] == "100-continue" && !writer.writeContinue(yield)) {
     return false;
   }
-  deadline.arm(bounds.headerTimeout + kBodyTimeout);
+  deadline.arm(limits.headerTimeout + kBodyTimeout);
   http::async_read(socket_, buffer_, parser, yield[failed]);
   if (failed == http::error::body_limit) {
     refusal_ = makeError(ErrorCode::TooLarge, "the body is over its bound");
@@ -135,7 +135,7 @@
   return !failed;
 }
 
-void DownstreamSession::takeCall(Parser& parser, GatewayCall& call) {
+void DownstreamSession::extractCall(Parser& parser, GatewayCall& call) {
   const HeaderNames& names = services_.names;
   auto& message = parser.get();
   OpaqueCall& opaque = call.call;
@@ -154,9 +154,9 @@
     } else if (sameHeaderName(name, names.requestId)) {
       opaque.requestId = std::string(value);
     } else if (sameHeaderName(name, names.deadline)) {
-      if (const auto left = millisecondsOf(value)) {
+      if (const auto left = parseMilliseconds(value)) {
         opaque.deadline = call.arrived + *left;
-        opaque.tellDeadline = true;
+        opaque.forwardDeadline = true;
       }
     } else if (sameHeaderName(name, names.resumeAfter)) {
       opaque.resumeAfter = std::string(value);
@@ -177,14 +177,14 @@
 }
 
 bool DownstreamSession::serve(net::yield_context yield) {
-  const ClientLimits limits = bounds();
-  if (!waitForCall(limits.idleTimeout, yield)) {
+  const ClientLimits limits = clientLimits();
+  if (!waitForRequest(limits.idleTimeout, yield)) {
     return false;
   }
   DownstreamWriter writer(socket_, strand_);
   Parser parser;
   refusal_.reset();
-  if (!readCall(parser, limits, writer, yield)) {
+  if (!readRequest(parser, limits, writer, yield)) {
     return false;
   }
   if (refusal_) {
@@ -194,7 +194,7 @@
   GatewayCall call(strand_, writer);
   call.arrived = services_.core.now();
   const bool keepAlive = parser.keep_alive();
-  takeCall(parser, call);
+  extractCall(parser, call);
   return answer(call, writer, keepAlive, yield);
 }
 
@@ -242,10 +242,10 @@
   error_code failed;
   socket_.shutdown(net::ip::tcp::socket::shutdown_send, failed);
   SocketDeadline deadline(strand_, socket_);
-  deadline.arm(kLinger);
-  std::array<char, 4096> dropped{};
+  deadline.arm(kLingerTimeout);
+  std::array<char, 4096> discarded{};
   while (!failed) {
-    socket_.async_read_some(net::buffer(dropped), yield[failed]);
+    socket_.async_read_some(net::buffer(discarded), yield[failed]);
   }
   return false;
 }
--- a/src/gateway/downstream_session.h
+++ b/src/gateway/downstream_session.h
@@ -25,8 +25,8 @@
   GatewayServices& services;
   std::vector<std::unique_ptr<GatewayFilter>> filters;  ///< In the order of their use.
   std::size_t activeCalls = 0;
-  bool stopping = false;                 ///< No session waits for a further call.
-  std::set<DownstreamSession*> waiting;  ///< Sessions between two calls.
+  bool stopping = false;                      ///< No session waits for a further call.
+  std::set<DownstreamSession*> idleSessions;  ///< Sessions between two calls.
 };
 
 /// Serves the calls of one connection, one after the other, until it is closed.
@@ -45,17 +45,17 @@
 
   /// Serves one call; false if the connection must be closed.
   bool serve(boost::asio::yield_context yield);
-  bool waitForCall(Duration idle, boost::asio::yield_context yield);
+  bool waitForRequest(Duration idle, boost::asio::yield_context yield);
   /// Reads a call. False if the connection is to be closed without an answer; `refusal_` is set if
   /// the call must be refused, and the connection closed.
-  bool readCall(Parser& parser, const ClientLimits& bounds, DownstreamWriter& writer,
-                boost::asio::yield_context yield);
-  void takeCall(Parser& parser, GatewayCall& call);
+  bool readRequest(Parser& parser, const ClientLimits& limits, DownstreamWriter& writer,
+                   boost::asio::yield_context yield);
+  void extractCall(Parser& parser, GatewayCall& call);
   bool answer(GatewayCall& call, DownstreamWriter& writer, bool keepAlive,
               boost::asio::yield_context yield);
   bool refuse(const Error& error, const std::string& requestId, DownstreamWriter& writer,
               boost::asio::yield_context yield);
-  ClientLimits bounds() const;
+  ClientLimits clientLimits() const;
 
   GatewayShared& shared_;
   GatewayServices& services_;
--- a/src/gateway/downstream_writer.cpp
+++ b/src/gateway/downstream_writer.cpp
@@ -31,7 +31,7 @@
 }
 
 /// Seconds with fractions, as callers read them.
-std::string secondsText(Duration duration) {
+std::string formatSeconds(Duration duration) {
   std::array<char, 32> text{};
   const int size = std::snprintf(text.data(), text.size(), "%.2f",
                                  std::chrono::duration<double>(duration).count());
@@ -56,10 +56,10 @@
 }
 
 void DownstreamWriter::onHead(const ResponseHead& head) {
-  if (headTaken_) {
+  if (headReceived_) {
     return;
   }
-  headTaken_ = true;
+  headReceived_ = true;
   pendingHead_ = statusLine(head.status);
   for (const HeaderField& field : head.headers) {
     appendHeader(pendingHead_, field.name, field.value);
@@ -99,7 +99,7 @@
     appendHeader(text, field.name, field.value);
   }
   if (answer.retryAfter) {
-    appendHeader(text, "Retry-After", secondsText(*answer.retryAfter));
+    appendHeader(text, "Retry-After", formatSeconds(*answer.retryAfter));
   }
   appendHeader(text, "Content-Length", std::to_string(answer.body.size()));
   if (!keepAlive) {
--- a/src/gateway/downstream_writer.h
+++ b/src/gateway/downstream_writer.h
@@ -41,7 +41,7 @@
   boost::asio::ip::tcp::socket& socket_;
   const ServingStrand& strand_;
   std::string pendingHead_;
-  bool headTaken_ = false;
+  bool headReceived_ = false;
   bool streamStarted_ = false;
   bool closing_ = false;
 };
--- a/src/gateway/event_splitter.cpp
+++ b/src/gateway/event_splitter.cpp
@@ -33,21 +33,21 @@
 
 /// Returns the position after the last empty line of @p text; 0 if there is none.
 std::size_t endOfEvents(std::string_view text) {
-  const std::size_t bare = text.rfind("\n\n");
-  const std::size_t carriage = text.rfind("\r\n\r\n");
-  const std::size_t bareEnd = bare == std::string_view::npos ? 0 : bare + 2;
-  const std::size_t carriageEnd = carriage == std::string_view::npos ? 0 : carriage + 4;
-  return std::max(bareEnd, carriageEnd);
+  const std::size_t lf = text.rfind("\n\n");
+  const std::size_t crlf = text.rfind("\r\n\r\n");
+  const std::size_t lfEnd = lf == std::string_view::npos ? 0 : lf + 2;
+  const std::size_t crlfEnd = crlf == std::string_view::npos ? 0 : crlf + 4;
+  return std::max(lfEnd, crlfEnd);
 }
 
 }  // namespace
 
 std::string_view EventSplitter::add(std::string_view bytes) {
-  buffer_.erase(0, used_);
-  used_ = 0;
+  buffer_.erase(0, returnedBytes_);
+  returnedBytes_ = 0;
   buffer_.append(bytes);
-  used_ = endOfEvents(buffer_);
-  const std::string_view events = std::string_view(buffer_).substr(0, used_);
+  returnedBytes_ = endOfEvents(buffer_);
+  const std::string_view events = std::string_view(buffer_).substr(0, returnedBytes_);
   readIds(events);
   return events;
 }
@@ -61,16 +61,16 @@
   }
 }
 
-void EventText::add(std::string_view events) {
+void EventDataCollector::add(std::string_view events) {
   while (!events.empty()) {
     std::string_view data;
     if (!fieldValue(takeLine(events), kDataField, data)) {
       continue;
     }
-    if (any_) {
+    if (hasData_) {
       text_ += '\n';
     }
-    any_ = true;
+    hasData_ = true;
     text_ += data;
   }
 }
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -18,18 +18,18 @@
   const std::string& lastId() const { return lastId_; }
 
   /// True if bytes of an unfinished event wait.
-  bool hasPartialEvent() const { return used_ < buffer_.size(); }
+  bool hasPartialEvent() const { return returnedBytes_ < buffer_.size(); }
 
  private:
   void readIds(std::string_view events);
 
   std::string buffer_;
-  std::size_t used_ = 0;  ///< Bytes of the buffer that were returned.
+  std::size_t returnedBytes_ = 0;  ///< Bytes of the buffer that were returned.
   std::string lastId_;
 };
 
 /// Collects the data of all events of a stream, separated by line feeds.
-class EventText {
+class EventDataCollector {
  public:
   /// Adds whole events.
   void add(std::string_view events);
@@ -37,7 +37,7 @@
 
  private:
   std::string text_;
-  bool any_ = false;
+  bool hasData_ = false;
 };
 
 }  // namespace shedshed
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -57,7 +57,7 @@
  public:
   InFlight(CostLoadBalancer& loadBalancer, std::string engine)
       : loadBalancer_(loadBalancer), engine_(std::move(engine)) {}
-  ~InFlight() { loadBalancer_.finished(engine_); }
+  ~InFlight() { loadBalancer_.onFinished(engine_); }
   InFlight(const InFlight&) = delete;
   InFlight& operator=(const InFlight&) = delete;
 
@@ -71,10 +71,10 @@
                      const HeaderNames& names)
     : io_(io), core_(core), engines_(engines), loadBalancer_(loadBalancer), counters_(counters),
       names_(names) {
-  engines_.addListener([this](const EngineTable& table) { forgetUnlisted(table); });
+  engines_.addListener([this](const EngineTable& table) { removeUnlistedEngines(table); });
 }
 
-void Forwarder::forgetUnlisted(const EngineTable& table) {
+void Forwarder::removeUnlistedEngines(const EngineTable& table) {
   std::vector<std::string> listed;
   for (const EngineInfo& engine : table.engines) {
     listed.push_back(engine.id);
@@ -126,9 +126,9 @@
                                    boost::asio::yield_context yield) {
   const auto choice = loadBalancer_.choose(*engines_.table(), call, attemptedEngines, core_.now());
   if (!choice) {
-    UpstreamAttempt none = rejectedAttempt(choice.error());
-    none.noEngineLeft = true;
-    return none;
+    UpstreamAttempt rejected = rejectedAttempt(choice.error());
+    rejected.noEngineLeft = true;
+    return rejected;
   }
   const EngineChoice& engine = choice.value();
   attemptedEngines.insert(engine.id);
@@ -139,7 +139,7 @@
     auto connection = acquireConnection(engine, forwarded, pooled, yield);
     if (!connection) {
       if (connection.error().code != ErrorCode::Cancelled) {
-        loadBalancer_.failed(engine.id, core_.now());
+        loadBalancer_.onFailed(engine.id, core_.now());
       }
       return rejectedAttempt(connection.error());
     }
@@ -199,17 +199,17 @@
 void Forwarder::recordOutcome(const UpstreamAttempt& attempt, const OpaqueCall& call,
                               const EngineChoice& engine) {
   if (attempt.outcome == AttemptOutcome::Rejected) {
-    loadBalancer_.rejected(engine.id, core_.now());
+    loadBalancer_.onRejected(engine.id, core_.now());
     counters_.add("gateway_engine_refusals_total", 1);
     return;
   }
   if (attempt.outcome != AttemptOutcome::Failed) {
-    loadBalancer_.served(engine.id, call, core_.now());
+    loadBalancer_.onServed(engine.id, call, core_.now());
     return;
   }
   journal_->note(call.requestId, "engine failed", engine.id + ": " + attempt.error.detail);
   if (attempt.error.code != ErrorCode::Cancelled) {
-    loadBalancer_.failed(engine.id, core_.now());
+    loadBalancer_.onFailed(engine.id, core_.now());
     counters_.add("gateway_engine_failures_total", 1);
   }
 }
@@ -217,10 +217,10 @@
 UpstreamAttempt Forwarder::readResponse(ForwardedCall& forwarded, const OpaqueCall& call,
                                         const EngineChoice& engine, UpstreamConnection& connection,
                                         Duration idleTimeout, boost::asio::yield_context yield) {
-  const std::uint64_t wait = loadBalancer_.sent(engine.id, core_.now());
+  const std::uint64_t requestNumber = loadBalancer_.onSent(engine.id, core_.now());
   Result<ResponseHead> head = connection.readHead(call, std::min(idleTimeout, timeLeft(call)),
                                                   forwarded.abort, forwarded.strand, yield);
-  loadBalancer_.answered(engine.id, wait);
+  loadBalancer_.onAnswered(engine.id, requestNumber);
   if (!head) {
     return failedAttempt(head.error());
   }
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -85,7 +85,7 @@
                              const ResponseHead& head, UpstreamConnection& connection,
                              Duration idleTimeout, boost::asio::yield_context yield);
   Duration timeLeft(const OpaqueCall& call) const;
-  void forgetUnlisted(const EngineTable& table);
+  void removeUnlistedEngines(const EngineTable& table);
 
   boost::asio::io_context& io_;
   CoreExecutor& core_;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -41,8 +41,8 @@
   error_code ignored;
   acceptor_.close(ignored);
   shared_.stopping = true;
-  const std::set<DownstreamSession*> waiting = shared_.waiting;
-  for (DownstreamSession* session : waiting) {
+  const std::set<DownstreamSession*> idleSessions = shared_.idleSessions;
+  for (DownstreamSession* session : idleSessions) {
     session->closeIfIdle();
   }
 }
--- a/src/gateway/gateway_call.cpp
+++ b/src/gateway/gateway_call.cpp
@@ -18,9 +18,9 @@
 constexpr int kGatewayTimeout = 504;
 
 /// Pause named to a caller whose tenant is over its rate or has all its slots in use.
-constexpr Duration kPoolPause = std::chrono::milliseconds(400);
+constexpr Duration kPoolFullRetryAfter = std::chrono::milliseconds(400);
 /// Pause named to a caller whose call found no engine or no proved configuration.
-constexpr Duration kUnavailablePause = std::chrono::milliseconds(150);
+constexpr Duration kUnavailableRetryAfter = std::chrono::milliseconds(150);
 
 /// Statuses that tell nothing of whether the call ran.
 int statusOfFailure(ErrorCode code) {
@@ -51,7 +51,7 @@
 }
 
 /// What happened, in one sentence for people.
-std::string_view plainWords(const Error& error) {
+std::string_view userMessage(const Error& error) {
   if (error.ran != Ran::No) {
     return "The answer was lost on its way; the request may have been worked on.";
   }
@@ -83,15 +83,15 @@
   const JsonDocument document = JsonDocument::object();
   cJSON* member = cJSON_AddObjectToObject(document.root(), "error");
   cJSON_AddStringToObject(member, "type", std::string(errorTypeName(error.code)).c_str());
-  cJSON_AddStringToObject(member, "message", std::string(plainWords(error)).c_str());
+  cJSON_AddStringToObject(member, "message", std::string(userMessage(error)).c_str());
   cJSON_AddStringToObject(member, "ran", std::string(ranName(error.ran)).c_str());
   cJSON_AddStringToObject(member, "request_id", requestId.c_str());
   answer.body = document.print();
   answer.headers.push_back({"Content-Type", "application/json"});
   if (answer.status == kTooManyRequests) {
-    answer.retryAfter = kPoolPause;
+    answer.retryAfter = kPoolFullRetryAfter;
   } else if (answer.status == kUnavailable) {
-    answer.retryAfter = kUnavailablePause;
+    answer.retryAfter = kUnavailableRetryAfter;
   }
   return answer;
 }
--- a/src/gateway/item_runner.cpp
+++ b/src/gateway/item_runner.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr int kOk = 200;
-constexpr int kNever = 422;
+constexpr int kUnprocessable = 422;
 constexpr int kFirstServerError = 500;
 constexpr int kFirstSuccess = 200;
 constexpr int kFirstRedirect = 300;
@@ -27,7 +27,7 @@
 constexpr std::chrono::milliseconds kRetryBackoff{60};
 constexpr std::size_t kStackBytes = 256U << 10U;
 
-std::string headerOf(const std::vector<HeaderField>& headers, const std::string& name) {
+std::string headerValue(const std::vector<HeaderField>& headers, const std::string& name) {
   for (const HeaderField& field : headers) {
     if (sameHeaderName(field.name, name)) {
       return field.value;
@@ -37,7 +37,7 @@
 }
 
 /// Collects the data of the events.
-class TextSink : public StreamSink {
+class EventDataSink : public StreamSink {
  public:
   void onHead(const ResponseHead&) override {}
   Status onBytes(std::string_view bytes, boost::asio::yield_context) override {
@@ -47,7 +47,7 @@
   std::string take() { return text_.take(); }
 
  private:
-  EventText text_;
+  EventDataCollector text_;
 };
 
 }  // namespace
@@ -65,7 +65,7 @@
   return route == nullptr ? std::string() : route->services.front().service;
 }
 
-Result<OpaqueCall> OpaqueItemRunner::opaqueCall(const EngineCall& call) const {
+Result<OpaqueCall> OpaqueItemRunner::toOpaqueCall(const EngineCall& call) const {
   Result<BatchItemCall> decoded = decodeRecord<BatchItemCall>(call.body);
   if (!decoded) {
     return makeError(ErrorCode::InvalidArgument, decoded.error().detail);
@@ -81,8 +81,8 @@
   opaque.tenant = call.tenant;
   opaque.suggestedEngine = call.suggestedEngine;
   opaque.service = call.model;
-  opaque.prompt = parsePromptHints(headerOf(opaque.headers, services_.names.promptParts),
-                                   headerOf(opaque.headers, services_.names.tokenCount));
+  opaque.prompt = parsePromptHints(headerValue(opaque.headers, services_.names.promptParts),
+                                   headerValue(opaque.headers, services_.names.tokenCount));
   opaque.resumable = true;
   opaque.idempotent = true;
   const auto settings = services_.settings.read();
@@ -98,23 +98,23 @@
   const ServingStrand strand(services_.io.get_executor());
   auto body = [this, strand, call = std::move(call),
                done = std::move(done)](boost::asio::yield_context yield) {
-    auto result = std::make_shared<Result<EngineAnswer>>(runNow(call, strand, yield));
+    auto result = std::make_shared<Result<EngineAnswer>>(runItem(call, strand, yield));
     // On the event loop, not on the coroutine's stack: the runner starts other items.
     boost::asio::post(services_.io, [done, result] { done(std::move(*result)); });
   };
   boost::asio::spawn(strand, std::move(body), boost::coroutines::attributes(kStackBytes));
 }
 
-Result<EngineAnswer> OpaqueItemRunner::runNow(const EngineCall& call, const ServingStrand& strand,
-                                              boost::asio::yield_context yield) {
-  Result<OpaqueCall> prepared = opaqueCall(call);
+Result<EngineAnswer> OpaqueItemRunner::runItem(const EngineCall& call, const ServingStrand& strand,
+                                               boost::asio::yield_context yield) {
+  Result<OpaqueCall> prepared = toOpaqueCall(call);
   if (!prepared) {
     return prepared.error();
   }
   OpaqueCall opaque = std::move(prepared.value());
-  TextSink sink;
-  CallAbort never;
-  ForwardedCall forwarded{opaque, sink, never, strand};
+  EventDataSink sink;
+  CallAbort noAbort;
+  ForwardedCall forwarded{opaque, sink, noAbort, strand};
   std::set<std::string> attemptedEngines;
   std::uint32_t failures = 0;
   int rejections = 0;
@@ -131,7 +131,7 @@
       if (status >= kFirstSuccess && status < kFirstRedirect) {
         return EngineAnswer{kOk, attempt.body};
       }
-      if (status == kNever || ++failures >= opaque.maxAttempts) {
+      if (status == kUnprocessable || ++failures >= opaque.maxAttempts) {
         return EngineAnswer{status, {}};
       }
       attemptedEngines.clear();
--- a/src/gateway/item_runner.h
+++ b/src/gateway/item_runner.h
@@ -23,9 +23,9 @@
  private:
   struct Progress;
 
-  Result<EngineAnswer> runNow(const EngineCall& call, const ServingStrand& strand,
-                              boost::asio::yield_context yield);
-  Result<OpaqueCall> opaqueCall(const EngineCall& call) const;
+  Result<EngineAnswer> runItem(const EngineCall& call, const ServingStrand& strand,
+                               boost::asio::yield_context yield);
+  Result<OpaqueCall> toOpaqueCall(const EngineCall& call) const;
 
   GatewayServices& services_;
 };
--- a/src/gateway/opaque_call.cpp
+++ b/src/gateway/opaque_call.cpp
@@ -13,9 +13,9 @@
     "trailer",    "transfer-encoding", "upgrade",          "content-length"};
 
 /// Most parts of a prompt that are looked at.
-constexpr std::size_t kMostParts = 64;
+constexpr std::size_t kMaxPromptParts = 64;
 
-std::uint32_t numberOf(std::string_view text) {
+std::uint32_t parseNumber(std::string_view text) {
   std::uint32_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
@@ -33,14 +33,14 @@
 
 PromptHints parsePromptHints(std::string_view parts, std::string_view tokenCount) {
   PromptHints hints;
-  while (!parts.empty() && hints.parts.size() < kMostParts) {
+  while (!parts.empty() && hints.parts.size() < kMaxPromptParts) {
     std::string_view part = takeUntil(parts, ',');
     const std::string_view id = takeUntil(part, ':');
-    hints.parts.push_back({std::string(id), numberOf(part)});
+    hints.parts.push_back({std::string(id), parseNumber(part)});
   }
-  const std::string_view tokensIn = takeUntil(tokenCount, ',');
-  hints.tokensIn = numberOf(tokensIn);
-  hints.tokensOut = numberOf(tokenCount);
+  const std::string_view promptTokens = takeUntil(tokenCount, ',');
+  hints.promptTokens = parseNumber(promptTokens);
+  hints.maxOutputTokens = parseNumber(tokenCount);
   return hints;
 }
 
--- a/src/gateway/opaque_call.h
+++ b/src/gateway/opaque_call.h
@@ -28,8 +28,8 @@
 /// What a call says of its prompt; a hint for the choice of the engine.
 struct PromptHints {
   std::vector<PromptPart> parts;  ///< In the order of the prompt.
-  std::uint32_t tokensIn = 0;
-  std::uint32_t tokensOut = 0;  ///< Most that can come out.
+  std::uint32_t promptTokens = 0;
+  std::uint32_t maxOutputTokens = 0;  ///< Most that can come out.
 };
 
 /// Parses "ID:TOKENS,ID:TOKENS,…" and "IN,OUT". What cannot be read is left out.
@@ -46,10 +46,10 @@
   std::string tenant;   ///< Empty if the call has none.
   std::string service;  ///< Engines of this service may run it.
   PromptHints prompt;
-  Time deadline = Time::max();  ///< No answer is wanted after it.
-  bool tellDeadline = false;    ///< Engines are told how much time is left.
-  bool idempotent = false;      ///< May be run again after a failure.
-  bool resumable = false;       ///< A stream may go on at another engine.
+  Time deadline = Time::max();   ///< No answer is wanted after it.
+  bool forwardDeadline = false;  ///< Engines are told how much time is left.
+  bool idempotent = false;       ///< May be run again after a failure.
+  bool resumable = false;        ///< A stream may go on at another engine.
   std::uint32_t maxAttempts = 1;
   std::string suggestedEngine;  ///< Engine that the owner of the call's slot suggests, or empty.
   std::string resumeAfter;  ///< Id of the last event that the caller has; empty for a new stream.
--- a/src/gateway/quota_share.h
+++ b/src/gateway/quota_share.h
@@ -13,7 +13,7 @@
 struct SharedQuota {
   double perSecond = 0;
   double burst = 0;
-  std::size_t fronts = 1;
+  std::size_t dataNodes = 1;
 };
 
 /// A token bucket per tenant that holds this front's share of the tenant's rate and burst.
@@ -24,21 +24,21 @@
 class QuotaShare {
  public:
   /// Time for which a refusal counts: the longest window of a quota.
-  static constexpr Duration kRefusalMemory = std::chrono::seconds(6);
+  static constexpr Duration kRefusalRetention = std::chrono::seconds(6);
 
   /// Takes one token.
   /// @return false if the share is used up
-  bool take(const std::string& tenant, const SharedQuota& quota, Time now);
+  bool tryAcquire(const std::string& tenant, const SharedQuota& quota, Time now);
 
   /// The store has refused a number of the tenant's quota.
-  void noteRefusal(const std::string& tenant, Time now) { refusals_[tenant] = now; }
+  void recordRefusal(const std::string& tenant, Time now) { refusals_[tenant] = now; }
 
  private:
   struct Bucket {
     double tokens = 0;
-    Time filledAt{};
+    Time refilledAt{};
   };
-  bool wasRefused(const std::string& tenant, Time now) const;
+  bool wasRecentlyRefused(const std::string& tenant, Time now) const;
 
   std::map<std::string, Bucket> buckets_;
   std::map<std::string, Time> refusals_;  ///< The last one of each tenant.
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -20,7 +20,7 @@
 /// Largest body of an engine's answer, in bytes.
 constexpr std::uint64_t kMaxBodyBytes = 256U << 20U;
 /// Time that an engine is expected to keep an idle connection if it does not say.
-constexpr Duration kAssumedKeepAlive = std::chrono::seconds(4);
+constexpr Duration kDefaultKeepAlive = std::chrono::seconds(4);
 /// Sent bytes that stay unacknowledged for this long close the link: the engine is gone.
 constexpr std::chrono::milliseconds kUnackedTimeout{1500};
 
@@ -46,7 +46,7 @@
   if (!call.tenant.empty()) {
     appendHeader(text, names.tenant, call.tenant);
   }
-  if (call.tellDeadline) {
+  if (call.forwardDeadline) {
     appendHeader(text, names.deadline,
                  std::to_string(std::max<std::int64_t>(1, toMilliseconds(timeLeft))));
   }
@@ -61,7 +61,7 @@
 }
 
 /// The seconds of `Keep-Alive: timeout=N`; nullopt if it does not say.
-std::optional<Duration> keepAliveOf(std::string_view value) {
+std::optional<Duration> parseKeepAlive(std::string_view value) {
   constexpr std::string_view kTimeout = "timeout=";
   const std::size_t begin = value.find(kTimeout);
   if (begin == std::string_view::npos) {
@@ -74,7 +74,7 @@
 }  // namespace
 
 UpstreamConnection::UpstreamConnection(net::io_context& io, const HeaderNames& names)
-    : names_(names), socket_(io), keepAlive_(kAssumedKeepAlive) {}
+    : names_(names), socket_(io), keepAlive_(kDefaultKeepAlive) {}
 
 Error UpstreamConnection::failure(const error_code& failed, const SocketDeadline& deadline,
                                   const CallAbort& abort) const {
@@ -118,7 +118,7 @@
 Status UpstreamConnection::send(const OpaqueCall& call, const std::string& engineId,
                                 Duration timeLeft, CallAbort& abort, const ServingStrand& strand,
                                 net::yield_context yield) {
-  clean_ = false;
+  responseComplete_ = false;
   if (abort.aborted()) {
     return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::No);
   }
@@ -143,7 +143,7 @@
   return okStatus();
 }
 
-ResponseHead UpstreamConnection::headOf(const OpaqueCall& call) {
+ResponseHead UpstreamConnection::parseHead(const OpaqueCall& call) {
   ResponseHead head;
   const auto& message = parser_->get();
   head.status = static_cast<int>(message.result_int());
@@ -151,7 +151,7 @@
     const std::string_view name = toView(field.name_string());
     const std::string_view value = toView(field.value());
     if (sameHeaderName(name, "Keep-Alive")) {
-      keepAlive_ = keepAliveOf(value).value_or(keepAlive_);
+      keepAlive_ = parseKeepAlive(value).value_or(keepAlive_);
     }
     if (isConnectionHeader(name)) {
       continue;
@@ -182,7 +182,7 @@
   if (failed || abort.aborted()) {
     return failure(failed, deadline, abort);
   }
-  return headOf(call);
+  return parseHead(call);
 }
 
 Result<std::string_view> UpstreamConnection::readChunk(Duration limit, CallAbort& abort,
@@ -208,21 +208,21 @@
     }
   }
   // Bytes after a whole answer belong to no call.
-  clean_ = parser_->keep_alive() && buffer_.size() == 0;
+  responseComplete_ = parser_->keep_alive() && buffer_.size() == 0;
   return std::string_view();
 }
 
 bool UpstreamConnection::reusable() {
-  if (!clean_ || !socket_.is_open()) {
+  if (!responseComplete_ || !socket_.is_open()) {
     return false;
   }
   char byte = 0;
-  const ssize_t got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const ssize_t received = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 void UpstreamConnection::close() {
-  clean_ = false;
+  responseComplete_ = false;
   error_code ignored;
   socket_.close(ignored);
 }
--- a/src/gateway/upstream_connection.h
+++ b/src/gateway/upstream_connection.h
@@ -67,7 +67,7 @@
  private:
   using Parser = boost::beast::http::response_parser<boost::beast::http::buffer_body>;
 
-  ResponseHead headOf(const OpaqueCall& call);
+  ResponseHead parseHead(const OpaqueCall& call);
   Error failure(const boost::system::error_code& failed, const SocketDeadline& deadline,
                 const CallAbort& abort) const;
 
@@ -77,7 +77,7 @@
   std::optional<Parser> parser_;
   std::array<char, 16384> chunk_{};
   Duration keepAlive_;
-  bool clean_ = true;
+  bool responseComplete_ = true;
 };
 
 }  // namespace shedshed
--- a/src/gateway/upstream_connection_pool.cpp
+++ b/src/gateway/upstream_connection_pool.cpp
@@ -22,7 +22,7 @@
   while (!connections.empty()) {
     Idle newest = std::move(connections.back());
     connections.pop_back();
-    if (now < newest.until && newest.connection->reusable()) {
+    if (now < newest.expiresAt && newest.connection->reusable()) {
       return std::move(newest.connection);
     }
   }
@@ -31,10 +31,10 @@
 
 void UpstreamConnectionPool::release(const std::string& engine,
                                      std::unique_ptr<UpstreamConnection> connection, Time now) {
-  const Time until = now + connection->keepAlive() - kKeepAliveMargin;
+  const Time expiresAt = now + connection->keepAlive() - kKeepAliveMargin;
   std::vector<Idle>& connections = idle_[engine];
-  if (until > now && connections.size() < kMaxIdleConnections && connection->reusable()) {
-    connections.push_back({std::move(connection), until});
+  if (expiresAt > now && connections.size() < kMaxIdleConnections && connection->reusable()) {
+    connections.push_back({std::move(connection), expiresAt});
   }
 }
 
--- a/src/gateway/upstream_connection_pool.h
+++ b/src/gateway/upstream_connection_pool.h
@@ -26,7 +26,7 @@
  private:
   struct Idle {
     std::unique_ptr<UpstreamConnection> connection;
-    Time until;
+    Time expiresAt;
   };
   std::map<std::string, std::vector<Idle>> idle_;
 };
--- a/tests/gateway/cost_load_balancer_test.cpp
+++ b/tests/gateway/cost_load_balancer_test.cpp
@@ -48,9 +48,9 @@
   for (int prefix = 0; prefix < 20; ++prefix) {
     const OpaqueCall call = longCall("p" + std::to_string(prefix));
     const std::string mine = choose(call);
-    loadBalancer.finished(mine);
+    loadBalancer.onFinished(mine);
     const auto theirs = other.choose(table, call, {}, now);
-    other.finished(theirs.value().id);
+    other.onFinished(theirs.value().id);
     BOOST_TEST(theirs.value().id == mine);
   }
 }
@@ -58,7 +58,7 @@
 BOOST_FIXTURE_TEST_CASE(a_warm_engine_is_kept_until_its_load_costs_more, Fixture) {
   const OpaqueCall call = longCall("p");
   const std::string first = choose(call);
-  loadBalancer.served(first, call, now);
+  loadBalancer.onServed(first, call, now);
   int kept = 0;
   while (choose(call) == first && kept < 1000) {
     ++kept;
@@ -95,7 +95,7 @@
 BOOST_FIXTURE_TEST_CASE(a_failed_engine_is_avoided_for_a_time, Fixture) {
   OpaqueCall call;
   call.service = "service";
-  loadBalancer.failed("e0", now);
+  loadBalancer.onFailed("e0", now);
   for (int number = 0; number < 50; ++number) {
     BOOST_TEST(choose(call) != "e0");
   }
@@ -106,12 +106,12 @@
 BOOST_FIXTURE_TEST_CASE(an_engine_that_does_not_answer_is_avoided, Fixture) {
   OpaqueCall call;
   call.service = "service";
-  const std::uint64_t wait = loadBalancer.sent("e0", now);
+  const std::uint64_t requestNumber = loadBalancer.onSent("e0", now);
   now += std::chrono::milliseconds(400);
   for (int number = 0; number < 50; ++number) {
     BOOST_TEST(choose(call) != "e0");
   }
-  loadBalancer.answered("e0", wait);
+  loadBalancer.onAnswered("e0", requestNumber);
   BOOST_TEST(choose(call) == "e0");
 }
 
--- a/tests/gateway/error_answer_test.cpp
+++ b/tests/gateway/error_answer_test.cpp
@@ -10,7 +10,7 @@
   ErrorCode code;
   Ran ran;
   int status;
-  bool comesBack;
+  bool hasRetryAfter;
 };
 
 /// A status that promises "not run" (408, 421, 429, 503) is for calls that did not run, only.
@@ -36,13 +36,13 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(each_error_has_its_status_and_plain_words) {
+BOOST_AUTO_TEST_CASE(each_error_has_its_status_and_message) {
   for (const Expected& expected : kTable) {
     const GatewayAnswer answer =
         gatewayErrorAnswer(makeError(expected.code, "detail", expected.ran), "r1");
     BOOST_TEST_CONTEXT(errorTypeName(expected.code) << ", ran " << ranName(expected.ran)) {
       BOOST_TEST(answer.status == expected.status);
-      BOOST_TEST(answer.retryAfter.has_value() == expected.comesBack);
+      BOOST_TEST(answer.retryAfter.has_value() == expected.hasRetryAfter);
       BOOST_TEST(answer.body.find("\"r1\"") != std::string::npos);
       BOOST_TEST(answer.body.find("\"message\"") != std::string::npos);
     }
--- a/tests/gateway/event_splitter_test.cpp
+++ b/tests/gateway/event_splitter_test.cpp
@@ -26,7 +26,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_piece_of_an_event_is_held_back) {
+BOOST_AUTO_TEST_CASE(a_partial_event_is_buffered) {
   EventSplitter splitter;
   BOOST_TEST(std::string(splitter.add("id: 1\ndata: a\n\nid: 2\nda")) == "id: 1\ndata: a\n\n");
   BOOST_TEST(splitter.lastId() == "1");
@@ -34,7 +34,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_text_is_the_data_of_all_events) {
-  EventText text;
+  EventDataCollector text;
   text.add("id: 1\nweights: 3\ndata: one\n\n");
   text.add("id: 2\r\ndata:two\r\n\r\n");
   BOOST_TEST(text.take() == "one\ntwo");
--- a/tests/gateway/forwarder_test.cpp
+++ b/tests/gateway/forwarder_test.cpp
@@ -39,7 +39,7 @@
 };
 
 /// How an engine answers every call.
-enum class Behaviour { Serves, RefusesNotRun, IsAnother, Fails, AnswersAnotherCall, Unsigned };
+enum class Behaviour { Serves, RefusesNotRun, Misdirected, Fails, AnswersAnotherCall, Unsigned };
 
 struct ForwarderFixture {
   /// Engines answer in the order of their ids as @p behaviours say: each next one costs more.
@@ -49,8 +49,8 @@
     }
     for (std::size_t index = 0; index < behaviours.size(); ++index) {
       for (std::size_t calls = 0; calls < index; ++calls) {
-        (void)loadBalancer.sent("e" + std::to_string(index),
-                                Time());  // Looks slower than those before.
+        (void)loadBalancer.onSent("e" + std::to_string(index),
+                                  Time());  // Looks slower than those before.
       }
     }
   }
@@ -84,7 +84,7 @@
     if (behaviour == Behaviour::RefusesNotRun) {
       answer.status = 503;
       answer.headers.push_back({names.notRun, "1"});
-    } else if (behaviour == Behaviour::IsAnother) {
+    } else if (behaviour == Behaviour::Misdirected) {
       answer.status = 421;
     } else if (behaviour == Behaviour::Fails) {
       answer.status = 500;
@@ -135,8 +135,8 @@
 
 /// An engine that has the address of another one answers 421; the call was answered 503 then
 /// although others were free.
-BOOST_AUTO_TEST_CASE(a_refusal_goes_on_to_the_next_engine) {
-  for (const Behaviour refusal : {Behaviour::RefusesNotRun, Behaviour::IsAnother}) {
+BOOST_AUTO_TEST_CASE(a_rejected_call_is_sent_to_the_next_engine) {
+  for (const Behaviour refusal : {Behaviour::RefusesNotRun, Behaviour::Misdirected}) {
     ForwarderFixture fixture({refusal, refusal, Behaviour::Serves});
     const auto answer = fixture.run(false, 1);
     BOOST_REQUIRE(answer.has_value());
@@ -146,8 +146,8 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(not_run_is_promised_only_if_every_engine_refused) {
-  ForwarderFixture fixture({Behaviour::RefusesNotRun, Behaviour::IsAnother});
+BOOST_AUTO_TEST_CASE(not_run_is_reported_only_if_every_engine_rejected_the_call) {
+  ForwarderFixture fixture({Behaviour::RefusesNotRun, Behaviour::Misdirected});
   const auto answer = fixture.run(true, 3);
   BOOST_REQUIRE(answer.has_error());
   BOOST_TEST((answer.error().ran == Ran::No));
@@ -166,8 +166,8 @@
     BOOST_TEST(once.attemptedEngines.size() == 1U);
     ForwarderFixture repeated({lost, Behaviour::Serves});
     BOOST_TEST(repeated.run(true, 2).has_value());
-    ForwarderFixture spent({lost, Behaviour::Serves});
-    BOOST_TEST(spent.run(true, 1).has_error());
+    ForwarderFixture exhausted({lost, Behaviour::Serves});
+    BOOST_TEST(exhausted.run(true, 1).has_error());
   }
 }
 
--- a/tests/gateway/opaque_call_test.cpp
+++ b/tests/gateway/opaque_call_test.cpp
@@ -12,16 +12,16 @@
   BOOST_TEST(hints.parts[0].id == "5c1e");
   BOOST_TEST(hints.parts[0].tokens == 800U);
   BOOST_TEST(hints.parts[2].tokens == 250U);
-  BOOST_TEST(hints.tokensIn == 1460U);
-  BOOST_TEST(hints.tokensOut == 80U);
+  BOOST_TEST(hints.promptTokens == 1460U);
+  BOOST_TEST(hints.maxOutputTokens == 80U);
 }
 
-BOOST_AUTO_TEST_CASE(malformed_hints_are_left_out) {
+BOOST_AUTO_TEST_CASE(malformed_numbers_count_as_zero) {
   BOOST_TEST(parsePromptHints("", "").parts.empty());
   const PromptHints hints = parsePromptHints("a:x,b", "many");
   BOOST_REQUIRE_EQUAL(hints.parts.size(), 2U);
   BOOST_TEST(hints.parts[0].tokens == 0U);
-  BOOST_TEST(hints.tokensIn == 0U);
+  BOOST_TEST(hints.promptTokens == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(connection_headers_are_known_in_any_case) {
--- a/tests/gateway/quota_share_test.cpp
+++ b/tests/gateway/quota_share_test.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr int kFronts = 11;
+constexpr int kDataNodes = 11;
 constexpr double kRate = 76;
 constexpr double kBurst = 76;
-constexpr SharedQuota kQuota{kRate, kBurst, kFronts};
+constexpr SharedQuota kQuota{kRate, kBurst, kDataNodes};
 
 Time at(int milliseconds) {
   return Time() + std::chrono::milliseconds(milliseconds);
@@ -20,7 +20,7 @@
   int count = 0;
   for (int tick = begin; tick < begin + milliseconds; ++tick) {
     for (QuotaShare& share : shares) {
-      count += share.take("tenant", kQuota, at(tick)) ? 1 : 0;
+      count += share.tryAcquire("tenant", kQuota, at(tick)) ? 1 : 0;
     }
   }
   return count;
@@ -28,21 +28,21 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(all_fronts_together_stay_within_rate_and_burst) {
-  std::vector<QuotaShare> shares(kFronts);
+BOOST_AUTO_TEST_CASE(all_data_nodes_together_stay_within_rate_and_burst) {
+  std::vector<QuotaShare> shares(kDataNodes);
   const int passed = admitted(shares, 0, 5000);
-  BOOST_TEST(passed <= kRate * 5 + kBurst + kFronts);
+  BOOST_TEST(passed <= kRate * 5 + kBurst + kDataNodes);
   BOOST_TEST(passed > 0.9 * kRate * 5);
 }
 
 /// A hot tenant had taken its whole quota when its store was killed; the fronts' shares then held a
 /// second burst, and one window passed more than the quota allows.
 BOOST_AUTO_TEST_CASE(a_tenant_at_its_limit_gets_no_second_burst) {
-  std::vector<QuotaShare> shares(kFronts);
+  std::vector<QuotaShare> shares(kDataNodes);
   admitted(shares, 0, 1000);
   for (QuotaShare& share : shares) {
-    share.noteRefusal("tenant", at(60000));
+    share.recordRefusal("tenant", at(60000));
   }
   const int passed = admitted(shares, 60000, 100);
-  BOOST_TEST(passed <= 0.1 * kRate + 0.2 * kRate + kFronts);
+  BOOST_TEST(passed <= 0.1 * kRate + 0.2 * kRate + kDataNodes);
 }
--- a/tests/gateway/start_wait_test.cpp
+++ b/tests/gateway/start_wait_test.cpp
@@ -11,15 +11,15 @@
   BOOST_TEST(mayWaitForStart(started, arrived, arrived));
   Time now = arrived;
   while (mayWaitForStart(started, arrived, now)) {
-    now += kStartWaitStep;
+    now += kStartWaitPollInterval;
   }
-  BOOST_TEST((now - arrived <= kLongestStartWait));
-  BOOST_TEST((now - arrived > kLongestStartWait - 2 * kStartWaitStep));
+  BOOST_TEST((now - arrived <= kMaxStartWait));
+  BOOST_TEST((now - arrived > kMaxStartWait - 2 * kStartWaitPollInterval));
 }
 
-BOOST_AUTO_TEST_CASE(a_call_of_a_process_that_runs_for_long_waits_for_nothing) {
+BOOST_AUTO_TEST_CASE(a_call_does_not_wait_once_the_startup_period_has_passed) {
   const Time started{std::chrono::seconds(100)};
-  const Time now = started + kStarting;
+  const Time now = started + kStartupPeriod;
   BOOST_TEST(!mayWaitForStart(started, now, now));
-  BOOST_TEST(!mayWaitForStart(started, now - kLongestStartWait / 2, now));
+  BOOST_TEST(!mayWaitForStart(started, now - kMaxStartWait / 2, now));
 }
