--- a/src/gateway/batch_dialect.h
+++ b/src/gateway/batch_dialect.h
@@ -1,5 +1,5 @@
 /// @file
-/// How batch calls look on the wire, and what they mean.
+/// Translation between the wire format of batch calls and internal types.
 #pragma once
 
 #include "batch/batch_client.h"
@@ -13,43 +13,44 @@
 
 namespace shedshed {
 
-/// A read or an end of a batch.
+/// A read or cancellation of a batch.
 struct BatchCall {
   enum class Kind : std::uint8_t { Results, ItemBody, Cancel };
   Kind kind = Kind::Results;
-  std::string clientKey;   ///< The id that the caller chose when it handed the batch in.
-  std::uint64_t from = 0;  ///< First position wanted, of `Results`.
+  std::string clientKey;   ///< Id that the caller chose when it submitted the batch.
+  std::uint64_t from = 0;  ///< Of `Results`: position of the first result to return.
   std::string itemName;    ///< Of `ItemBody`.
 };
 
-/// One item as handed in. Stored as the body of a batch's item; `encodeRecord` is its form.
+/// One submitted item. Stored as the body of a batch item, encoded by `encodeRecord`.
 struct BatchItemCall {
   std::string name;
-  std::string route;    ///< Name of the route under which the batch was handed in.
-  std::string service;  ///< Service of that route at that time.
+  std::string route;    ///< Name of the route on which the batch was submitted.
+  std::string service;  ///< Service of that route at submission.
   std::string host;
   std::string target;
   std::vector<HeaderField> headers;
   std::string body;
-  std::uint64_t tokens = 0;  ///< Of the prompt, and the most that can come out.
+  std::uint64_t tokens = 0;  ///< Prompt tokens plus maximum output tokens.
   MSGPACK_DEFINE(name, route, service, host, target, headers, body, tokens);
 };
 
-/// Translates between one wire form of batch calls and the product's. Core thread only.
+/// Translates between one wire format of batch calls and the internal types. Core thread only.
 class BatchDialect {
  public:
   virtual ~BatchDialect() = default;
 
-  /// Returns the call that @p method and @p target stand for; nullopt if they are no batch call.
-  /// A malformed batch call is an error.
+  /// Parses the request line of a batch call. Returns nullopt if it is not a batch call and an
+  /// error if it is a malformed one.
   virtual Result<std::optional<BatchCall>> parseCall(std::string_view method,
                                                      std::string_view target) const = 0;
 
-  /// Reads the items of a batch that is handed in. Sets `name`, `target`, `headers`, `body` and
-  /// `tokens` of each.
+  /// Parses the items of a submitted batch. Sets `name`, `target`, `headers`, `body` and `tokens`
+  /// of each.
   virtual Result<std::vector<BatchItemCall>> parseItems(const std::string& body) const = 0;
 
-  /// Writes a page of results; at most about @p maxBytes of them, but one at least.
+  /// Formats a page of results of about @p maxBytes at most; it has at least one result if any is
+  /// available.
   virtual std::string formatResults(const ResultPage& page, std::uint64_t from,
                                     std::size_t maxBytes) const = 0;
 };
--- a/src/gateway/batch_filter.cpp
+++ b/src/gateway/batch_filter.cpp
@@ -11,7 +11,7 @@
 constexpr int kAccepted = 202;
 constexpr int kOk = 200;
 
-/// Most results of one read, and the bytes of one answer.
+/// Maximum number of results, and bytes, in one answer.
 constexpr std::uint32_t kMaxResults = 200;
 constexpr std::size_t kMaxResultBytes = 900U << 10U;
 
@@ -21,7 +21,8 @@
   call.answer.body = std::move(body);
 }
 
-/// A failure to reach the batch's owner: the answer to a read may be asked for again anywhere.
+/// Reports a failure to reach the batch's owner as `StoreUnavailable`, which callers may retry at
+/// any node. `NotFound` and `InvalidArgument` are final.
 Error toCallerError(const Error& error) {
   const bool final = error.code == ErrorCode::NotFound || error.code == ErrorCode::InvalidArgument;
   return final ? error : makeError(ErrorCode::StoreUnavailable, error.detail);
@@ -35,7 +36,7 @@
   }
   const auto tenant = call.key.empty() ? std::nullopt : call.settings->tenantOfKey(call.key);
   if (!tenant) {
-    return makeError(ErrorCode::Unauthenticated, "the key is missing, unknown or withdrawn");
+    return makeError(ErrorCode::Unauthenticated, "the key is missing, unknown or revoked");
   }
   return *tenant;
 }
@@ -77,7 +78,8 @@
     return tenant.error();
   }
   if (call.call.method != "POST" || call.call.requestId.empty()) {
-    return makeError(ErrorCode::InvalidArgument, "a batch is handed in by POST, with an id");
+    return makeError(ErrorCode::InvalidArgument,
+                     "a batch must be submitted by POST with a request id");
   }
   Result<std::vector<BatchItemCall>> items = dialect_.parseItems(call.call.body);
   if (!items) {
--- a/src/gateway/batch_filter.h
+++ b/src/gateway/batch_filter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Answers batch calls: hands in, reads, ends.
+/// Handles batch calls: submission, reads and cancellation.
 #pragma once
 
 #include "gateway/batch_dialect.h"
@@ -8,11 +8,12 @@
 
 namespace shedshed {
 
-/// Answers calls of batches and lets all others pass. It stands behind the filter of the key for
-/// batches handed in; reads and ends come under any path of the tenant.
+/// Answers batch calls and passes all others on. Runs before the route and tenant filters and
+/// authenticates the caller itself. Submissions are recognized by their route, reads and
+/// cancellations by their path alone.
 class BatchFilter : public GatewayFilter {
  public:
-  /// Keeps references; they must outlive it.
+  /// Keeps references to @p services and @p dialect; they must outlive the filter.
   BatchFilter(GatewayServices& services, const BatchDialect& dialect)
       : services_(services), dialect_(dialect) {}
 
--- a/src/gateway/call_filters.cpp
+++ b/src/gateway/call_filters.cpp
@@ -12,12 +12,13 @@
 namespace shedshed {
 namespace {
 
-/// Share of a route's objective that a call waits for a store before its fail mode decides.
+/// A call waits for a store for the route's objective divided by this, before its fail mode
+/// applies.
 constexpr int kStoreWaitDivisor = 5;
 constexpr Duration kMinStoreWait = std::chrono::milliseconds(40);
 constexpr Duration kMaxStoreWait = std::chrono::milliseconds(300);
 
-/// A number from 0 to below 1 that follows from the id.
+/// Maps @p id to a number in [0, 1) by its hash.
 double hashFraction(const std::string& id) {
   constexpr double kSteps = 1U << 20U;
   return static_cast<double>(hash64(id) % (1U << 20U)) / kSteps;
@@ -42,17 +43,17 @@
 
 Status checkGatewayReady(const GatewayServices& services) {
   if (services.draining) {
-    return makeError(ErrorCode::Draining, "this node takes no new calls");
+    return makeError(ErrorCode::Draining, "this node is draining and accepts no new calls");
   }
   const auto settings = services.settings.read();
   if (settings == nullptr || settings->routes().empty()) {
-    return makeError(ErrorCode::NotReady, "no configuration with routes has been proved yet");
+    return makeError(ErrorCode::NotReady, "no confirmed configuration with routes yet");
   }
   if (services.core.now() >= services.configuration.freshUntil()) {
-    return makeError(ErrorCode::NotReady, "the configuration is not proved to be current");
+    return makeError(ErrorCode::NotReady, "the freshness lease of the configuration has expired");
   }
   if (services.engines.table()->engines.empty()) {
-    return makeError(ErrorCode::NotReady, "no engine is known");
+    return makeError(ErrorCode::NotReady, "the engine list is empty");
   }
   return okStatus();
 }
@@ -72,7 +73,7 @@
   awaitStart(call, yield);
   call.settings = services_.settings.read();
   if (call.settings == nullptr || services_.core.now() >= services_.configuration.freshUntil()) {
-    return makeError(ErrorCode::NotReady, "the configuration is not proved to be current");
+    return makeError(ErrorCode::NotReady, "no configuration with a valid freshness lease");
   }
   return GatewayStep::Continue;
 }
@@ -100,7 +101,7 @@
   }
   const auto tenant = call.key.empty() ? std::nullopt : call.settings->tenantOfKey(call.key);
   if (!tenant) {
-    return makeError(ErrorCode::Unauthenticated, "the key is missing, unknown or withdrawn");
+    return makeError(ErrorCode::Unauthenticated, "the key is missing, unknown or revoked");
   }
   call.call.tenant = *tenant;
   return GatewayStep::Continue;
@@ -160,12 +161,12 @@
                             slot.pool.limiter + " " + std::to_string(slot.number));
     if (slot.withoutSlot && slot.pool.limiter == kQuotaLimiter && !tryAcquireQuotaShare(call)) {
       call.slots.release();
-      return makeError(ErrorCode::PoolFull, "this node's share of the quota is used up");
+      return makeError(ErrorCode::PoolFull, "this node's share of the quota is exhausted");
     }
   }
   if (call.abort.aborted()) {
     call.slots.release();
-    return makeError(ErrorCode::Cancelled, "the caller has gone");
+    return makeError(ErrorCode::Cancelled, "the client has disconnected");
   }
   return GatewayStep::Continue;
 }
--- a/src/gateway/call_filters.h
+++ b/src/gateway/call_filters.h
@@ -8,34 +8,35 @@
 
 namespace shedshed {
 
-/// Takes the settings in force; refuses while they are not proved to be current.
+/// Attaches the settings in force to the call. Rejects calls while the configuration's freshness
+/// lease has expired.
 class SettingsInForceFilter : public GatewayFilter {
  public:
   explicit SettingsInForceFilter(GatewayServices& services) : services_(services) {}
   Result<GatewayStep> apply(GatewayCall& call, boost::asio::yield_context yield) override;
 
  private:
-  /// Lets a call wait while the process starts. Whoever called a process that is just back has lost
-  /// time already; sent away, it would only meet the next process that starts.
+  /// Lets a call wait for readiness while the process starts. If all nodes restart together, a
+  /// rejected caller would lose more time by retrying at another node that is also starting.
   void awaitStart(const GatewayCall& call, boost::asio::yield_context yield);
 
   GatewayServices& services_;
 };
 
-/// Finds the route by host and path, and what it allows.
+/// Selects the route by host and path, and applies its service, retry rules and time-out.
 class RouteFilter : public GatewayFilter {
  public:
   Result<GatewayStep> apply(GatewayCall& call, boost::asio::yield_context yield) override;
 };
 
-/// Finds the tenant of the key. Public routes, and settings without tenants, need none.
+/// Authenticates the caller by its key. Public routes and settings without tenants need no key.
 class TenantFilter : public GatewayFilter {
  public:
   Result<GatewayStep> apply(GatewayCall& call, boost::asio::yield_context yield) override;
 };
 
-/// Takes a number of the tenant's quota and a slot of its pool, all or nothing. A call without a
-/// tenant takes a slot of its service's pool.
+/// Acquires one unit of the tenant's quota and a slot of its pool, or neither. A call without a
+/// tenant acquires a slot of its service's pool.
 class TenantSlotFilter : public GatewayFilter {
  public:
   explicit TenantSlotFilter(GatewayServices& services) : services_(services) {}
@@ -43,14 +44,14 @@
 
  private:
   SlotRequest slotRequest(const GatewayCall& call) const;
-  /// Bounds what is admitted by the fail mode: this front's share of the quota.
+  /// Limits calls that the fail mode admits without a quota slot to this node's share of the quota.
   bool tryAcquireQuotaShare(const GatewayCall& call);
 
   GatewayServices& services_;
   QuotaShare quotaShare_;
 };
 
-/// Sends the call to an engine and its answer back.
+/// Forwards the call to an engine and returns its response.
 class OpaqueForwardFilter : public GatewayFilter {
  public:
   explicit OpaqueForwardFilter(GatewayServices& services) : services_(services) {}
@@ -60,7 +61,7 @@
   GatewayServices& services_;
 };
 
-/// Chooses a service of @p route by weight; @p point is from 0 to below 1.
+/// Chooses a service of @p route by weight; @p fraction is in [0, 1).
 const std::string& chooseService(const RouteSettings& route, double fraction);
 
 }  // namespace shedshed
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -13,7 +13,7 @@
 namespace net = boost::asio;
 using boost::system::error_code;
 
-/// Stack of the coroutine of one connection, in bytes. JSON of batches is parsed on it.
+/// Stack size of a connection's coroutine, in bytes. Batch JSON is parsed on this stack.
 constexpr std::size_t kStackBytes = 256U << 10U;
 
 }  // namespace
@@ -48,7 +48,7 @@
 }
 
 void Gateway::accept() {
-  // The socket's executor must be the strand of its calls.
+  // The socket's executor must be the strand on which its calls run.
   const ServingStrand strand(services_.io.get_executor());
   acceptor_.async_accept(strand, [this, strand](const error_code& failed, auto socket) {
     if (failed == net::error::operation_aborted) {
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,5 +1,5 @@
 /// @file
-/// The gateway: callers' HTTP for opaque calls and batches.
+/// The gateway: HTTP front end for opaque calls and batches.
 #pragma once
 
 #include "gateway/batch_dialect.h"
@@ -12,21 +12,21 @@
 
 namespace shedshed {
 
-/// Accepts callers on one address. On the thread of the services' event loop, but for construction
-/// and `start`, which come before it runs.
+/// Accepts client connections on one address. Runs on the thread of the services' event loop,
+/// except for construction and `start`, which must come before the loop runs.
 class Gateway {
  public:
-  /// Keeps references; they must outlive it.
+  /// Keeps references to @p services and @p dialect; they must outlive the gateway.
   Gateway(GatewayServices& services, const BatchDialect& dialect, std::string address);
 
   /// Fails with `InvalidArgument` when the address cannot be bound.
   Status start();
 
-  /// Takes no new connection any more, and closes those between two calls: their callers go
-  /// elsewhere. Calls under way are still served.
+  /// Stops accepting connections and closes idle ones, so that their clients connect to another
+  /// node. Calls in flight are still served.
   void stopAccepting();
 
-  /// Calls under way.
+  /// Number of calls in flight.
   std::size_t activeCalls() const { return shared_.activeCalls; }
 
  private:
--- a/src/gateway/gateway_call.cpp
+++ b/src/gateway/gateway_call.cpp
@@ -17,16 +17,17 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-/// Pause named to a caller whose tenant is over its rate or has all its slots in use.
+/// `Retry-After` if the tenant is over its rate or all its slots are in use.
 constexpr Duration kPoolFullRetryAfter = std::chrono::milliseconds(400);
-/// Pause named to a caller whose call found no engine or no proved configuration.
+/// `Retry-After` if no engine is available or the configuration's freshness lease has expired.
 constexpr Duration kUnavailableRetryAfter = std::chrono::milliseconds(150);
 
-/// Statuses that tell nothing of whether the call ran.
+/// Status for a call that may have run; these statuses do not imply "not run".
 int statusOfFailure(ErrorCode code) {
   return code == ErrorCode::DeadlineExceeded ? kGatewayTimeout : kBadGateway;
 }
 
+/// Status for a call that did not run.
 int statusOfRefusal(ErrorCode code) {
   switch (code) {
   case ErrorCode::InvalidArgument:
@@ -50,7 +51,7 @@
   }
 }
 
-/// What happened, in one sentence for people.
+/// Human-readable `message` of the error body; callers see it, so the wording is part of the API.
 std::string_view userMessage(const Error& error) {
   if (error.ran != Ran::No) {
     return "The answer was lost on its way; the request may have been worked on.";
--- a/src/gateway/gateway_call.h
+++ b/src/gateway/gateway_call.h
@@ -1,5 +1,5 @@
 /// @file
-/// One caller's call on its way through the gateway's filters.
+/// State of a call as it passes through the gateway's filters.
 #pragma once
 
 #include "gateway/forwarder.h"
@@ -15,12 +15,12 @@
 
 namespace shedshed {
 
-/// An answer that is sent as a whole.
+/// A complete, unstreamed response.
 struct GatewayAnswer {
   int status = 200;
   std::vector<HeaderField> headers;
   std::string body;
-  std::optional<Duration> retryAfter;  ///< When to come back; sent in seconds, with fractions.
+  std::optional<Duration> retryAfter;  ///< `Retry-After`, sent as fractional seconds.
 };
 
 /// The state of a call. Used on its strand only.
@@ -32,31 +32,33 @@
   StreamSink& sink;
   CallAbort abort;
   Time arrived{};
-  std::string key;  ///< Of the caller; empty if it gave none. Never leaves this tier.
-  OpaqueCall call;  ///< Headers, body and target as they came; the rest is set by the filters.
+  std::string key;  ///< Caller's API key, empty if none. Never forwarded.
+  OpaqueCall call;  ///< Target, headers and body as received; the filters set the rest.
 
   std::shared_ptr<const SettingsTree> settings;  ///< Set by the settings filter.
   const RouteSettings* route = nullptr;          ///< Set by the route filter; part of `settings`.
   SlotLease slots;                               ///< Set by the slot filter.
 
-  GatewayAnswer answer;   ///< Set by the filter that answers.
-  bool streamed = false;  ///< The answer went to `sink`, and is whole.
+  GatewayAnswer answer;   ///< Set by the filter that answers the call.
+  bool streamed = false;  ///< The complete answer was streamed to `sink`.
 };
 
-/// What follows a filter.
+/// How the filter chain proceeds after a filter.
 enum class GatewayStep {
-  Continue,  ///< The next filter.
-  Answered,  ///< The call has its whole answer.
+  Continue,  ///< Apply the next filter.
+  Answered,  ///< The call has its complete answer.
 };
 
-/// One step of the chain; keeps no state of a call. An error is sent as the call's answer.
+/// One filter of the chain. Shared by all calls, so it keeps no per-call state. An error ends the
+/// chain and is sent as the call's answer.
 class GatewayFilter {
  public:
   virtual ~GatewayFilter() = default;
   virtual Result<GatewayStep> apply(GatewayCall& call, boost::asio::yield_context yield) = 0;
 };
 
-/// Returns the answer to a call that failed: "not run" only if that is certain.
+/// Returns the answer to a failed call. It reports "not run" only if the call certainly did not
+/// run.
 GatewayAnswer gatewayErrorAnswer(const Error& error, const std::string& requestId);
 
 }  // namespace shedshed
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the gateway needs of the rest of the process.
+/// Services of the process that the gateway depends on.
 #pragma once
 
 #include "batch/batch_client.h"
@@ -18,11 +18,11 @@
 
 namespace shedshed {
 
-/// References to services that outlive the gateway. All run on the thread of `io`.
+/// References to services, which must outlive the gateway. All run on the thread of `io`.
 struct GatewayServices {
   boost::asio::io_context& io;
   CoreExecutor& core;
-  const Snapshot<SettingsTree>& settings;  ///< Null until the first proved version.
+  const Snapshot<SettingsTree>& settings;  ///< Null until the first version is confirmed.
   const ConfigurationSource& configuration;
   const Directory& directory;
   EngineSource& engines;
@@ -32,11 +32,11 @@
   ServingCounters& counters;
   HeaderNames names;
   Time started;           ///< When the process started.
-  bool draining = false;  ///< Every answer closes its connection.
+  bool draining = false;  ///< Every response closes its connection.
   CallJournal* journal = &NoCallJournal::instance();
 };
 
-/// Returns why the node is not ready for calls, or success.
+/// Returns success if the node can serve calls, otherwise the reason why it cannot.
 Status checkGatewayReady(const GatewayServices& services);
 
 }  // namespace shedshed
--- a/src/gateway/item_runner.cpp
+++ b/src/gateway/item_runner.cpp
@@ -18,11 +18,11 @@
 constexpr int kFirstSuccess = 200;
 constexpr int kFirstRedirect = 300;
 
-/// An engine that is silent for this long is left for another one.
+/// An attempt is abandoned after this long without data, and the item goes to another engine.
 constexpr Duration kIdleTimeout = std::chrono::milliseconds(2500);
-/// Refusals after which the item goes back to wait for its turn.
+/// Rejections after which the item is requeued.
 constexpr int kMaxRejections = 3;
-/// Broken runs after which the item goes back as well.
+/// Failed attempts after which the item is requeued.
 constexpr int kMaxFailures = 12;
 constexpr std::chrono::milliseconds kRetryBackoff{60};
 constexpr std::size_t kStackBytes = 256U << 10U;
@@ -36,7 +36,7 @@
   return {};
 }
 
-/// Collects the data of the events.
+/// Collects the data of a stream's events.
 class EventDataSink : public StreamSink {
  public:
   void onHead(const ResponseHead&) override {}
@@ -99,7 +99,7 @@
   auto body = [this, strand, call = std::move(call),
                done = std::move(done)](boost::asio::yield_context yield) {
     auto result = std::make_shared<Result<EngineAnswer>>(runItem(call, strand, yield));
-    // On the event loop, not on the coroutine's stack: the runner starts other items.
+    // Posted, because `done` starts further items, which must not run on this coroutine's stack.
     boost::asio::post(services_.io, [done, result] { done(std::move(*result)); });
   };
   boost::asio::spawn(strand, std::move(body), boost::coroutines::attributes(kStackBytes));
--- a/src/gateway/item_runner.h
+++ b/src/gateway/item_runner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs the items of batches as opaque calls.
+/// Runs batch items as opaque calls.
 #pragma once
 
 #include "engines/engine_runner.h"
@@ -8,11 +8,11 @@
 
 namespace shedshed {
 
-/// An item runs until it is done or can never be: its stream goes on at another engine after a
-/// break, an engine that refuses it is left for another one.
+/// Runs each item until it completes or fails for good. An interrupted stream continues at another
+/// engine, and a rejected item is sent to another engine.
 ///
-/// The result of `run` is, with status 200, the data of all events; with another status the item
-/// has failed for good. An error with `Ran::No` asks for a later try.
+/// A result of `run` with status 200 holds the data of all events; with another status the item has
+/// failed for good. After an error with `Ran::No` the item is to be retried later.
 class OpaqueItemRunner : public EngineRunner {
  public:
   explicit OpaqueItemRunner(GatewayServices& services) : services_(services) {}
--- a/src/gateway/opaque_call.cpp
+++ b/src/gateway/opaque_call.cpp
@@ -12,7 +12,7 @@
     "connection", "keep-alive",        "proxy-connection", "proxy-authorization", "te",
     "trailer",    "transfer-encoding", "upgrade",          "content-length"};
 
-/// Most parts of a prompt that are looked at.
+/// Further parts of a prompt are ignored.
 constexpr std::size_t kMaxPromptParts = 64;
 
 std::uint32_t parseNumber(std::string_view text) {
@@ -21,7 +21,8 @@
   return number;
 }
 
-/// Cuts the text up to @p separator off the beginning of @p text and returns it.
+/// Removes the text up to and including @p separator from the front of @p text; returns it without
+/// the separator.
 std::string_view takeUntil(std::string_view& text, char separator) {
   const std::size_t end = std::min(text.find(separator), text.size());
   const std::string_view piece = text.substr(0, end);
--- a/src/gateway/opaque_call.h
+++ b/src/gateway/opaque_call.h
@@ -1,5 +1,5 @@
 /// @file
-/// A call whose method, target, headers and body go to an engine unread.
+/// A call whose method, target, headers and body are forwarded to an engine uninterpreted.
 #pragma once
 
 #include "kernel/time.h"
@@ -12,53 +12,53 @@
 
 namespace shedshed {
 
-/// One header.
+/// An HTTP header field.
 struct HeaderField {
   std::string name;
   std::string value;
   MSGPACK_DEFINE(name, value);
 };
 
-/// A part of a prompt: parts are shared between calls, the last one is the call's own.
+/// A part of a prompt. Calls may share all parts but the last, which is the call's own.
 struct PromptPart {
   std::string id;
   std::uint32_t tokens = 0;
 };
 
-/// What a call says of its prompt; a hint for the choice of the engine.
+/// What the caller says about its prompt; a hint for load balancing.
 struct PromptHints {
   std::vector<PromptPart> parts;  ///< In the order of the prompt.
   std::uint32_t promptTokens = 0;
-  std::uint32_t maxOutputTokens = 0;  ///< Most that can come out.
+  std::uint32_t maxOutputTokens = 0;
 };
 
-/// Parses "ID:TOKENS,ID:TOKENS,…" and "IN,OUT". What cannot be read is left out.
+/// Parses "ID:TOKENS,ID:TOKENS,…" and "IN,OUT". A missing or malformed number counts as 0.
 PromptHints parsePromptHints(std::string_view parts, std::string_view tokenCount);
 
-/// A call on its way to an engine.
+/// A call that is to be forwarded to an engine.
 struct OpaqueCall {
   std::string requestId;
   std::string method;
   std::string target;
   std::string host;
-  std::vector<HeaderField> headers;  ///< Without those that concern one connection or this tier.
+  std::vector<HeaderField> headers;  ///< Without hop-by-hop headers and those set by the gateway.
   std::string body;
   std::string tenant;   ///< Empty if the call has none.
-  std::string service;  ///< Engines of this service may run it.
+  std::string service;  ///< Only engines of this service may run the call.
   PromptHints prompt;
-  Time deadline = Time::max();   ///< No answer is wanted after it.
-  bool forwardDeadline = false;  ///< Engines are told how much time is left.
-  bool idempotent = false;       ///< May be run again after a failure.
-  bool resumable = false;        ///< A stream may go on at another engine.
+  Time deadline = Time::max();   ///< The call fails once it has passed.
+  bool forwardDeadline = false;  ///< Send the remaining time to the engine.
+  bool idempotent = false;       ///< May run again after a failure.
+  bool resumable = false;        ///< Another engine may continue the stream.
   std::uint32_t maxAttempts = 1;
-  std::string suggestedEngine;  ///< Engine that the owner of the call's slot suggests, or empty.
-  std::string resumeAfter;  ///< Id of the last event that the caller has; empty for a new stream.
+  std::string suggestedEngine;  ///< Engine suggested by the owner of the call's slot, or empty.
+  std::string resumeAfter;      ///< Last event id received by the caller; empty for a new stream.
 };
 
-/// True for headers that concern one connection only (RFC 9110, 7.6.1) and for `Content-Length`.
+/// Returns true for hop-by-hop headers (RFC 9110, 7.6.1) and for `Content-Length`.
 bool isConnectionHeader(std::string_view name);
 
-/// Compares header names.
+/// Compares header names, ignoring case.
 bool sameHeaderName(std::string_view left, std::string_view right);
 
 }  // namespace shedshed
--- a/src/gateway/quota_share.cpp
+++ b/src/gateway/quota_share.cpp
@@ -5,7 +5,7 @@
 namespace shedshed {
 namespace {
 
-/// Time for which the bucket of a tenant at its limit collects its share.
+/// Capacity of the bucket of a recently refused tenant, in seconds of its rate.
 constexpr double kThrottledBurstSeconds = 0.2;
 
 }  // namespace
--- a/src/gateway/quota_share.h
+++ b/src/gateway/quota_share.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a front may admit by itself while the store of a quota does not answer.
+/// Local rate limit that a data node applies while the store of a quota does not answer.
 #pragma once
 
 #include "kernel/time.h"
@@ -9,28 +9,27 @@
 
 namespace shedshed {
 
-/// What the settings say of a tenant's quota, and among how many fronts it is shared.
+/// A tenant's configured quota, and the number of data nodes that share it.
 struct SharedQuota {
   double perSecond = 0;
   double burst = 0;
   std::size_t dataNodes = 1;
 };
 
-/// A token bucket per tenant that holds this front's share of the tenant's rate and burst.
+/// Token bucket per tenant with this node's share of the tenant's rate and burst.
 ///
-/// The bucket of a tenant that was refused a number of its quota within `kRefusalMemory` holds no
-/// burst: its numbers may all have been taken just before the store fell silent, and a burst of all
-/// fronts on top of them would break the quota. Not thread-safe.
+/// A tenant whose quota was exhausted within the last `kRefusalRetention` gets no burst: it may
+/// have used its whole quota just before the store stopped answering, and a further burst on every
+/// node would exceed the quota. Not thread-safe.
 class QuotaShare {
  public:
-  /// Time for which a refusal counts: the longest window of a quota.
+  /// Time for which a refusal is remembered: the longest quota window.
   static constexpr Duration kRefusalRetention = std::chrono::seconds(6);
 
-  /// Takes one token.
-  /// @return false if the share is used up
+  /// Takes one token. Returns false if this node's share is exhausted.
   bool tryAcquire(const std::string& tenant, const SharedQuota& quota, Time now);
 
-  /// The store has refused a number of the tenant's quota.
+  /// Records that the store rejected a call because the tenant's quota was exhausted.
   void recordRefusal(const std::string& tenant, Time now) { refusals_[tenant] = now; }
 
  private:
@@ -41,7 +40,7 @@
   bool wasRecentlyRefused(const std::string& tenant, Time now) const;
 
   std::map<std::string, Bucket> buckets_;
-  std::map<std::string, Time> refusals_;  ///< The last one of each tenant.
+  std::map<std::string, Time> refusals_;  ///< Time of each tenant's last refusal.
 };
 
 }  // namespace shedshed
--- a/src/gateway/start_wait.h
+++ b/src/gateway/start_wait.h
@@ -1,22 +1,22 @@
 /// @file
-/// Calls that arrive before a process that has just started knows what it needs.
+/// Bounded wait of calls that arrive while the process is starting and not yet ready.
 #pragma once
 
 #include "kernel/time.h"
 
 namespace shedshed {
 
-/// A process counts as starting for this long. Later a missing proof is an outage, and the caller
-/// is told at once to come back.
+/// Time after process start in which calls may wait for readiness. Later, an expired freshness
+/// lease is an outage, and calls are rejected at once with `Retry-After`.
 inline constexpr Duration kStartupPeriod = std::chrono::seconds(3);
-/// A call waits at most this long for the start to end. After the loss of all processes the first
-/// proof and the first list of engines come within about this time.
+/// Longest wait of one call. After a restart of all processes, the first freshness lease and the
+/// first engine list arrive within about this time.
 inline constexpr Duration kMaxStartWait = std::chrono::milliseconds(700);
-/// Time between two looks.
+/// Interval between readiness checks.
 inline constexpr Duration kStartWaitPollInterval = std::chrono::milliseconds(20);
 
-/// @return true if a call that arrived at @p arrived may wait for another `kStartWaitStep` at @p
-/// now in a process that was started at @p started
+/// Returns true if at @p now a call that arrived at @p arrived may wait for another
+/// `kStartWaitPollInterval`; @p started is the start time of the process.
 inline bool mayWaitForStart(Time started, Time arrived, Time now) {
   return now < started + kStartupPeriod && now + kStartWaitPollInterval <= arrived + kMaxStartWait;
 }
--- a/tests/gateway/error_answer_test.cpp
+++ b/tests/gateway/error_answer_test.cpp
@@ -13,7 +13,7 @@
   bool hasRetryAfter;
 };
 
-/// A status that promises "not run" (408, 421, 429, 503) is for calls that did not run, only.
+/// Statuses that imply "not run" (408, 421, 429, 503) are used only for calls that did not run.
 const Expected kTable[] = {
     {ErrorCode::InvalidArgument, Ran::No, 400, false},
     {ErrorCode::Unauthenticated, Ran::No, 401, false},
--- a/tests/gateway/quota_share_test.cpp
+++ b/tests/gateway/quota_share_test.cpp
@@ -15,7 +15,8 @@
   return Time() + std::chrono::milliseconds(milliseconds);
 }
 
-/// What all fronts admit together from @p begin for @p milliseconds, asked every millisecond.
+/// Number of calls that all nodes admit in the @p milliseconds after @p begin, with one attempt per
+/// node and millisecond.
 int admitted(std::vector<QuotaShare>& shares, int begin, int milliseconds) {
   int count = 0;
   for (int tick = begin; tick < begin + milliseconds; ++tick) {
@@ -35,8 +36,8 @@
   BOOST_TEST(passed > 0.9 * kRate * 5);
 }
 
-/// A hot tenant had taken its whole quota when its store was killed; the fronts' shares then held a
-/// second burst, and one window passed more than the quota allows.
+/// Regression: a busy tenant used its whole quota just before its store was killed. The local
+/// shares then allowed a second burst, and one window exceeded the quota.
 BOOST_AUTO_TEST_CASE(a_tenant_at_its_limit_gets_no_second_burst) {
   std::vector<QuotaShare> shares(kDataNodes);
   admitted(shares, 0, 1000);
