--- a/src/gateway/cost_load_balancer.cpp
+++ b/src/gateway/cost_load_balancer.cpp
@@ -7,10 +7,10 @@
 namespace shedshed {
 namespace {
 
-/// Prefixes that are remembered; all are forgotten when there are more.
+/// Maximum number of tracked prefixes; beyond it, all are dropped.
 constexpr std::size_t kMaxPrefixes = 20000;
 
-/// The engine that all nodes prefer for a prefix.
+/// Returns the engine that all nodes prefer for a prefix, by rendezvous hashing.
 std::string preferredEngine(const std::vector<const EngineInfo*>& candidates, std::uint64_t hash) {
   const std::string key = "prefix/" + std::to_string(hash);
   const EngineInfo* best = nullptr;
@@ -71,7 +71,8 @@
   cost += found->second.inFlight * costs_.callInFlightMilliseconds;
   cost += now < found->second.rejectedUntil ? costs_.afterRejectionMilliseconds : 0;
   cost += now < found->second.failedUntil ? costs_.afterFailureMilliseconds : 0;
-  // An engine without power says nothing at all: its oldest unanswered call shows it.
+  // A host that loses power does not reset its connections; only the age of the oldest unanswered
+  // call reveals the failure.
   const auto& pendingResponses = found->second.pendingResponses;
   const bool unresponsive = !pendingResponses.empty() &&
                             now - pendingResponses.begin()->second > costs_.unresponsiveAfter;
@@ -90,7 +91,7 @@
   const std::vector<Prefix> prefixes = sharedPrefixes(call.prompt);
   const bool hasAffinity =
       !prefixes.empty() && prefixes.back().tokens >= costs_.minSharedPrefixTokens;
-  // Of all ready engines, so that a second choice does not move the preference.
+  // Chosen among all ready engines, so that exclusions on a retry do not change the preference.
   const std::string preferred =
       hasAffinity ? preferredEngine(candidates, prefixes.back().hash) : std::string();
   const EngineInfo* best = nullptr;
--- a/src/gateway/cost_load_balancer.h
+++ b/src/gateway/cost_load_balancer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Load balancer that chooses the engine where a call is estimated to cost the least time.
+/// Load balancer that chooses the engine with the lowest estimated latency cost of a call.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -13,17 +13,17 @@
 
 namespace shedshed {
 
-/// Estimated costs, as additional milliseconds of the call.
+/// Estimated costs, as additional latency of the call in milliseconds.
 struct LoadBalancerCosts {
-  double callInFlightMilliseconds = 4;  ///< For each call of this node that runs at the engine.
-  double uncachedTokenMilliseconds = 0.0065;  ///< For each token of the prompt to be read there.
+  double callInFlightMilliseconds = 4;  ///< Per call of this node that is in flight at the engine.
+  double uncachedTokenMilliseconds = 0.0065;  ///< Per prompt token not cached at the engine.
   double otherZoneMilliseconds = 2;           ///< For an engine in another zone.
   double notSuggestedMilliseconds =
-      12;  ///< For an engine that is not the one suggested for the call.
-  double afterRejectionMilliseconds = 25;  ///< While `rejectionMemory` lasts.
-  double afterFailureMilliseconds = 2000;  ///< While `failureMemory` lasts.
+      12;  ///< For an engine other than the one suggested for the call.
+  double afterRejectionMilliseconds = 25;  ///< For `rejectionPenaltyDuration` after a rejection.
+  double afterFailureMilliseconds = 2000;  ///< For `failurePenaltyDuration` after a failure.
   double unresponsiveMilliseconds =
-      1000;  ///< While a call has waited for its answer beyond `unresponsiveAfter`.
+      1000;  ///< While a call has waited for a response longer than `unresponsiveAfter`.
   double prefixHitProbability =
       0.8;  ///< Probability that a prefix is cached at its preferred engine.
   std::uint32_t minSharedPrefixTokens =
@@ -40,37 +40,36 @@
   std::string address;
 };
 
-/// Tracks what this node knows of the engines' load and prefix caches. Core thread only.
+/// Tracks the load and the cached prefixes of engines, as observed by this node. Core thread only.
 class CostLoadBalancer {
  public:
-  /// @p zone is this node's.
+  /// @p zone is the zone of this node; if it is empty, zones are ignored.
   CostLoadBalancer(std::string zone, RandomEngine& random, LoadBalancerCosts costs = {});
 
-  /// A call was sent to the engine, which has not answered it yet.
-  /// @return the number by which `answered` ends the wait
+  /// Records that a call was sent to the engine. Returns a number to be passed to `onAnswered`.
   std::uint64_t onSent(const std::string& engine, Time now);
 
-  /// The engine has started to answer the call, or the call was abandoned.
+  /// Records that the engine started to respond to the call, or that the call was abandoned.
   void onAnswered(const std::string& engine, std::uint64_t requestNumber);
 
   /// Chooses among the ready engines of the call's service that are not in @p excluded, and counts
-  /// the call as in flight there until `finished`. Fails with `NoEngine`.
+  /// the call as in flight there until `onFinished`. Fails with `NoEngine`.
   Result<EngineChoice> choose(const EngineTable& table, const OpaqueCall& call,
                               const std::set<std::string>& excluded, Time now);
 
-  /// The call has left the engine.
+  /// Records that a call is no longer in flight at the engine.
   void onFinished(const std::string& engine);
 
-  /// The engine rejected a call without running it.
+  /// Records that the engine rejected a call without running it.
   void onRejected(const std::string& engine, Time now);
 
-  /// The engine could not be reached, or its response was incomplete.
+  /// Records that the engine was unreachable or sent an incomplete response.
   void onFailed(const std::string& engine, Time now);
 
-  /// The engine has read the call's prompt.
+  /// Records that the engine processed the call's prompt and so holds its prefixes in its cache.
   void onServed(const std::string& engine, const OpaqueCall& call, Time now);
 
-  /// Forgets what is known of engines that @p table does not list.
+  /// Removes the state of engines that @p table does not list.
   void keepOnly(const EngineTable& table);
 
  private:
@@ -78,16 +77,16 @@
     std::uint32_t inFlight = 0;
     Time rejectedUntil{};
     Time failedUntil{};
-    std::map<std::uint64_t, Time>
-        pendingResponses;  ///< Calls without an answer, and when each was sent.
+    /// Send times of unanswered calls, by call number.
+    std::map<std::uint64_t, Time> pendingResponses;
   };
-  /// A prefix of a prompt: the parts up to one that is shared.
+  /// A prompt prefix that other calls may share: one or more leading parts of the prompt.
   struct Prefix {
     std::uint64_t hash = 0;
     std::uint32_t tokens = 0;
   };
 
-  /// The shared prefixes of the call, shortest first.
+  /// Returns the shareable prefixes of the prompt, shortest first.
   static std::vector<Prefix> sharedPrefixes(const PromptHints& prompt);
   double cachedTokens(const EngineInfo& engine, const std::vector<Prefix>& prefixes,
                       const std::string& preferred, Time now) const;
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -14,9 +14,9 @@
 
 /// Time-out of a new connection.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
-/// Longest complete response, in bytes.
+/// Maximum size of an unstreamed response, in bytes.
 constexpr std::size_t kMaxResponseBytes = 32U << 20U;
-/// Idle time after which an attempt is abandoned, if the call may continue at another engine.
+/// Idle time-out of an attempt, if the call may be retried at another engine.
 constexpr Duration kIdleTimeout = std::chrono::milliseconds(1500);
 
 bool isSuccess(int status) {
@@ -27,10 +27,10 @@
 /// it reports success.
 Status checkHead(const ResponseHead& head) {
   if (!head.hasRequestId) {
-    return makeError(ErrorCode::ResponseMismatch, "the answer is not that of the call");
+    return makeError(ErrorCode::ResponseMismatch, "the response does not echo the request id");
   }
   if (isSuccess(head.status) && !head.isSigned) {
-    return makeError(ErrorCode::ResponseMismatch, "the answer is not signed");
+    return makeError(ErrorCode::ResponseMismatch, "the response is not signed by the engine");
   }
   return okStatus();
 }
@@ -39,7 +39,7 @@
   return attempt.outcome == AttemptOutcome::Answered || attempt.outcome == AttemptOutcome::Streamed;
 }
 
-/// The result of a call whose last attempt is @p attempt, which is complete.
+/// Returns the result of a call whose last attempt, @p attempt, is complete.
 Result<ForwardedAnswer> answerOf(UpstreamAttempt attempt, const RetryPolicy& retries) {
   if (attempt.outcome == AttemptOutcome::Streamed) {
     return ForwardedAnswer{true, {}, {}};
@@ -97,7 +97,7 @@
   std::set<std::string> attemptedEngines;
   while (true) {
     if (timeLeft(call) <= Duration{0}) {
-      return makeError(ErrorCode::DeadlineExceeded, "the time allowed ran out",
+      return makeError(ErrorCode::DeadlineExceeded, "the deadline of the call has passed",
                        retries.execution());
     }
     const Duration idleTimeout = retries.allowsAnotherExecution() ? kIdleTimeout : timeLeft(call);
@@ -148,7 +148,7 @@
     const bool stale = pooled && attempt.outcome == AttemptOutcome::Rejected &&
                        attempt.error.code == ErrorCode::EngineFailed;
     if (stale) {
-      continue;  // The engine had closed the idle connection: no byte of the call went out.
+      continue;  // The engine had closed the pooled connection; nothing was sent.
     }
     if (isComplete(attempt)) {
       pool_.release(engine.id, std::move(connection.value()), core_.now());
@@ -184,7 +184,7 @@
   if (!sent && sent.error().ran == Ran::No) {
     return rejectedAttempt(sent.error());
   }
-  // An engine that closed while the call was sent may have said before that it does not run it.
+  // An engine that closed the connection during the send may have reported "not run" before that.
   if (!sent && sent.error().code != ErrorCode::EngineFailed) {
     return failedAttempt(sent.error());
   }
@@ -226,7 +226,8 @@
   }
   if (head.value().notRun || head.value().status == kMisdirected) {
     connection.close();
-    return rejectedAttempt(makeError(ErrorCode::NoEngine, "the engine refused"));
+    return rejectedAttempt(
+        makeError(ErrorCode::NoEngine, "the engine rejected the call without running it"));
   }
   if (const Status checked = checkHead(head.value()); !checked) {
     return failedAttempt(checked.error());
@@ -254,7 +255,8 @@
     }
     attempt.body.append(chunk.value());
     if (attempt.body.size() > kMaxResponseBytes) {
-      return failedAttempt(makeError(ErrorCode::TooLarge, "the engine's answer is over its bound"));
+      return failedAttempt(
+          makeError(ErrorCode::TooLarge, "the engine's response exceeds the size limit"));
     }
   }
 }
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs opaque calls on engines, at most once unless the call allows more.
+/// Runs opaque calls on engines, at most once unless the call may be repeated.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -20,9 +20,10 @@
 class StreamSink {
  public:
   virtual ~StreamSink() = default;
-  /// The head of the first engine's answer; a later engine's head is not shown.
+  /// Called with the response head of each engine that streams; only the first one is used.
   virtual void onHead(const ResponseHead& head) = 0;
-  /// Bytes of the stream; complete events if the call is resumable. An error ends the stream.
+  /// Called with bytes of the stream; complete events if the call is resumable. An error ends the
+  /// stream.
   virtual Status onBytes(std::string_view bytes, boost::asio::yield_context yield) = 0;
 };
 
@@ -41,19 +42,18 @@
   std::string body;
 };
 
-/// Forwards calls. On the core thread, within a coroutine on the call's strand.
+/// Forwards calls. Runs on the core thread, in a coroutine on the call's strand.
 class Forwarder {
  public:
-  /// Keeps references to all; they must outlive it.
+  /// Keeps references to all arguments; they must outlive the forwarder.
   Forwarder(boost::asio::io_context& io, CoreExecutor& core, EngineSource& engines,
             CostLoadBalancer& loadBalancer, ServingCounters& counters, const HeaderNames& names);
 
-  /// Records choices and failures in @p journal from now on.
+  /// Records chosen engines and failures in @p journal.
   void setJournal(CallJournal& journal) { journal_ = &journal; }
 
-  /// Runs the call: other engines are attempted while none has run it, and after that as far as
-  /// the call may be repeated (`RetryPolicy`). An error's `ran` is `No` only if no engine has run
-  /// the call or ever will.
+  /// Runs the call, with retries at other engines as `RetryPolicy` allows. An error's `ran` is `No`
+  /// only if no engine has run the call or ever will.
   Result<ForwardedAnswer> run(ForwardedCall& forwarded, boost::asio::yield_context yield);
 
   /// Chooses an engine and makes one attempt there. The engine's id is added to
@@ -72,7 +72,7 @@
   UpstreamAttempt exchange(ForwardedCall& forwarded, const OpaqueCall& call,
                            const EngineChoice& engine, UpstreamConnection& connection,
                            Duration idleTimeout, boost::asio::yield_context yield);
-  /// Lets the load balancer, the counters and the journal know how the attempt ended.
+  /// Reports the outcome of the attempt to the load balancer, the counters and the journal.
   void recordOutcome(const UpstreamAttempt& attempt, const OpaqueCall& call,
                      const EngineChoice& engine);
   UpstreamAttempt readResponse(ForwardedCall& forwarded, const OpaqueCall& call,
--- a/src/gateway/retry_policy.cpp
+++ b/src/gateway/retry_policy.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr int kFirstServerError = 500;
-/// Engines that are asked while each says that it did not run the call.
+/// Maximum number of rejected attempts per call.
 constexpr std::uint32_t kMaxRejections = 4;
 
 }  // namespace
@@ -44,7 +44,7 @@
 RetryPolicy::Decision RetryPolicy::afterFailure() {
   const bool isAllowed = allowsAnotherExecution();
   ++executions_;
-  // A client that has part of a stream can only take the rest of the same stream.
+  // A client that has received part of a stream can only be sent the rest of the same stream.
   const bool canContinue = !responseStarted_ || resumable_;
   return isAllowed && canContinue ? Decision::Retry : Decision::Finish;
 }
--- a/src/gateway/retry_policy.h
+++ b/src/gateway/retry_policy.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decides whether a call may be sent to a further engine.
+/// Decides whether a call may be sent to another engine.
 #pragma once
 
 #include "gateway/opaque_call.h"
@@ -21,7 +21,7 @@
 
   explicit RetryPolicy(const OpaqueCall& call);
 
-  /// True if the call may be sent again even if an engine runs the next attempt.
+  /// Returns true if the call may be retried even after an engine has run the next attempt.
   bool allowsAnotherExecution() const;
 
   /// Records @p attempt and decides what follows it.
--- a/src/gateway/upstream_attempt.h
+++ b/src/gateway/upstream_attempt.h
@@ -25,10 +25,10 @@
   ResponseHead head;             ///< Of `Answered`.
   std::string body;              ///< Of `Answered`.
   bool responseStarted = false;  ///< Of `Failed`: bytes of a stream went to the sink.
-  std::string lastEventId;       ///< Of `Failed`: of the last complete event that went to the sink.
+  std::string lastEventId;       ///< Of `Failed`: id of the last complete event sent to the sink.
 };
 
-/// An attempt that the engine has not run: no byte of the call reached it, or it said so.
+/// Returns an attempt that no engine ran: nothing was sent, or the engine reported "not run".
 inline UpstreamAttempt rejectedAttempt(Error error) {
   UpstreamAttempt attempt;
   attempt.outcome = AttemptOutcome::Rejected;
@@ -37,7 +37,7 @@
   return attempt;
 }
 
-/// An attempt that the engine may have run.
+/// Returns a failed attempt that the engine may have run.
 inline UpstreamAttempt failedAttempt(Error error) {
   UpstreamAttempt attempt;
   attempt.outcome = AttemptOutcome::Failed;
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -15,13 +15,14 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-/// Largest head of an engine's answer, in bytes.
+/// Maximum size of a response head, in bytes.
 constexpr std::uint32_t kMaxHeadBytes = 32U << 10U;
-/// Largest body of an engine's answer, in bytes.
+/// Maximum size of a response body, in bytes.
 constexpr std::uint64_t kMaxBodyBytes = 256U << 20U;
-/// Time that an engine is expected to keep an idle connection if it does not say.
+/// Assumed keep-alive time of an engine that sends no `Keep-Alive` header.
 constexpr Duration kDefaultKeepAlive = std::chrono::seconds(4);
-/// Sent bytes that stay unacknowledged for this long close the link: the engine is gone.
+/// `TCP_USER_TIMEOUT`: if sent bytes stay unacknowledged for this long, the engine's host is
+/// assumed to be down and the connection fails.
 constexpr std::chrono::milliseconds kUnackedTimeout{1500};
 
 std::string_view toView(boost::beast::string_view text) {
@@ -60,7 +61,7 @@
   return text;
 }
 
-/// The seconds of `Keep-Alive: timeout=N`; nullopt if it does not say.
+/// Parses the seconds of `Keep-Alive: timeout=N`; nullopt without `timeout`.
 std::optional<Duration> parseKeepAlive(std::string_view value) {
   constexpr std::string_view kTimeout = "timeout=";
   const std::size_t begin = value.find(kTimeout);
@@ -79,14 +80,15 @@
 Error UpstreamConnection::failure(const error_code& failed, const SocketDeadline& deadline,
                                   const CallAbort& abort) const {
   if (abort.aborted()) {
-    return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::Unknown);
+    return makeError(ErrorCode::Cancelled, "the client has disconnected", Ran::Unknown);
   }
   if (deadline.expired()) {
-    return makeError(ErrorCode::DeadlineExceeded, "the engine took too long", Ran::Unknown);
+    return makeError(ErrorCode::DeadlineExceeded, "the engine did not respond in time",
+                     Ran::Unknown);
   }
   if (failed == http::error::partial_message) {
-    return makeError(ErrorCode::ResponseTruncated, "the answer ended before its framing said so",
-                     Ran::Unknown);
+    return makeError(ErrorCode::ResponseTruncated,
+                     "the response ended before the length given by its framing", Ran::Unknown);
   }
   return makeError(ErrorCode::EngineFailed, failed.message(), Ran::Unknown);
 }
@@ -120,7 +122,7 @@
                                 net::yield_context yield) {
   responseComplete_ = false;
   if (abort.aborted()) {
-    return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::No);
+    return makeError(ErrorCode::Cancelled, "the client has disconnected", Ran::No);
   }
   const CallAbort::Scope scope(abort, [this]() { close(); });
   SocketDeadline deadline(strand, socket_);
@@ -207,7 +209,7 @@
       return std::string_view(chunk_.data(), size);
     }
   }
-  // Bytes after a whole answer belong to no call.
+  // Bytes after a complete response belong to no call, so the connection must not be reused.
   responseComplete_ = parser_->keep_alive() && buffer_.size() == 0;
   return std::string_view();
 }
--- a/src/gateway/upstream_connection.h
+++ b/src/gateway/upstream_connection.h
@@ -23,19 +23,19 @@
 
 namespace shedshed {
 
-/// Head of an engine's answer.
+/// Head of an engine's response.
 struct ResponseHead {
   int status = 0;
-  std::vector<HeaderField> headers;  ///< Without those of the connection.
-  bool hasRequestId = false;         ///< The answer echoes the id of the call that was sent.
-  bool notRun = false;               ///< The engine says that it did not run the call.
+  std::vector<HeaderField> headers;  ///< Without hop-by-hop headers.
+  bool hasRequestId = false;         ///< The response echoes the id of the call.
+  bool notRun = false;               ///< The engine reports that it did not run the call.
   bool isSigned = false;
   bool eventStream = false;
 };
 
-/// A connection; use it from one coroutine at a time.
+/// A connection to an engine, used by one coroutine at a time.
 ///
-/// An error's `ran` is `No` only if no byte of a call was handed to the network.
+/// An error's `ran` is `No` only if no byte of the call was written to the socket.
 class UpstreamConnection {
  public:
   UpstreamConnection(boost::asio::io_context& io, const HeaderNames& names);
@@ -44,22 +44,24 @@
   Status connect(const std::string& address, Duration limit, CallAbort& abort,
                  const ServingStrand& strand, boost::asio::yield_context yield);
 
-  /// Sends @p call to the engine @p engineId; @p timeLeft is told to it if the call says so.
+  /// Sends @p call to the engine @p engineId, with @p timeLeft as its deadline if the call's
+  /// `forwardDeadline` is set.
   Status send(const OpaqueCall& call, const std::string& engineId, Duration timeLeft,
               CallAbort& abort, const ServingStrand& strand, boost::asio::yield_context yield);
 
-  /// Reads the head of the answer, at most until @p limit has passed.
+  /// Reads the head of the response. Fails with `DeadlineExceeded` after @p limit.
   Result<ResponseHead> readHead(const OpaqueCall& call, Duration limit, CallAbort& abort,
                                 const ServingStrand& strand, boost::asio::yield_context yield);
 
-  /// Reads a piece of the body; empty at its whole end. Valid until the next call.
+  /// Reads the next bytes of the body; empty at the end of a complete body. Valid until the next
+  /// call.
   Result<std::string_view> readChunk(Duration limit, CallAbort& abort, const ServingStrand& strand,
                                      boost::asio::yield_context yield);
 
-  /// True if the last answer was whole and the connection may carry another call.
+  /// Returns true if the last response was complete and the connection may carry another call.
   bool reusable();
 
-  /// Time for which the engine keeps the idle connection; a guess if it has not said.
+  /// Time for which the engine keeps an idle connection open; a default if it sent no `Keep-Alive`.
   Duration keepAlive() const { return keepAlive_; }
 
   void close();
--- a/src/gateway/upstream_connection_pool.cpp
+++ b/src/gateway/upstream_connection_pool.cpp
@@ -5,9 +5,10 @@
 namespace shedshed {
 namespace {
 
-/// A connection is abandoned this long before the engine would close it.
+/// Connections expire this long before the engine would close them, to avoid sending a call on a
+/// connection that is being closed.
 constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
-/// Idle connections retained per engine.
+/// Maximum number of idle connections per engine.
 constexpr std::size_t kMaxIdleConnections = 16;
 
 }  // namespace
--- a/src/gateway/upstream_connection_pool.h
+++ b/src/gateway/upstream_connection_pool.h
@@ -1,5 +1,5 @@
 /// @file
-/// The idle connections of a node to its engines.
+/// Pool of idle connections from this node to engines.
 #pragma once
 
 #include "gateway/upstream_connection.h"
@@ -11,10 +11,10 @@
 
 namespace shedshed {
 
-/// Idle connections by the engine's id. Core thread only.
+/// Idle connections, by engine id. Core thread only.
 class UpstreamConnectionPool {
  public:
-  /// Returns the connection that was used last and may be reused, or null.
+  /// Returns the most recently used connection that may be reused, or null.
   std::unique_ptr<UpstreamConnection> acquire(const std::string& engine, Time now);
 
   /// Retains @p connection if it may be reused, else closes it.
--- a/tests/gateway/forwarder_test.cpp
+++ b/tests/gateway/forwarder_test.cpp
@@ -1,4 +1,4 @@
-/// The promise of "not run", over the answers of engines: one case for each cell.
+// Retries and the "not run" guarantee, for each kind of engine response.
 #include "gateway/forwarder.h"
 
 #include "gateway/buffered_request_server.h"
@@ -42,7 +42,7 @@
 enum class Behaviour { Serves, RefusesNotRun, Misdirected, Fails, AnswersAnotherCall, Unsigned };
 
 struct ForwarderFixture {
-  /// Engines answer in the order of their ids as @p behaviours say: each next one costs more.
+  /// Adds one engine per entry of @p behaviours. The load balancer prefers the first one.
   explicit ForwarderFixture(const std::vector<Behaviour>& behaviours) {
     for (const Behaviour behaviour : behaviours) {
       addEngine(behaviour);
@@ -50,7 +50,7 @@
     for (std::size_t index = 0; index < behaviours.size(); ++index) {
       for (std::size_t calls = 0; calls < index; ++calls) {
         (void)loadBalancer.onSent("e" + std::to_string(index),
-                                  Time());  // Looks slower than those before.
+                                  Time());  // Seems unresponsive.
       }
     }
   }
@@ -133,8 +133,8 @@
 
 BOOST_AUTO_TEST_SUITE(forwarder)
 
-/// An engine that has the address of another one answers 421; the call was answered 503 then
-/// although others were free.
+/// Regression: an engine that took over the address of another one answers 421. The call then
+/// failed with 503 although other engines were free.
 BOOST_AUTO_TEST_CASE(a_rejected_call_is_sent_to_the_next_engine) {
   for (const Behaviour refusal : {Behaviour::RefusesNotRun, Behaviour::Misdirected}) {
     ForwarderFixture fixture({refusal, refusal, Behaviour::Serves});
--- a/tests/gateway/retry_policy_test.cpp
+++ b/tests/gateway/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which attempts may be followed by another one, without any network.
+// Retry decisions after each kind of attempt.
 #include "gateway/retry_policy.h"
 
 #include <boost/test/unit_test.hpp>
