--- a/src/gateway/buffered_request_server.cpp
+++ b/src/gateway/buffered_request_server.cpp
@@ -52,14 +52,14 @@
   return response;
 }
 
-/// Runs tasks at once: server and handler share one thread.
+/// Runs tasks immediately, because server and handler share one thread.
 class InlineExecutor : public CoreExecutor {
  public:
   void post(std::function<void()> task) override { task(); }
   Time now() const override { return {}; }
 };
 
-/// Reads what is left so that the answer isn't lost in a reset.
+/// Discards unread input before the close; otherwise a reset could destroy the response in transit.
 void linger(net::ip::tcp::socket& socket, const ServingStrand& strand, net::yield_context yield) {
   error_code failed;
   socket.shutdown(net::ip::tcp::socket::shutdown_send, failed);
@@ -128,7 +128,8 @@
     deadline.disarm();
     GatewayAnswer answer;
     if (failed == http::error::body_limit || failed == http::error::header_limit) {
-      answer = gatewayErrorAnswer(makeError(ErrorCode::TooLarge, "over its bound"), {});
+      answer = gatewayErrorAnswer(
+          makeError(ErrorCode::TooLarge, "the request exceeds its size limit"), {});
       open = false;
     } else if (failed) {
       return;
--- a/src/gateway/buffered_request_server.h
+++ b/src/gateway/buffered_request_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// A small HTTP server for calls whose answers are made as a whole: readiness, operators' calls.
+/// HTTP server for requests with unstreamed responses: readiness checks and operator requests.
 #pragma once
 
 #include "gateway/gateway_call.h"
@@ -11,25 +11,26 @@
 
 namespace shedshed {
 
-/// A call as it came in.
+/// A request as received.
 struct BufferedRequest {
   std::string method;
   std::string target;
   std::vector<HeaderField> headers;
   std::string body;
 
-  /// The value of the header @p name; empty if it is absent.
+  /// Returns the value of the header @p name, or empty if it is absent.
   std::string_view header(std::string_view name) const;
 };
 
-/// Answers calls on one address. On the thread of the event loop.
+/// Serves requests on one address. Runs on the thread of the event loop.
 class BufferedRequestServer {
  public:
   using Done = std::function<void(GatewayAnswer)>;
-  /// Answers a call by calling `done` once, at once or later, on the thread of the event loop.
+  /// Answers a request by calling `done` exactly once, immediately or later, on the thread of the
+  /// event loop.
   using Handler = std::function<void(const BufferedRequest& request, Done done)>;
 
-  /// @p maxBodyBytes: a larger body is refused with 413.
+  /// A request body larger than @p maxBodyBytes is rejected with 413.
   BufferedRequestServer(boost::asio::io_context& io, std::string address, std::size_t maxBodyBytes,
                         Handler handler);
 
--- a/src/gateway/downstream_session.cpp
+++ b/src/gateway/downstream_session.cpp
@@ -18,7 +18,7 @@
 
 constexpr Duration kLingerTimeout = std::chrono::milliseconds(500);
 constexpr std::chrono::milliseconds kUnackedTimeout{3000};
-/// Time-out of a body, in addition to that of the header.
+/// Time-out of the request body, added to that of the header.
 constexpr Duration kBodyTimeout = std::chrono::seconds(10);
 
 std::string_view toView(boost::beast::string_view text) {
@@ -34,7 +34,7 @@
   return std::chrono::milliseconds(number);
 }
 
-/// Counts a call for as long as it lives.
+/// Counts a call as active for the lifetime of the object.
 class ActiveCall {
  public:
   explicit ActiveCall(std::size_t& count) : count_(count) { ++count_; }
@@ -99,13 +99,13 @@
   error_code failed;
   http::async_read_header(socket_, buffer_, parser, yield[failed]);
   if (failed == http::error::header_limit || failed == http::error::body_limit) {
-    refusal_ = makeError(ErrorCode::TooLarge, "the header or the body is over its bound");
+    refusal_ = makeError(ErrorCode::TooLarge, "the request header or body exceeds its size limit");
     return true;
   }
   const bool malformed =
       failed && failed.category() == make_error_code(http::error::bad_method).category();
   if (malformed && failed != http::error::end_of_stream && failed != http::error::partial_message) {
-    refusal_ = makeError(ErrorCode::InvalidArgument, "malformed HTTP: " + failed.message());
+    refusal_ = makeError(ErrorCode::InvalidArgument, "malformed HTTP request: " + failed.message());
     return true;
   }
   if (failed) {
@@ -124,12 +124,12 @@
   deadline.arm(limits.headerTimeout + kBodyTimeout);
   http::async_read(socket_, buffer_, parser, yield[failed]);
   if (failed == http::error::body_limit) {
-    refusal_ = makeError(ErrorCode::TooLarge, "the body is over its bound");
+    refusal_ = makeError(ErrorCode::TooLarge, "the request body exceeds its size limit");
     return true;
   }
   if (failed && failed.category() == make_error_code(http::error::bad_method).category() &&
       failed != http::error::partial_message) {
-    refusal_ = makeError(ErrorCode::InvalidArgument, "malformed body: " + failed.message());
+    refusal_ = makeError(ErrorCode::InvalidArgument, "malformed request body: " + failed.message());
     return true;
   }
   return !failed;
@@ -162,7 +162,7 @@
       opaque.resumeAfter = std::string(value);
     } else if (sameHeaderName(name, names.tenant) || sameHeaderName(name, names.expectedEngine) ||
                sameHeaderName(name, "Expect") || isConnectionHeader(name)) {
-      continue;  // Said anew by this tier, or of this connection only.
+      continue;  // Set by the gateway itself, or hop-by-hop.
     } else {
       opaque.headers.push_back({std::string(name), std::string(value)});
       if (sameHeaderName(name, names.promptParts)) {
@@ -224,7 +224,7 @@
     return writer.endStream(yield) && staysOpen;
   }
   if (writer.streamStarted()) {
-    return false;  // Cut without the last chunk: it can't look whole.
+    return false;  // Without the last chunk, the client sees a truncated response.
   }
   if (!step) {
     call.answer = gatewayErrorAnswer(step.error(), call.call.requestId);
@@ -238,7 +238,7 @@
   if (!writer.writeAnswer(gatewayErrorAnswer(error, requestId), false, yield)) {
     return false;
   }
-  // Unread bytes at the close would reset the connection and take the answer away.
+  // Closing with unread bytes would reset the connection, and the client could lose the response.
   error_code failed;
   socket_.shutdown(net::ip::tcp::socket::shutdown_send, failed);
   SocketDeadline deadline(strand_, socket_);
--- a/src/gateway/downstream_session.h
+++ b/src/gateway/downstream_session.h
@@ -20,16 +20,16 @@
 
 class DownstreamSession;
 
-/// What all connections of a gateway share.
+/// State shared by all connections of a gateway.
 struct GatewayShared {
   GatewayServices& services;
-  std::vector<std::unique_ptr<GatewayFilter>> filters;  ///< In the order of their use.
+  std::vector<std::unique_ptr<GatewayFilter>> filters;  ///< In the order of application.
   std::size_t activeCalls = 0;
-  bool stopping = false;                      ///< No session waits for a further call.
-  std::set<DownstreamSession*> idleSessions;  ///< Sessions between two calls.
+  bool stopping = false;                      ///< Sessions wait for no further request.
+  std::set<DownstreamSession*> idleSessions;  ///< Sessions that wait for a request.
 };
 
-/// Serves the calls of one connection, one after the other, until it is closed.
+/// Serves the requests of one connection in sequence until the connection closes.
 class DownstreamSession {
  public:
   DownstreamSession(GatewayShared& shared, boost::asio::ip::tcp::socket socket,
@@ -37,17 +37,17 @@
 
   void run(boost::asio::yield_context yield);
 
-  /// Closes the connection if no byte of a further call has come: its client goes elsewhere.
+  /// Closes the connection unless bytes of another request have arrived.
   void closeIfIdle();
 
  private:
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
-  /// Serves one call; false if the connection must be closed.
+  /// Serves one request. Returns false if the connection must be closed.
   bool serve(boost::asio::yield_context yield);
   bool waitForRequest(Duration idle, boost::asio::yield_context yield);
-  /// Reads a call. False if the connection is to be closed without an answer; `refusal_` is set if
-  /// the call must be refused, and the connection closed.
+  /// Reads a request. Returns false if the connection must be closed without a response. Sets
+  /// `refusal_` if the request must be refused and the connection closed after that.
   bool readRequest(Parser& parser, const ClientLimits& limits, DownstreamWriter& writer,
                    boost::asio::yield_context yield);
   void extractCall(Parser& parser, GatewayCall& call);
--- a/src/gateway/downstream_writer.cpp
+++ b/src/gateway/downstream_writer.cpp
@@ -30,7 +30,7 @@
   text.append(name).append(": ").append(value).append("\r\n");
 }
 
-/// Seconds with fractions, as callers read them.
+/// Formats seconds with two decimal places.
 std::string formatSeconds(Duration duration) {
   std::array<char, 32> text{};
   const int size = std::snprintf(text.data(), text.size(), "%.2f",
@@ -79,7 +79,7 @@
   chunk.append(size.data(), static_cast<std::size_t>(digits)).append(bytes).append("\r\n");
   streamStarted_ = true;
   if (!write(chunk, yield)) {
-    return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::Unknown);
+    return makeError(ErrorCode::Cancelled, "the client has disconnected", Ran::Unknown);
   }
   return okStatus();
 }
--- a/src/gateway/downstream_writer.h
+++ b/src/gateway/downstream_writer.h
@@ -10,8 +10,8 @@
 
 namespace shedshed {
 
-/// Writes responses to one client, as HTTP/1.1. Every write has a time-out. Used by the coroutine
-/// of the session, which owns it.
+/// Writes HTTP/1.1 responses to one client. Every write has a time-out. Used only by the coroutine
+/// of the session that owns it.
 class DownstreamWriter : public StreamSink {
  public:
   DownstreamWriter(boost::asio::ip::tcp::socket& socket, const ServingStrand& strand)
@@ -20,19 +20,19 @@
   void onHead(const ResponseHead& head) override;
   Status onBytes(std::string_view bytes, boost::asio::yield_context yield) override;
 
-  /// Writes a complete answer. False if the client can't be reached.
+  /// Writes a complete answer. Returns false if the write fails.
   bool writeAnswer(const GatewayAnswer& answer, bool keepAlive, boost::asio::yield_context yield);
 
-  /// Ends a complete stream with the last chunk.
+  /// Ends a complete stream by writing the last chunk. Returns false if the write fails.
   bool endStream(boost::asio::yield_context yield);
 
-  /// Asks for a body that the client withholds until then.
+  /// Writes `100 Continue`, which the client awaits before it sends the body.
   bool writeContinue(boost::asio::yield_context yield);
 
-  /// True once bytes of a stream have been written.
+  /// Returns true once bytes of a stream have been written.
   bool streamStarted() const { return streamStarted_; }
 
-  /// The answer closes the connection.
+  /// Sets whether the response carries `Connection: close`.
   void setClosing(bool closing) { closing_ = closing; }
 
  private:
--- a/src/gateway/event_splitter.cpp
+++ b/src/gateway/event_splitter.cpp
@@ -8,7 +8,7 @@
 constexpr std::string_view kIdField = "id:";
 constexpr std::string_view kDataField = "data:";
 
-/// Cuts one line, without its end, off the beginning of @p text.
+/// Removes the first line from @p text and returns it without its line ending.
 std::string_view takeLine(std::string_view& text) {
   const std::size_t end = std::min(text.find('\n'), text.size());
   std::string_view line = text.substr(0, end);
@@ -19,7 +19,7 @@
   return line;
 }
 
-/// The value of the field if @p line is one of that name.
+/// Sets @p value and returns true if @p line is a field of the name @p field.
 bool fieldValue(std::string_view line, std::string_view field, std::string_view& value) {
   if (line.substr(0, field.size()) != field) {
     return false;
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Finds the whole events of a `text/event-stream`.
+/// Splitting of a `text/event-stream` into complete events.
 #pragma once
 
 #include <string>
@@ -7,31 +7,31 @@
 
 namespace shedshed {
 
-/// Cuts bytes into whole events without changing them. An event ends with an empty line.
+/// Splits a byte stream into complete events without changing them. An empty line ends an event.
 class EventSplitter {
  public:
-  /// Adds bytes as they arrived. Returns the whole events that they complete, in one piece; valid
+  /// Appends received bytes. Returns all events that are now complete, as one view that is valid
   /// until the next call.
   std::string_view add(std::string_view bytes);
 
-  /// Id of the last whole event that had one; empty if none had.
+  /// Returns the id of the last complete event that had one, or empty.
   const std::string& lastId() const { return lastId_; }
 
-  /// True if bytes of an unfinished event wait.
+  /// Returns true if bytes of an incomplete event are buffered.
   bool hasPartialEvent() const { return returnedBytes_ < buffer_.size(); }
 
  private:
   void readIds(std::string_view events);
 
   std::string buffer_;
-  std::size_t returnedBytes_ = 0;  ///< Bytes of the buffer that were returned.
+  std::size_t returnedBytes_ = 0;  ///< Length of the part of the buffer that `add` returned.
   std::string lastId_;
 };
 
-/// Collects the data of all events of a stream, separated by line feeds.
+/// Collects the `data` fields of all events of a stream, separated by line feeds.
 class EventDataCollector {
  public:
-  /// Adds whole events.
+  /// Adds complete events.
   void add(std::string_view events);
   std::string take() { return std::move(text_); }
 
