--- a/tests/gateway/event_splitter_test.cpp
+++ b/tests/gateway/event_splitter_test.cpp
@@ -13,12 +13,12 @@
 
 BOOST_AUTO_TEST_SUITE(event_splitter)
 
-BOOST_AUTO_TEST_CASE(whole_events_pass_unchanged_however_the_bytes_are_cut) {
-  for (std::size_t piece = 1; piece <= kStream.size(); ++piece) {
+BOOST_AUTO_TEST_CASE(complete_events_pass_unchanged_for_any_chunk_size) {
+  for (std::size_t chunkSize = 1; chunkSize <= kStream.size(); ++chunkSize) {
     EventSplitter splitter;
     std::string passed;
-    for (std::size_t at = 0; at < kStream.size(); at += piece) {
-      passed += splitter.add(std::string_view(kStream).substr(at, piece));
+    for (std::size_t at = 0; at < kStream.size(); at += chunkSize) {
+      passed += splitter.add(std::string_view(kStream).substr(at, chunkSize));
     }
     BOOST_TEST(passed == kStream);
     BOOST_TEST(splitter.lastId() == "3");
