--- a/src/gateway/gateway_call.cpp
+++ b/src/gateway/gateway_call.cpp
@@ -51,7 +51,7 @@
   }
 }
 
-/// Human-readable `message` of the error body; callers see it, so the wording is part of the API.
+/// Human-readable `message` of the error body that is sent to the caller.
 std::string_view userMessage(const Error& error) {
   if (error.ran != Ran::No) {
     return "The answer was lost on its way; the request may have been worked on.";
