--- a/src/gateway/downstream_writer.cpp
+++ b/src/gateway/downstream_writer.cpp
@@ -30,8 +30,8 @@
   text.append(name).append(": ").append(value).append("\r\n");
 }
 
-/// Seconds with fractions, as callers read them.
-std::string secondsText(Duration duration) {
+/// Formats seconds with two decimal places.
+std::string formatSeconds(Duration duration) {
   std::array<char, 32> text{};
   const int size = std::snprintf(text.data(), text.size(), "%.2f",
                                  std::chrono::duration<double>(duration).count());
@@ -56,10 +56,10 @@
 }
 
 void DownstreamWriter::onHead(const ResponseHead& head) {
-  if (headTaken_) {
+  if (headReceived_) {
     return;
   }
-  headTaken_ = true;
+  headReceived_ = true;
   pendingHead_ = statusLine(head.status);
   for (const HeaderField& field : head.headers) {
     appendHeader(pendingHead_, field.name, field.value);
@@ -79,7 +79,7 @@
   chunk.append(size.data(), static_cast<std::size_t>(digits)).append(bytes).append("\r\n");
   streamStarted_ = true;
   if (!write(chunk, yield)) {
-    return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::Unknown);
+    return makeError(ErrorCode::Cancelled, "the client has disconnected", Ran::Unknown);
   }
   return okStatus();
 }
@@ -99,7 +99,7 @@
     appendHeader(text, field.name, field.value);
   }
   if (answer.retryAfter) {
-    appendHeader(text, "Retry-After", secondsText(*answer.retryAfter));
+    appendHeader(text, "Retry-After", formatSeconds(*answer.retryAfter));
   }
   appendHeader(text, "Content-Length", std::to_string(answer.body.size()));
   if (!keepAlive) {
--- a/src/gateway/gateway_call.cpp
+++ b/src/gateway/gateway_call.cpp
@@ -17,16 +17,17 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-/// Pause named to a caller whose tenant is over its rate or has all its slots in use.
-constexpr Duration kPoolPause = std::chrono::milliseconds(400);
-/// Pause named to a caller whose call found no engine or no proved configuration.
-constexpr Duration kUnavailablePause = std::chrono::milliseconds(150);
+/// `Retry-After` if the tenant is over its rate or all its slots are in use.
+constexpr Duration kPoolFullRetryAfter = std::chrono::milliseconds(400);
+/// `Retry-After` if no engine is available or the configuration's freshness lease has expired.
+constexpr Duration kUnavailableRetryAfter = std::chrono::milliseconds(150);
 
-/// Statuses that tell nothing of whether the call ran.
+/// Status for a call that may have run; these statuses do not imply "not run".
 int statusOfFailure(ErrorCode code) {
   return code == ErrorCode::DeadlineExceeded ? kGatewayTimeout : kBadGateway;
 }
 
+/// Status for a call that did not run.
 int statusOfRefusal(ErrorCode code) {
   switch (code) {
   case ErrorCode::InvalidArgument:
@@ -50,8 +51,8 @@
   }
 }
 
-/// What happened, in one sentence for people.
-std::string_view plainWords(const Error& error) {
+/// Human-readable `message` of the error body that is sent to the caller.
+std::string_view userMessage(const Error& error) {
   if (error.ran != Ran::No) {
     return "The answer was lost on its way; the request may have been worked on.";
   }
@@ -83,15 +84,15 @@
   const JsonDocument document = JsonDocument::object();
   cJSON* member = cJSON_AddObjectToObject(document.root(), "error");
   cJSON_AddStringToObject(member, "type", std::string(errorTypeName(error.code)).c_str());
-  cJSON_AddStringToObject(member, "message", std::string(plainWords(error)).c_str());
+  cJSON_AddStringToObject(member, "message", std::string(userMessage(error)).c_str());
   cJSON_AddStringToObject(member, "ran", std::string(ranName(error.ran)).c_str());
   cJSON_AddStringToObject(member, "request_id", requestId.c_str());
   answer.body = document.print();
   answer.headers.push_back({"Content-Type", "application/json"});
   if (answer.status == kTooManyRequests) {
-    answer.retryAfter = kPoolPause;
+    answer.retryAfter = kPoolFullRetryAfter;
   } else if (answer.status == kUnavailable) {
-    answer.retryAfter = kUnavailablePause;
+    answer.retryAfter = kUnavailableRetryAfter;
   }
   return answer;
 }
--- a/src/gateway/opaque_call.cpp
+++ b/src/gateway/opaque_call.cpp
@@ -12,16 +12,17 @@
     "connection", "keep-alive",        "proxy-connection", "proxy-authorization", "te",
     "trailer",    "transfer-encoding", "upgrade",          "content-length"};
 
-/// Most parts of a prompt that are looked at.
-constexpr std::size_t kMostParts = 64;
+/// Further parts of a prompt are ignored.
+constexpr std::size_t kMaxPromptParts = 64;
 
-std::uint32_t numberOf(std::string_view text) {
+std::uint32_t parseNumber(std::string_view text) {
   std::uint32_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
   return number;
 }
 
-/// Cuts the text up to @p separator off the beginning of @p text and returns it.
+/// Removes the text up to and including @p separator from the front of @p text; returns it without
+/// the separator.
 std::string_view takeUntil(std::string_view& text, char separator) {
   const std::size_t end = std::min(text.find(separator), text.size());
   const std::string_view piece = text.substr(0, end);
@@ -33,14 +34,14 @@
 
 PromptHints parsePromptHints(std::string_view parts, std::string_view tokenCount) {
   PromptHints hints;
-  while (!parts.empty() && hints.parts.size() < kMostParts) {
+  while (!parts.empty() && hints.parts.size() < kMaxPromptParts) {
     std::string_view part = takeUntil(parts, ',');
     const std::string_view id = takeUntil(part, ':');
-    hints.parts.push_back({std::string(id), numberOf(part)});
+    hints.parts.push_back({std::string(id), parseNumber(part)});
   }
-  const std::string_view tokensIn = takeUntil(tokenCount, ',');
-  hints.tokensIn = numberOf(tokensIn);
-  hints.tokensOut = numberOf(tokenCount);
+  const std::string_view promptTokens = takeUntil(tokenCount, ',');
+  hints.promptTokens = parseNumber(promptTokens);
+  hints.maxOutputTokens = parseNumber(tokenCount);
   return hints;
 }
 
--- a/src/gateway/upstream_connection.cpp
+++ b/src/gateway/upstream_connection.cpp
@@ -15,13 +15,14 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-/// Largest head of an engine's answer, in bytes.
+/// Maximum size of a response head, in bytes.
 constexpr std::uint32_t kMaxHeadBytes = 32U << 10U;
-/// Largest body of an engine's answer, in bytes.
+/// Maximum size of a response body, in bytes.
 constexpr std::uint64_t kMaxBodyBytes = 256U << 20U;
-/// Time that an engine is expected to keep an idle connection if it does not say.
-constexpr Duration kAssumedKeepAlive = std::chrono::seconds(4);
-/// Sent bytes that stay unacknowledged for this long close the link: the engine is gone.
+/// Assumed keep-alive time of an engine that sends no `Keep-Alive` header.
+constexpr Duration kDefaultKeepAlive = std::chrono::seconds(4);
+/// `TCP_USER_TIMEOUT`: if sent bytes stay unacknowledged for this long, the engine's host is
+/// assumed to be down and the connection fails.
 constexpr std::chrono::milliseconds kUnackedTimeout{1500};
 
 std::string_view toView(boost::beast::string_view text) {
@@ -46,7 +47,7 @@
   if (!call.tenant.empty()) {
     appendHeader(text, names.tenant, call.tenant);
   }
-  if (call.tellDeadline) {
+  if (call.forwardDeadline) {
     appendHeader(text, names.deadline,
                  std::to_string(std::max<std::int64_t>(1, toMilliseconds(timeLeft))));
   }
@@ -60,8 +61,8 @@
   return text;
 }
 
-/// The seconds of `Keep-Alive: timeout=N`; nullopt if it does not say.
-std::optional<Duration> keepAliveOf(std::string_view value) {
+/// Parses the seconds of `Keep-Alive: timeout=N`; nullopt without `timeout`.
+std::optional<Duration> parseKeepAlive(std::string_view value) {
   constexpr std::string_view kTimeout = "timeout=";
   const std::size_t begin = value.find(kTimeout);
   if (begin == std::string_view::npos) {
@@ -74,19 +75,20 @@
 }  // namespace
 
 UpstreamConnection::UpstreamConnection(net::io_context& io, const HeaderNames& names)
-    : names_(names), socket_(io), keepAlive_(kAssumedKeepAlive) {}
+    : names_(names), socket_(io), keepAlive_(kDefaultKeepAlive) {}
 
 Error UpstreamConnection::failure(const error_code& failed, const SocketDeadline& deadline,
                                   const CallAbort& abort) const {
   if (abort.aborted()) {
-    return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::Unknown);
+    return makeError(ErrorCode::Cancelled, "the client has disconnected", Ran::Unknown);
   }
   if (deadline.expired()) {
-    return makeError(ErrorCode::DeadlineExceeded, "the engine took too long", Ran::Unknown);
+    return makeError(ErrorCode::DeadlineExceeded, "the engine did not respond in time",
+                     Ran::Unknown);
   }
   if (failed == http::error::partial_message) {
-    return makeError(ErrorCode::ResponseTruncated, "the answer ended before its framing said so",
-                     Ran::Unknown);
+    return makeError(ErrorCode::ResponseTruncated,
+                     "the response ended before the length given by its framing", Ran::Unknown);
   }
   return makeError(ErrorCode::EngineFailed, failed.message(), Ran::Unknown);
 }
@@ -118,9 +120,9 @@
 Status UpstreamConnection::send(const OpaqueCall& call, const std::string& engineId,
                                 Duration timeLeft, CallAbort& abort, const ServingStrand& strand,
                                 net::yield_context yield) {
-  clean_ = false;
+  responseComplete_ = false;
   if (abort.aborted()) {
-    return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::No);
+    return makeError(ErrorCode::Cancelled, "the client has disconnected", Ran::No);
   }
   const CallAbort::Scope scope(abort, [this]() { close(); });
   SocketDeadline deadline(strand, socket_);
@@ -143,7 +145,7 @@
   return okStatus();
 }
 
-ResponseHead UpstreamConnection::headOf(const OpaqueCall& call) {
+ResponseHead UpstreamConnection::parseHead(const OpaqueCall& call) {
   ResponseHead head;
   const auto& message = parser_->get();
   head.status = static_cast<int>(message.result_int());
@@ -151,7 +153,7 @@
     const std::string_view name = toView(field.name_string());
     const std::string_view value = toView(field.value());
     if (sameHeaderName(name, "Keep-Alive")) {
-      keepAlive_ = keepAliveOf(value).value_or(keepAlive_);
+      keepAlive_ = parseKeepAlive(value).value_or(keepAlive_);
     }
     if (isConnectionHeader(name)) {
       continue;
@@ -182,7 +184,7 @@
   if (failed || abort.aborted()) {
     return failure(failed, deadline, abort);
   }
-  return headOf(call);
+  return parseHead(call);
 }
 
 Result<std::string_view> UpstreamConnection::readChunk(Duration limit, CallAbort& abort,
@@ -207,22 +209,22 @@
       return std::string_view(chunk_.data(), size);
     }
   }
-  // Bytes after a whole answer belong to no call.
-  clean_ = parser_->keep_alive() && buffer_.size() == 0;
+  // Bytes after a complete response belong to no call, so the connection must not be reused.
+  responseComplete_ = parser_->keep_alive() && buffer_.size() == 0;
   return std::string_view();
 }
 
 bool UpstreamConnection::reusable() {
-  if (!clean_ || !socket_.is_open()) {
+  if (!responseComplete_ || !socket_.is_open()) {
     return false;
   }
   char byte = 0;
-  const ssize_t got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const ssize_t received = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 void UpstreamConnection::close() {
-  clean_ = false;
+  responseComplete_ = false;
   error_code ignored;
   socket_.close(ignored);
 }
--- a/src/gateway/upstream_connection_pool.cpp
+++ b/src/gateway/upstream_connection_pool.cpp
@@ -5,9 +5,10 @@
 namespace shedshed {
 namespace {
 
-/// A connection is abandoned this long before the engine would close it.
+/// Connections expire this long before the engine would close them, to avoid sending a call on a
+/// connection that is being closed.
 constexpr Duration kKeepAliveMargin = std::chrono::milliseconds(700);
-/// Idle connections retained per engine.
+/// Maximum number of idle connections per engine.
 constexpr std::size_t kMaxIdleConnections = 16;
 
 }  // namespace
@@ -22,7 +23,7 @@
   while (!connections.empty()) {
     Idle newest = std::move(connections.back());
     connections.pop_back();
-    if (now < newest.until && newest.connection->reusable()) {
+    if (now < newest.expiresAt && newest.connection->reusable()) {
       return std::move(newest.connection);
     }
   }
@@ -31,10 +32,10 @@
 
 void UpstreamConnectionPool::release(const std::string& engine,
                                      std::unique_ptr<UpstreamConnection> connection, Time now) {
-  const Time until = now + connection->keepAlive() - kKeepAliveMargin;
+  const Time expiresAt = now + connection->keepAlive() - kKeepAliveMargin;
   std::vector<Idle>& connections = idle_[engine];
-  if (until > now && connections.size() < kMaxIdleConnections && connection->reusable()) {
-    connections.push_back({std::move(connection), until});
+  if (expiresAt > now && connections.size() < kMaxIdleConnections && connection->reusable()) {
+    connections.push_back({std::move(connection), expiresAt});
   }
 }
 
