--- a/src/batch/batch_uploads.cpp
+++ b/src/batch/batch_uploads.cpp
@@ -123,7 +123,7 @@
   for (const auto& other : partition.uploads) {
     bytes += &other.second == &upload ? 0 : other.second.meta().bodyBytes;
   }
-  return store_.takesNewData(partitionOfBatch(chunk.batchId)) &&
+  return store_.canAcceptNewData(partitionOfBatch(chunk.batchId)) &&
          bytes + bytesOf(chunk.items) <= options_.maxPartitionBodyBytes;
 }
 
--- a/src/partition/incoming_transfer.cpp
+++ b/src/partition/incoming_transfer.cpp
@@ -2,7 +2,7 @@
 
 namespace shedshed {
 
-bool IncomingTransfer::follow(const InstallRequest& request) {
+bool IncomingTransfer::beginOrContinue(const InstallRequest& request) {
   const bool newer =
       request.epoch > epoch_ || (request.epoch == epoch_ && request.transfer > number_);
   if (newer) {
--- a/src/partition/incoming_transfer.h
+++ b/src/partition/incoming_transfer.h
@@ -15,7 +15,7 @@
 class IncomingTransfer {
  public:
   /// Turns to the transfer of @p request if it is newer. False if it is older than the present one.
-  bool follow(const InstallRequest& request);
+  bool beginOrContinue(const InstallRequest& request);
 
   /// True if @p page is the next one.
   bool isNext(const TablePage& page) const;
--- a/src/partition/local_partition.cpp
+++ b/src/partition/local_partition.cpp
@@ -27,8 +27,8 @@
   return usable ? owner->node : NodeId();
 }
 
-bool LocalPartition::takesNewData() const {
-  return !context_.records().space().isScarce() && !owner_->replicaIsScarce();
+bool LocalPartition::canAcceptNewData() const {
+  return !context_.records().space().isScarce() && !owner_->isReplicaLowOnDiskSpace();
 }
 
 bool LocalPartition::isCaughtUp() const {
@@ -48,12 +48,12 @@
       state.replicas.begin(), state.replicas.end(), [this](const MemberList::Member& member) {
         return member.id == context_.self() && member.storeId == options_.storeId;
       });
-  return counted && state.setEpoch == state.installedEpoch;
+  return counted && state.replicaSetEpoch == state.installedEpoch;
 }
 
 void LocalPartition::write(std::vector<TableEntry> entries, std::function<void(Status)> done) {
   owner_->write(std::move(entries), std::move(done));
-  scheduleReview();
+  scheduleRoleUpdate();
 }
 
 void LocalPartition::confirmOwnership(std::uint64_t round, std::function<void(Status)> done) {
@@ -77,11 +77,11 @@
                              std::function<void(PromiseAnswer)> done) {
   const bool selfIsActive = owner_ && announced_ && !owner_->isLost();
   if (policy_.displacesActiveOwner(from, knownOwner_, selfIsActive, context_.now())) {
-    done(replica_.decline(epoch));
+    done(replica_.rejectPromise(epoch));
   } else {
     replica_.promise(epoch, from, std::move(done));
   }
-  scheduleReview();
+  scheduleRoleUpdate();
 }
 
 void LocalPartition::receive(const NodeId& from, const FetchRequest& request) {
@@ -112,7 +112,7 @@
     return;
   }
   ownerMessageAccepted(from, request.epoch);
-  scheduleReview();
+  scheduleRoleUpdate();
   replica_.install(request, std::move(reply), [this, from](InstallReply complete) {
     // Read after the sync: if a higher epoch was promised meanwhile, the owner must not count this
     // replica.
@@ -130,7 +130,7 @@
     return;
   }
   ownerMessageAccepted(from, request.epoch);
-  scheduleReview();
+  scheduleRoleUpdate();
   const bool gap = request.firstSequence > replica_.state().sequence + 1;
   replica_.replicate(request, [reply, gap] { reply(gap); });
 }
@@ -140,7 +140,7 @@
     ownerMessageAccepted(from, heartbeat.epoch);
     knownOwner_.heartbeatAccepted(heartbeat.sequence);
     replica_.collectTombstones(heartbeat.epoch, heartbeat.stable);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
   return replica_.position();
 }
@@ -153,27 +153,27 @@
   } else if (owner_) {
     owner_->receive(from, storeId, answer);
   }
-  scheduleReview();
+  scheduleRoleUpdate();
 }
 
 void LocalPartition::receive(const NodeId& from, const FetchReply& reply) {
   if (takeover_) {
     takeover_->receive(from, reply);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
 }
 
 void LocalPartition::receive(const NodeId& from, const InstallReply& reply) {
   if (owner_) {
     owner_->receive(from, reply);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
 }
 
 void LocalPartition::receive(const NodeId& from, const ReplicateReply& reply) {
   if (owner_) {
     owner_->receive(from, reply);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
 }
 
@@ -181,7 +181,7 @@
                              const ReplicaPosition& position) {
   if (owner_) {
     owner_->receive(from, reply, position);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
 }
 
@@ -197,7 +197,7 @@
   if (takeover_) {
     takeover_->tick();
   }
-  review();
+  updateRole();
   if (!owner_ && replica_.table().isDamaged()) {
     replica_.dropDamaged();
   }
@@ -205,23 +205,23 @@
   monitorTakeover();
 }
 
-void LocalPartition::scheduleReview() {
-  if (reviewScheduled_) {
+void LocalPartition::scheduleRoleUpdate() {
+  if (roleUpdateScheduled_) {
     return;
   }
-  reviewScheduled_ = true;
+  roleUpdateScheduled_ = true;
   context_.defer([this] {
-    reviewScheduled_ = false;
-    review();
+    roleUpdateScheduled_ = false;
+    updateRole();
   });
 }
 
-void LocalPartition::review() {
-  reviewTakeover();
-  reviewOwner();
+void LocalPartition::updateRole() {
+  updateTakeover();
+  updateOwner();
 }
 
-void LocalPartition::reviewTakeover() {
+void LocalPartition::updateTakeover() {
   if (!takeover_) {
     return;
   }
@@ -240,7 +240,7 @@
   }
 }
 
-void LocalPartition::reviewOwner() {
+void LocalPartition::updateOwner() {
   if (!owner_) {
     return;
   }
@@ -289,7 +289,7 @@
   // epoch unused, a crash after it makes the next attempt choose a higher one.
   highestEpoch_ = std::max(highestEpoch_, replica_.state().promisedEpoch) + 1;
   takeover_ = std::make_unique<PartitionTakeover>(context_, stores_, replica_, options_,
-                                                  highestEpoch_, [this] { scheduleReview(); });
+                                                  highestEpoch_, [this] { scheduleRoleUpdate(); });
   takeover_->begin();
 }
 
@@ -308,7 +308,7 @@
     context_.counters().add("partition_memory_lost_total");
   }
   owner_ = std::make_unique<PartitionOwner>(context_, stores_, replica_, options_, outcome,
-                                            [this] { scheduleReview(); });
+                                            [this] { scheduleRoleUpdate(); });
   owner_->begin();
 }
 
@@ -342,13 +342,13 @@
 }
 
 void LocalPartition::monitorTakeover() {
-  const bool trying = takeover_ || (owner_ && !announced_);
-  if (!trying) {
-    monitor_.notTrying(highestEpoch_, announced_);
+  const bool inProgress = takeover_ || (owner_ && !announced_);
+  if (!inProgress) {
+    monitor_.noTakeoverInProgress(highestEpoch_, announced_);
     return;
   }
-  monitor_.trying(highestEpoch_,
-                  [this] { return takeover_ ? takeover_->progress() : owner_->progress(); });
+  monitor_.takeoverInProgress(
+      highestEpoch_, [this] { return takeover_ ? takeover_->progress() : owner_->progress(); });
 }
 
 }  // namespace shedshed
--- a/src/partition/local_partition.h
+++ b/src/partition/local_partition.h
@@ -17,7 +17,7 @@
 /// The role is one of: follower (neither `takeover_` nor `owner_`), candidate (`takeover_`), owner
 /// that writes the merged table back, and serving owner (`announced_`). `PartitionCore` passes
 /// messages and ticks on. Decisions that may destroy the takeover or the owner are made in
-/// `review`, which runs after the event, so that neither is destroyed by its own call.
+/// `updateRole`, which runs after the event, so that neither is destroyed by its own call.
 /// Core thread only.
 class LocalPartition {
  public:
@@ -48,7 +48,7 @@
   NodeId ownerHint() const;
 
   /// False if a replica, this one included, has little disk space. Only while `isServing`.
-  bool takesNewData() const;
+  bool canAcceptNewData() const;
 
   /// True if the replica is complete at the newest known epoch.
   bool isCaughtUp() const;
@@ -94,10 +94,10 @@
 
  private:
   /// Reviews the role after the current event.
-  void scheduleReview();
-  void review();
-  void reviewTakeover();
-  void reviewOwner();
+  void scheduleRoleUpdate();
+  void updateRole();
+  void updateTakeover();
+  void updateOwner();
   void considerTakeover(bool mayOwn);
   void beginTakeover();
   void abandonTakeover();
@@ -121,7 +121,7 @@
   SlowTakeoverMonitor monitor_;
   Time retryTakeoverAt_;
   std::uint64_t highestEpoch_ = 0;  ///< Highest epoch that any node named.
-  bool reviewScheduled_ = false;
+  bool roleUpdateScheduled_ = false;
 };
 
 }  // namespace shedshed
--- a/src/partition/partition_core.cpp
+++ b/src/partition/partition_core.cpp
@@ -140,7 +140,7 @@
   HeartbeatReply reply;
   reply.storeId = options_.storeId;
   reply.round = request.round;
-  reply.isScarce = context_.records().space().isScarce();
+  reply.isLowOnDiskSpace = context_.records().space().isScarce();
   for (const HeartbeatItem& item : request.items) {
     if (LocalPartition* local = find(item.partition)) {
       reply.positions.push_back(local->receive(from, item));
@@ -182,9 +182,9 @@
   return local == nullptr ? NodeId() : local->ownerHint();
 }
 
-bool PartitionCore::takesNewData(const PartitionId& partition) const {
+bool PartitionCore::canAcceptNewData(const PartitionId& partition) const {
   const LocalPartition* served = findServed(partition);
-  return served != nullptr && served->takesNewData();
+  return served != nullptr && served->canAcceptNewData();
 }
 
 void PartitionCore::write(const PartitionId& partition, std::vector<TableEntry> entries,
--- a/src/partition/partition_core.h
+++ b/src/partition/partition_core.h
@@ -36,7 +36,7 @@
   bool owns(const PartitionId& partition) const override;
   std::uint64_t epoch(const PartitionId& partition) const override;
   NodeId ownerHint(const PartitionId& partition) const override;
-  bool takesNewData(const PartitionId& partition) const override;
+  bool canAcceptNewData(const PartitionId& partition) const override;
   void write(const PartitionId& partition, std::vector<TableEntry> entries,
              std::function<void(Status)> done) override;
   void confirmOwnership(const PartitionId& partition, std::function<void(Status)> done) override;
--- a/src/partition/partition_messages.h
+++ b/src/partition/partition_messages.h
@@ -33,10 +33,10 @@
   std::uint64_t installedEpoch = 0;  ///< Epoch whose merged table it holds in full; 0 if none.
   std::uint64_t checksum = 0;
   std::uint64_t rows = 0;
-  std::uint64_t setEpoch = 0;  ///< Epoch at which `replicas` was agreed.
-  StoreMembers replicas;       ///< The replicas of the partition at `setEpoch`.
+  std::uint64_t replicaSetEpoch = 0;  ///< Epoch at which `replicas` was agreed.
+  StoreMembers replicas;              ///< The replicas of the partition at `replicaSetEpoch`.
   MSGPACK_DEFINE(partition, epoch, promisedEpoch, granted, intact, installedEpoch, checksum, rows,
-                 setEpoch, replicas);
+                 replicaSetEpoch, replicas);
 };
 
 /// Answers a `PromiseRequest`; sent once all its promises are synced.
@@ -172,8 +172,8 @@
   std::string storeId;
   std::uint64_t round = 0;
   std::vector<ReplicaPosition> positions;
-  bool isScarce = false;  ///< The sender has little disk space.
-  MSGPACK_DEFINE(storeId, round, positions, isScarce);
+  bool isLowOnDiskSpace = false;  ///< The sender has little disk space.
+  MSGPACK_DEFINE(storeId, round, positions, isLowOnDiskSpace);
 };
 
 }  // namespace shedshed
--- a/src/partition/partition_metrics.cpp
+++ b/src/partition/partition_metrics.cpp
@@ -13,12 +13,12 @@
   const RecordSpace space = context_.records().space();
   context_.counters().set("records_used_bytes", static_cast<double>(space.usedBytes));
   context_.counters().set("records_total_bytes", static_cast<double>(space.totalBytes));
-  if (space.isScarce() == loggedScarce_) {
+  if (space.isScarce() == loggedLowDiskSpace_) {
     return;
   }
-  loggedScarce_ = space.isScarce();
-  TraceEvent event(loggedScarce_ ? "DiskSpaceLow" : "DiskSpaceRecovered",
-                   loggedScarce_ ? Severity::Warning : Severity::Info);
+  loggedLowDiskSpace_ = space.isScarce();
+  TraceEvent event(loggedLowDiskSpace_ ? "DiskSpaceLow" : "DiskSpaceRecovered",
+                   loggedLowDiskSpace_ ? Severity::Warning : Severity::Info);
   event.field("used_bytes", space.usedBytes).field("total_bytes", space.totalBytes);
   context_.logEvent(event);
 }
--- a/src/partition/partition_metrics.h
+++ b/src/partition/partition_metrics.h
@@ -24,7 +24,7 @@
 
   CoreContext& context_;
   std::size_t loggedOwned_ = 0;
-  bool loggedScarce_ = false;
+  bool loggedLowDiskSpace_ = false;
 };
 
 }  // namespace shedshed
--- a/src/partition/partition_owner.h
+++ b/src/partition/partition_owner.h
@@ -73,7 +73,7 @@
   void receive(const NodeId& from, const HeartbeatReply& reply, const ReplicaPosition& position);
 
   /// True if a replica reported little disk space.
-  bool replicaIsScarce() const { return quorum_.anyIsScarce(); }
+  bool isReplicaLowOnDiskSpace() const { return quorum_.isAnyLowOnDiskSpace(); }
 
   /// Adds peers that have appeared and sends again what is overdue.
   void tick();
--- a/src/partition/partition_replica.cpp
+++ b/src/partition/partition_replica.cpp
@@ -25,7 +25,7 @@
     }
   }
   damaged_ = damaged_ || !bytes;
-  if (!durable()) {
+  if (!isDurable()) {
     state_.installedEpoch = 0;
     state_.sequence = 0;
     return;
@@ -44,7 +44,7 @@
   if (damaged_) {
     return false;
   }
-  if (durable() || neverServed_ || state_.installedEpoch != 0) {
+  if (isDurable() || neverServed_ || state_.installedEpoch != 0) {
     return true;
   }
   return context_.now() - startedAt_ >= kMaxSlotTtl;
@@ -54,8 +54,8 @@
   ReplicaPosition position;
   position.partition = partition_;
   position.promisedEpoch = state_.promisedEpoch;
-  position.installedEpoch = durable() ? synced_.epoch : state_.installedEpoch;
-  position.sequence = durable() ? synced_.sequence : state_.sequence;
+  position.installedEpoch = isDurable() ? synced_.epoch : state_.installedEpoch;
+  position.sequence = isDurable() ? synced_.sequence : state_.sequence;
   position.checksum = table_.checksum();
   position.checksumSequence = state_.sequence;
   if (damaged_) {
@@ -64,14 +64,14 @@
   return position;
 }
 
-PromiseAnswer PartitionReplica::decline(std::uint64_t epoch) const {
+PromiseAnswer PartitionReplica::rejectPromise(std::uint64_t epoch) const {
   return makeAnswer(epoch, false);
 }
 
 void PartitionReplica::promise(std::uint64_t epoch, const NodeId& to,
                                std::function<void(PromiseAnswer)> done) {
-  const bool unclaimed = state_.promisedTo == to || state_.promisedTo.empty();
-  const bool repeated = epoch == state_.promisedEpoch && epoch != 0 && unclaimed;
+  const bool availableToNode = state_.promisedTo == to || state_.promisedTo.empty();
+  const bool repeated = epoch == state_.promisedEpoch && epoch != 0 && availableToNode;
   const bool allowed = epoch > state_.promisedEpoch || !options_.safeguards.fencing;
   if (!repeated && !allowed) {
     done(makeAnswer(epoch, false));
@@ -110,7 +110,7 @@
 
 void PartitionReplica::install(const InstallRequest& request, InstallReply reply,
                                std::function<void(InstallReply)> answer) {
-  if (!transfer_.follow(request)) {
+  if (!transfer_.beginOrContinue(request)) {
     return;
   }
   // A late answer may have named a checksum of rows that a restart has lost since.
@@ -154,14 +154,14 @@
     }
     ++sequence;
   }
-  if (!applied || !durable()) {
+  if (!applied || !isDurable()) {
     done();
     return;
   }
   persistWithState(std::move(mutations), std::move(done));
 }
 
-void PartitionReplica::absorb(const TablePage& page, std::uint64_t epoch, bool replace) {
+void PartitionReplica::applyTakeoverPage(const TablePage& page, std::uint64_t epoch, bool replace) {
   std::vector<Mutation> mutations;
   if (replace) {
     table_.replaceRange(page, {epoch, 0}, mutations);
@@ -206,7 +206,7 @@
   answer.installedEpoch = state_.installedEpoch;
   answer.checksum = table_.checksum();
   answer.rows = table_.liveRows();
-  answer.setEpoch = state_.setEpoch;
+  answer.replicaSetEpoch = state_.replicaSetEpoch;
   answer.replicas = state_.replicas;
   return answer;
 }
@@ -214,7 +214,7 @@
 void PartitionReplica::persistWithState(std::vector<Mutation> mutations,
                                         std::function<void()> done) {
   ReplicaState stored = state_;
-  if (!durable()) {
+  if (!isDurable()) {
     stored.installedEpoch = 0;
     stored.sequence = 0;
   }
@@ -228,10 +228,10 @@
 
 void PartitionReplica::finishInstall(std::uint64_t epoch, std::uint64_t sequence,
                                      const StoreMembers& replicas) {
-  const bool again = state_.installedEpoch == epoch;
-  state_.sequence = again ? std::max(state_.sequence, sequence) : sequence;
+  const bool sameEpoch = state_.installedEpoch == epoch;
+  state_.sequence = sameEpoch ? std::max(state_.sequence, sequence) : sequence;
   state_.installedEpoch = epoch;
-  state_.setEpoch = epoch;
+  state_.replicaSetEpoch = epoch;
   state_.replicas = replicas;
   damaged_ = false;
 }
--- a/src/partition/partition_replica.h
+++ b/src/partition/partition_replica.h
@@ -14,14 +14,14 @@
 
 /// What a replica keeps on disk besides its rows. The field order is the record format.
 struct ReplicaState {
-  std::uint64_t promisedEpoch = 0;   ///< Lower epochs are rejected.
-  NodeId promisedTo;                 ///< The one node that may own `promisedEpoch`; empty if that
-                                     ///< node abandoned it.
-  std::uint64_t installedEpoch = 0;  ///< Epoch whose merged table is held in full.
-  std::uint64_t sequence = 0;        ///< Last write of `installedEpoch` that is held.
-  std::uint64_t setEpoch = 0;        ///< Epoch at which `replicas` was agreed.
+  std::uint64_t promisedEpoch = 0;    ///< Lower epochs are rejected.
+  NodeId promisedTo;                  ///< The one node that may own `promisedEpoch`; empty if that
+                                      ///< node abandoned it.
+  std::uint64_t installedEpoch = 0;   ///< Epoch whose merged table is held in full.
+  std::uint64_t sequence = 0;         ///< Last write of `installedEpoch` that is held.
+  std::uint64_t replicaSetEpoch = 0;  ///< Epoch at which `replicas` was agreed.
   StoreMembers replicas;
-  MSGPACK_DEFINE(promisedEpoch, promisedTo, installedEpoch, sequence, setEpoch, replicas);
+  MSGPACK_DEFINE(promisedEpoch, promisedTo, installedEpoch, sequence, replicaSetEpoch, replicas);
 };
 
 /// Keeps promises, applies writes in order and holds the rows. The owner of a partition uses its
@@ -61,7 +61,7 @@
   void promise(std::uint64_t epoch, const NodeId& to, std::function<void(PromiseAnswer)> done);
 
   /// Returns the answer that makes no promise for @p epoch.
-  PromiseAnswer decline(std::uint64_t epoch) const;
+  PromiseAnswer rejectPromise(std::uint64_t epoch) const;
 
   /// Gives up a promise that this node made to itself, so that another node that has the epoch may
   /// use this replica. Safe only for a takeover that this process drops before it has owned the
@@ -86,7 +86,7 @@
 
   /// Takes rows from another replica during this node's takeover at @p epoch: the higher version
   /// wins; with @p replace the page wins over everything that is here.
-  void absorb(const TablePage& page, std::uint64_t epoch, bool replace);
+  void applyTakeoverPage(const TablePage& page, std::uint64_t epoch, bool replace);
 
   /// Declares the table to be the merged one of @p epoch. Used by the new owner.
   void installOwn(std::uint64_t epoch, const StoreMembers& replicas, std::function<void()> done);
@@ -104,7 +104,7 @@
   /// position agree.
   void persistWithState(std::vector<Mutation> mutations, std::function<void()> done);
   void finishInstall(std::uint64_t epoch, std::uint64_t sequence, const StoreMembers& replicas);
-  bool durable() const { return partition_.kind == TableKind::Batches; }
+  bool isDurable() const { return partition_.kind == TableKind::Batches; }
 
   CoreContext& context_;
   DurableWriter& writer_;
--- a/src/partition/partition_store.h
+++ b/src/partition/partition_store.h
@@ -91,7 +91,7 @@
 
   /// False if this store or a replica of @p partition has little disk space: no new data should be
   /// accepted, so that whatever follows from the present data can still be written.
-  virtual bool takesNewData(const PartitionId& /*partition*/) const { return true; }
+  virtual bool canAcceptNewData(const PartitionId& /*partition*/) const { return true; }
 
   /// Replicates @p entries as one atomic write. They are visible to `get` at once; @p done is
   /// called when a majority has them (and has synced them, for `Batches`). Fails with `NotOwner`
--- a/src/partition/partition_table.cpp
+++ b/src/partition/partition_table.cpp
@@ -69,7 +69,7 @@
   for (const std::string& key : damagedKeys_) {
     const auto found = entries_.find(key);
     if (found != entries_.end()) {
-      forget(found);
+      eraseEntry(found);
     }
   }
   damagedKeys_.clear();
@@ -88,7 +88,7 @@
   if (found == entries_.end()) {
     return;
   }
-  forget(found);
+  eraseEntry(found);
   if (durable_) {
     mutations.push_back({recordPrefix_ + key, std::nullopt});
   }
@@ -197,7 +197,7 @@
 void PartitionTable::insert(const VersionedRow& row, std::uint64_t hash) {
   const auto found = entries_.find(row.key);
   if (found != entries_.end()) {
-    forget(found);
+    eraseEntry(found);
   }
   Entry entry;
   entry.version = row.version;
@@ -215,7 +215,7 @@
   }
 }
 
-void PartitionTable::forget(std::map<std::string, Entry>::iterator entry) {
+void PartitionTable::eraseEntry(std::map<std::string, Entry>::iterator entry) {
   if (entry->second.erased) {
     tombstones_.erase({entry->second.version, entry->first});
   } else {
--- a/src/partition/partition_table.h
+++ b/src/partition/partition_table.h
@@ -72,7 +72,7 @@
     std::string value;  ///< `Slots` only.
   };
   void insert(const VersionedRow& row, std::uint64_t hash);
-  void forget(std::map<std::string, Entry>::iterator entry);
+  void eraseEntry(std::map<std::string, Entry>::iterator entry);
   std::optional<std::string> readValue(const std::string& key, const Entry& entry) const;
 
   CoreContext& context_;
--- a/src/partition/partition_takeover.cpp
+++ b/src/partition/partition_takeover.cpp
@@ -103,7 +103,7 @@
   TablePage page;
   page.last = true;
   page.rows.push_back(VersionedRow{kRecoveringRow, Version{epoch_, 0}, false, ""});
-  replica_.absorb(page, epoch_, false);
+  replica_.applyTakeoverPage(page, epoch_, false);
 }
 
 void PartitionTakeover::tick() {
--- a/src/partition/promise_quorum.cpp
+++ b/src/partition/promise_quorum.cpp
@@ -11,20 +11,20 @@
   std::uint64_t newest = 0;
   for (const auto& entry : promises_) {
     const PromiseAnswer& known = entry.second.answer;
-    if (known.setEpoch > newest) {
-      newest = known.setEpoch;
+    if (known.replicaSetEpoch > newest) {
+      newest = known.replicaSetEpoch;
       previous_ = known.replicas;
     }
   }
 }
 
-bool PromiseQuorum::promised(const MemberList::Member& member) const {
+bool PromiseQuorum::hasPromised(const MemberList::Member& member) const {
   const auto found = promises_.find(member.id);
   return found != promises_.end() && found->second.storeId == member.storeId;
 }
 
-bool PromiseQuorum::intact(const MemberList::Member& member) const {
-  return promised(member) && promises_.at(member.id).answer.intact;
+bool PromiseQuorum::hasIntactPromise(const MemberList::Member& member) const {
+  return hasPromised(member) && promises_.at(member.id).answer.intact;
 }
 
 bool PromiseQuorum::onMajorities(
@@ -34,21 +34,22 @@
 }
 
 bool PromiseQuorum::majoritiesPromised() const {
-  return onMajorities([this](const MemberList::Member& member) { return promised(member); });
+  return onMajorities([this](const MemberList::Member& member) { return hasPromised(member); });
 }
 
 bool PromiseQuorum::majoritiesIntact() const {
-  return onMajorities([this](const MemberList::Member& member) { return intact(member); });
+  return onMajorities(
+      [this](const MemberList::Member& member) { return hasIntactPromise(member); });
 }
 
 bool PromiseQuorum::allPromised() const {
   return std::all_of(replicas_.begin(), replicas_.end(),
-                     [this](const MemberList::Member& member) { return promised(member); });
+                     [this](const MemberList::Member& member) { return hasPromised(member); });
 }
 
 bool PromiseQuorum::allLivePromised(const StoreSet& stores) const {
   return std::all_of(replicas_.begin(), replicas_.end(), [&](const MemberList::Member& member) {
-    return promised(member) || !stores.isLive(member);
+    return hasPromised(member) || !stores.isLive(member);
   });
 }
 
@@ -56,7 +57,7 @@
   std::set<NodeId> nodes;
   for (const StoreMembers* set : {&replicas_, &previous_}) {
     for (const MemberList::Member& member : *set) {
-      if (!promised(member)) {
+      if (!hasPromised(member)) {
         nodes.insert(member.id);
       }
     }
@@ -69,8 +70,10 @@
     return std::to_string(std::count_if(set.begin(), set.end(), holds)) + " of " +
            std::to_string(set.size());
   };
-  const auto isPromised = [this](const MemberList::Member& member) { return promised(member); };
-  const auto isIntact = [this](const MemberList::Member& member) { return intact(member); };
+  const auto isPromised = [this](const MemberList::Member& member) { return hasPromised(member); };
+  const auto isIntact = [this](const MemberList::Member& member) {
+    return hasIntactPromise(member);
+  };
   return count(replicas_, isPromised) + " replicas promised, " + count(replicas_, isIntact) +
          " intact, " + count(previous_, isPromised) + " earlier ones";
 }
--- a/src/partition/promise_quorum.h
+++ b/src/partition/promise_quorum.h
@@ -60,8 +60,8 @@
   std::string progress() const;
 
  private:
-  bool promised(const MemberList::Member& member) const;
-  bool intact(const MemberList::Member& member) const;
+  bool hasPromised(const MemberList::Member& member) const;
+  bool hasIntactPromise(const MemberList::Member& member) const;
   bool onMajorities(const std::function<bool(const MemberList::Member&)>& holds) const;
 
   const StoreMembers replicas_;
--- a/src/partition/replica_peer.cpp
+++ b/src/partition/replica_peer.cpp
@@ -13,7 +13,7 @@
 /// Rate at which the rest of a larger message is assumed to travel, in bytes per second. A store
 /// with an empty disk is sent a page of every partition at once; pages that are sent again while
 /// the first ones wait for the link would keep it busy.
-constexpr double kMinTransferRate = 400e3;
+constexpr double kMinTransferBytesPerSecond = 400e3;
 
 /// A scrub repairs the replica only after this many mismatches in a row: the first one may be a
 /// replica that was sent a later row with an earlier write.
@@ -30,7 +30,8 @@
 /// Time after which rows of this size, without a reply, are sent again.
 Duration retransmitTimeoutFor(std::size_t bytes) {
   const std::size_t large = std::max(bytes, kSmallMessageBytes) - kSmallMessageBytes;
-  const std::chrono::duration<double> travel(static_cast<double>(large) / kMinTransferRate);
+  const std::chrono::duration<double> travel(static_cast<double>(large) /
+                                             kMinTransferBytesPerSecond);
   return PartitionOptions::kRetransmitTimeout + std::chrono::duration_cast<Duration>(travel);
 }
 
@@ -99,7 +100,7 @@
 }
 
 void ReplicaPeer::receive(const HeartbeatReply& reply, const ReplicaPosition& position) {
-  state_.isScarce = reply.isScarce;
+  state_.isLowOnDiskSpace = reply.isLowOnDiskSpace;
   if (position.promisedEpoch == source_.epoch() || !source_.fencing) {
     state_.heartbeatRound = std::max(state_.heartbeatRound, reply.round);
   }
@@ -242,8 +243,8 @@
   return state_.storeId == storeId && state_.heartbeatRound >= round;
 }
 
-bool ReplicaPeer::isScarce(const std::string& storeId) const {
-  return state_.storeId == storeId && state_.isScarce;
+bool ReplicaPeer::isLowOnDiskSpace(const std::string& storeId) const {
+  return state_.storeId == storeId && state_.isLowOnDiskSpace;
 }
 
 std::optional<std::uint64_t> ReplicaPeer::transferSequence() const {
--- a/src/partition/replica_peer.h
+++ b/src/partition/replica_peer.h
@@ -67,7 +67,7 @@
   bool confirms(const std::string& storeId, std::uint64_t round) const;
 
   /// True if the peer, with the disk @p storeId, reported little disk space.
-  bool isScarce(const std::string& storeId) const;
+  bool isLowOnDiskSpace(const std::string& storeId) const;
 
   Time lastReplyAt() const { return state_.lastReplyAt; }
   std::uint64_t acknowledged() const { return state_.acknowledged; }
@@ -100,7 +100,7 @@
     Time lastReplyAt;
     Time promiseRequestedAt;
     Time scrubbedAt;
-    bool isScarce = false;
+    bool isLowOnDiskSpace = false;
     int mismatches = 0;  ///< Consecutive scrubs that found another checksum.
     std::optional<Transfer> transfer;
   };
--- a/src/partition/replication_quorum.cpp
+++ b/src/partition/replication_quorum.cpp
@@ -71,11 +71,11 @@
   return lowest;
 }
 
-bool ReplicationQuorum::anyIsScarce() const {
+bool ReplicationQuorum::isAnyLowOnDiskSpace() const {
   const StoreMembers& replicas = source_.outcome.replicas;
   return std::any_of(replicas.begin(), replicas.end(), [this](const MemberList::Member& member) {
     const ReplicaPeer* peer = peerOf(member);
-    return peer != nullptr && peer->isScarce(member.storeId);
+    return peer != nullptr && peer->isLowOnDiskSpace(member.storeId);
   });
 }
 
--- a/src/partition/replication_quorum.h
+++ b/src/partition/replication_quorum.h
@@ -42,7 +42,7 @@
   std::uint64_t lowestSequence() const;
 
   /// True if a replica reported little disk space.
-  bool anyIsScarce() const;
+  bool isAnyLowOnDiskSpace() const;
 
   /// For the log: on how many replicas the merged table is.
   std::string progress() const;
--- a/src/partition/slow_takeover_monitor.cpp
+++ b/src/partition/slow_takeover_monitor.cpp
@@ -14,12 +14,12 @@
 SlowTakeoverMonitor::SlowTakeoverMonitor(CoreContext& context, const PartitionId& partition)
     : context_(context), partition_(nameOf(partition)) {}
 
-void SlowTakeoverMonitor::trying(std::uint64_t epoch,
-                                 const std::function<std::string()>& progress) {
-  if (!tryingSince_) {
-    tryingSince_ = context_.now();
+void SlowTakeoverMonitor::takeoverInProgress(std::uint64_t epoch,
+                                             const std::function<std::string()>& progress) {
+  if (!inProgressSince_) {
+    inProgressSince_ = context_.now();
   }
-  if (logged_ || context_.now() - *tryingSince_ < kSlowTakeover) {
+  if (logged_ || context_.now() - *inProgressSince_ < kSlowTakeoverThreshold) {
     return;
   }
   logged_ = true;
@@ -30,13 +30,13 @@
                         .field("progress", progress()));
 }
 
-void SlowTakeoverMonitor::notTrying(std::uint64_t epoch, bool serves) {
+void SlowTakeoverMonitor::noTakeoverInProgress(std::uint64_t epoch, bool serves) {
   if (logged_) {
     context_.logEvent(TraceEvent(serves ? "TakeoverFinished" : "TakeoverAbandoned")
                           .field("partition", partition_)
                           .field("epoch", epoch));
   }
-  tryingSince_.reset();
+  inProgressSince_.reset();
   logged_ = false;
 }
 
--- a/src/partition/table_merge.cpp
+++ b/src/partition/table_merge.cpp
@@ -62,7 +62,7 @@
     return;
   }
   lastProgressAt_ = context_.now();
-  replica_.absorb(reply.page, epoch_, replaceOwn_);
+  replica_.applyTakeoverPage(reply.page, epoch_, replaceOwn_);
   context_.counters().add("partition_takeover_rows_total",
                           static_cast<double>(reply.page.rows.size()));
   if (!reply.page.last) {
--- a/src/partition/takeover_policy.cpp
+++ b/src/partition/takeover_policy.cpp
@@ -33,7 +33,7 @@
     return true;
   }
   const Duration first = now - *firstInOrderSince_;
-  return first >= kMaxHandBackWait || (first >= kHandBackDelay && upToDate);
+  return first >= kMaxFailbackWait || (first >= kFailbackDelay && upToDate);
 }
 
 bool TakeoverPolicy::displacesActiveOwner(const NodeId& candidate, const KnownOwner& owner,
--- a/src/partition/takeover_policy.h
+++ b/src/partition/takeover_policy.h
@@ -20,10 +20,10 @@
 
   /// A store that has become the first in the order takes over from an active owner only after
   /// this time, so that a store that restarts repeatedly does not move its partitions each time.
-  static constexpr Duration kHandBackDelay = std::chrono::seconds(3);
+  static constexpr Duration kFailbackDelay = std::chrono::seconds(3);
 
   /// Longest time that a hand-back waits for this replica to be brought up to date by the owner.
-  static constexpr Duration kMaxHandBackWait = std::chrono::seconds(30);
+  static constexpr Duration kMaxFailbackWait = std::chrono::seconds(30);
 
   /// Keeps a reference to @p stores.
   TakeoverPolicy(const StoreSet& stores, NodeId self, PartitionId partition);
--- a/tests/batch/fake_partition_store.h
+++ b/tests/batch/fake_partition_store.h
@@ -21,7 +21,7 @@
   std::uint64_t epoch(const PartitionId&) const override { return believesOwner ? epoch_ : 0; }
   NodeId ownerHint(const PartitionId&) const override { return hint; }
 
-  bool takesNewData(const PartitionId&) const override { return !scarce; }
+  bool canAcceptNewData(const PartitionId&) const override { return !scarce; }
 
   void write(const PartitionId& partition, std::vector<TableEntry> entries,
              std::function<void(Status)> done) override {
--- a/tests/partition/durable_writer_test.cpp
+++ b/tests/partition/durable_writer_test.cpp
@@ -8,7 +8,7 @@
 using namespace shedshed;
 using namespace shedshed::test;
 
-BOOST_AUTO_TEST_CASE(requests_complete_in_order_after_a_disk_that_rejects_for_a_while) {
+BOOST_AUTO_TEST_CASE(requests_complete_in_order_after_the_disk_has_rejected_one) {
   MemoryRecords unused;
   Harness harness;
   HarnessContext& context = harness.context("a:1", ServiceId::Partition);
--- a/tests/partition/incoming_transfer_test.cpp
+++ b/tests/partition/incoming_transfer_test.cpp
@@ -33,9 +33,9 @@
 
 BOOST_AUTO_TEST_SUITE(incoming_transfer)
 
-BOOST_AUTO_TEST_CASE(pages_count_in_their_order_only) {
+BOOST_AUTO_TEST_CASE(pages_are_accepted_only_in_order) {
   IncomingTransfer transfer;
-  BOOST_TEST(transfer.follow(request(2, 1)));
+  BOOST_TEST(transfer.beginOrContinue(request(2, 1)));
   BOOST_TEST(!transfer.isNext(pageAfter("b", "d", true)));
   BOOST_TEST(transfer.isNext(firstPage("b")));
   transfer.advance(firstPage("b"));
@@ -46,7 +46,7 @@
 
 BOOST_AUTO_TEST_CASE(last_page_completes_the_transfer_once) {
   IncomingTransfer transfer;
-  BOOST_TEST(transfer.follow(request(2, 1)));
+  BOOST_TEST(transfer.beginOrContinue(request(2, 1)));
   transfer.advance(firstPage("b"));
   transfer.advance(pageAfter("b", "d", true));
   BOOST_TEST(transfer.isComplete());
@@ -54,16 +54,16 @@
   BOOST_TEST(!transfer.isNext(pageAfter("d", "e", true)));
 }
 
-BOOST_AUTO_TEST_CASE(newer_transfer_starts_anew_and_older_ones_are_ignored) {
+BOOST_AUTO_TEST_CASE(newer_transfer_resets_the_position_and_older_ones_are_ignored) {
   IncomingTransfer transfer;
-  BOOST_TEST(transfer.follow(request(2, 1)));
+  BOOST_TEST(transfer.beginOrContinue(request(2, 1)));
   transfer.advance(firstPage("b"));
-  BOOST_TEST(transfer.follow(request(2, 2)));
+  BOOST_TEST(transfer.beginOrContinue(request(2, 2)));
   BOOST_TEST(transfer.isNext(firstPage("b")));
   BOOST_TEST(transfer.throughKey().empty());
-  BOOST_TEST(!transfer.follow(request(2, 1)));
-  BOOST_TEST(transfer.follow(request(3, 1)));
-  BOOST_TEST(!transfer.follow(request(2, 2)));
+  BOOST_TEST(!transfer.beginOrContinue(request(2, 1)));
+  BOOST_TEST(transfer.beginOrContinue(request(3, 1)));
+  BOOST_TEST(!transfer.beginOrContinue(request(2, 2)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/partition/known_owner_test.cpp
+++ b/tests/partition/known_owner_test.cpp
@@ -34,7 +34,7 @@
   BOOST_TEST(!owner.isWithinHeartbeatTimeout(kStart + PartitionOptions::kHeartbeatTimeout));
 }
 
-BOOST_AUTO_TEST_CASE(previous_sequence_is_the_one_of_the_heartbeat_before) {
+BOOST_AUTO_TEST_CASE(previous_sequence_is_that_of_the_previous_heartbeat) {
   KnownOwner owner;
   owner.messageAccepted(kOwner, 3, kStart);
   owner.heartbeatAccepted(10);
@@ -45,7 +45,7 @@
   BOOST_TEST(owner.previousSequence() == 20U);
 }
 
-BOOST_AUTO_TEST_CASE(new_epoch_starts_the_sequences_anew) {
+BOOST_AUTO_TEST_CASE(new_epoch_resets_the_sequences) {
   KnownOwner owner;
   owner.messageAccepted(kOwner, 3, kStart);
   owner.heartbeatAccepted(10);
--- a/tests/partition/partition_fleet.h
+++ b/tests/partition/partition_fleet.h
@@ -65,7 +65,7 @@
   std::vector<std::function<void(const RegisterValue&)>> listeners_;
 };
 
-struct Recorder : PartitionListener {
+struct RecordingListener : PartitionListener {
   void ownershipGained(const PartitionId& partition, std::uint64_t epoch,
                        RecoveryKind recovery) override {
     gained[partition] = {epoch, recovery};
@@ -80,7 +80,7 @@
 struct RunningStore {
   FakeConfiguration configuration;
   std::unique_ptr<PartitionCore> core;
-  Recorder recorder;
+  RecordingListener recorder;
 };
 
 /// The outcome of an asynchronous call.
@@ -100,7 +100,8 @@
  public:
   explicit Fleet(PartitionSafeguards safeguards = {}) : safeguards_(safeguards) {
     harness.filter = [this](const Harness::Envelope& envelope) {
-      return cut.count({envelope.from.address, envelope.to.address}) == 0 && network(envelope);
+      return blockedLinks.count({envelope.from.address, envelope.to.address}) == 0 &&
+             messageFilter(envelope);
     };
     for (const char* name : {"a:1", "b:1", "c:1"}) {
       storeIds[name] = std::string("disk-") + name;
@@ -116,7 +117,7 @@
   }
 
   /// From now on @p name proves nothing: its lease ends after @p lease.
-  void endProofs(const std::string& name, Duration lease) {
+  void stopFreshnessRenewal(const std::string& name, Duration lease) {
     stores.at(name).configuration.fresh = harness.now + lease;
   }
   void start(const std::string& name) {
@@ -150,7 +151,7 @@
   void markDraining(const std::string& name) {
     directory.set(name, NodeState::Draining, storeIds[name]);
   }
-  void lose(const std::string& name) {
+  void killAndMarkDead(const std::string& name) {
     kill(name);
     markDead(name);
   }
@@ -160,10 +161,10 @@
       store.second.configuration.setStores(members);
     }
   }
-  void isolate(const std::string& from, const std::string& to, bool bothWays = true) {
-    cut.insert({from, to});
+  void blockLink(const std::string& from, const std::string& to, bool bothWays = true) {
+    blockedLinks.insert({from, to});
     if (bothWays) {
-      cut.insert({to, from});
+      blockedLinks.insert({to, from});
     }
   }
   void advance(Duration by) { harness.advance(by); }
@@ -208,8 +209,8 @@
     return outcome;
   }
   /// Writes and waits until it is acknowledged.
-  void store(const std::string& name, const PartitionId& partition, const std::string& key,
-             std::optional<std::string> value) {
+  void writeAcknowledged(const std::string& name, const PartitionId& partition,
+                         const std::string& key, std::optional<std::string> value) {
     const Outcome outcome = write(name, partition, key, std::move(value));
     advance(milliseconds(500));
     BOOST_REQUIRE(outcome.succeeded());
@@ -219,8 +220,8 @@
   FakeDirectory directory;
   std::map<std::string, std::string> storeIds;
   std::map<std::string, RunningStore> stores;
-  std::set<std::pair<std::string, std::string>> cut;
-  std::function<bool(const Harness::Envelope&)> network = [](const Harness::Envelope&) {
+  std::set<std::pair<std::string, std::string>> blockedLinks;
+  std::function<bool(const Harness::Envelope&)> messageFilter = [](const Harness::Envelope&) {
     return true;
   };
 
--- a/tests/partition/partition_owner_test.cpp
+++ b/tests/partition/partition_owner_test.cpp
@@ -23,10 +23,10 @@
              boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(durable_write_waits_for_all_live_replicas_a_short_time) {
+BOOST_AUTO_TEST_CASE(durable_write_waits_a_bounded_time_for_all_live_replicas) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
-  fleet.isolate(order[0], order[2]);
+  fleet.blockLink(order[0], order[2]);
   const Outcome durable = fleet.write(order[0], kBatches, "key", "value");
   const Outcome slot = fleet.write(fleet.order(kSlots)[0], kSlots, "key", "value");
   fleet.advance(PartitionOwner::kAllReplicasTimeout - milliseconds(50));
@@ -43,12 +43,12 @@
 BOOST_AUTO_TEST_CASE(durable_write_is_acknowledged_only_after_the_sync) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
-  fleet.isolate(order[0], order[2]);
-  fleet.isolate(order[0], order[1], false);
+  fleet.blockLink(order[0], order[2]);
+  fleet.blockLink(order[0], order[1], false);
   const Outcome write = fleet.write(order[0], kBatches, "key", "value");
   fleet.advance(seconds(1));
   BOOST_TEST(write.pending());
-  fleet.cut.clear();
+  fleet.blockedLinks.clear();
   fleet.advance(seconds(1));
   BOOST_TEST(write.succeeded());
 }
@@ -57,40 +57,40 @@
 
 /// Loses, doubles and reorders messages at random.
 void makeLossy(Fleet& fleet, RandomEngine& random) {
-  const auto returned = std::make_shared<int>(0);
-  fleet.network = [&fleet, &random, returned](const Harness::Envelope& envelope) {
+  const auto requeued = std::make_shared<int>(0);
+  fleet.messageFilter = [&fleet, &random, requeued](const Harness::Envelope& envelope) {
     auto& queue = fleet.harness.queue;
-    const auto dice = random() % 100;
-    if (dice < 8) {
+    const auto percent = random() % 100;
+    if (percent < 8) {
       return false;
     }
-    if (dice < 25 && *returned < 50) {
-      ++*returned;
+    if (percent < 25 && *requeued < 50) {
+      ++*requeued;
       queue.insert(queue.begin() + static_cast<long>(random() % (queue.size() + 1)), envelope);
-      return dice < 15;
+      return percent < 15;
     }
-    *returned = 0;
+    *requeued = 0;
     return true;
   };
 }
 
 /// One write, and what its writer knows of it.
-struct Expected {
+struct RecordedWrite {
   std::string writer;
   std::string value;
   Outcome outcome;
-  bool writerEnded = false;  ///< Its process ended before the outcome was known.
+  bool writerCrashed = false;  ///< Its process ended before the outcome was known.
 };
 
 /// The writes of each key, oldest first.
-using History = std::map<std::pair<PartitionId, std::string>, std::vector<Expected>>;
+using History = std::map<std::pair<PartitionId, std::string>, std::vector<RecordedWrite>>;
 
 /// Records that @p writer ended before it knew the outcome of its pending writes.
-void markWriterEnded(History& history, const std::string& writer) {
+void markWriterCrashed(History& history, const std::string& writer) {
   for (auto& entry : history) {
-    for (Expected& written : entry.second) {
-      written.writerEnded =
-          written.writerEnded || (written.writer == writer && written.outcome.pending());
+    for (RecordedWrite& written : entry.second) {
+      written.writerCrashed =
+          written.writerCrashed || (written.writer == writer && written.outcome.pending());
     }
   }
 }
@@ -113,14 +113,14 @@
     fleet.advance(milliseconds(random() % 120));
     if (step % 40 == 20) {
       down = fleet.names()[random() % 3];
-      fleet.lose(down);
-      markWriterEnded(history, down);
+      fleet.killAndMarkDead(down);
+      markWriterCrashed(history, down);
     }
     if (step % 40 == 35) {
       fleet.start(down);
     }
   }
-  fleet.network = [](const Harness::Envelope&) { return true; };
+  fleet.messageFilter = [](const Harness::Envelope&) { return true; };
   fleet.advance(seconds(12));
   for (const auto& entry : history) {
     const PartitionId& id = entry.first.first;
@@ -134,7 +134,7 @@
       if (written->outcome.succeeded()) {
         break;
       }
-      BOOST_TEST((written->writerEnded || !written->outcome.pending()));
+      BOOST_TEST((written->writerCrashed || !written->outcome.pending()));
     }
     BOOST_TEST(allowed, "seed " << seed << " key " << entry.first.second);
   }
@@ -155,10 +155,10 @@
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   for (int i = 0; i < 30; ++i) {
-    fleet.store(order[0], kBatches, "batch" + std::to_string(i), "accepted");
+    fleet.writeAcknowledged(order[0], kBatches, "batch" + std::to_string(i), "accepted");
   }
-  fleet.lose(order[2]);
-  fleet.store(order[0], kBatches, "late", "accepted");
+  fleet.killAndMarkDead(order[2]);
+  fleet.writeAcknowledged(order[0], kBatches, "late", "accepted");
   // The machine returns with an empty disk: another identity, which counts for nothing yet.
   fleet.harness.records[order[2]].rows.clear();
   fleet.storeIds[order[2]] = "new-disk";
@@ -167,11 +167,11 @@
   fleet.advance(seconds(2));
   BOOST_TEST(fleet.core(order[2]).repairProgress().complete());
   BOOST_TEST(fleet.core(order[2]).repairProgress().countedAsReplica == 0U);
-  fleet.isolate(order[0], order[1]);
+  fleet.blockLink(order[0], order[1]);
   const Outcome alone = fleet.write(order[0], kBatches, "alone", "value");
   fleet.advance(seconds(1));
   BOOST_TEST(alone.pending());
-  fleet.cut.clear();
+  fleet.blockedLinks.clear();
   fleet.advance(seconds(1));
   fleet.setMembers(fleet.storeIds);
   // It holds all data, but the owners have not taken over with it as a replica yet.
@@ -179,9 +179,9 @@
   fleet.advance(seconds(2));
   BOOST_TEST(fleet.core(order[2]).repairProgress().replacementComplete());
   BOOST_REQUIRE(fleet.core(order[0]).owns(kBatches));
-  fleet.lose(order[0]);
+  fleet.killAndMarkDead(order[0]);
   fleet.advance(seconds(2));
-  fleet.lose(order[1]);
+  fleet.killAndMarkDead(order[1]);
   fleet.kill(order[2]);
   fleet.start(order[2]);
   fleet.start(order[1]);
@@ -201,12 +201,12 @@
 BOOST_AUTO_TEST_CASE(a_large_page_in_flight_is_not_sent_again_at_once) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
-  fleet.store(order[0], kBatches, "body", std::string(250 * 1024, 'b'));
-  fleet.lose(order[2]);
+  fleet.writeAcknowledged(order[0], kBatches, "body", std::string(250 * 1024, 'b'));
+  fleet.killAndMarkDead(order[2]);
   fleet.harness.records[order[2]].rows.clear();
   fleet.storeIds[order[2]] = "new-disk";
   int large = 0;
-  fleet.network = [&](const Harness::Envelope& envelope) {
+  fleet.messageFilter = [&](const Harness::Envelope& envelope) {
     const bool isLarge = envelope.message.service == ServiceId::Partition &&
                          envelope.to.address == order[2] &&
                          envelope.message.payload.size() > 200U * 1024;
@@ -222,7 +222,7 @@
   BOOST_TEST(large == 1);
   fleet.advance(milliseconds(500));  // Lost after all: sent again.
   BOOST_TEST(large == 2);
-  fleet.network = [](const Harness::Envelope&) { return true; };
+  fleet.messageFilter = [](const Harness::Envelope&) { return true; };
   fleet.advance(seconds(2));
   BOOST_TEST(fleet.core(order[2]).repairProgress().complete());
 }
@@ -231,9 +231,9 @@
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   // Acknowledged by the owner and the third store only.
-  fleet.isolate(order[0], order[1]);
-  fleet.store(order[0], kBatches, "key", "value");
-  fleet.lose(order[0]);
+  fleet.blockLink(order[0], order[1]);
+  fleet.writeAcknowledged(order[0], kBatches, "key", "value");
+  fleet.killAndMarkDead(order[0]);
   fleet.kill(order[2]);
   fleet.storeIds["d:1"] = "disk-d:1";
   fleet.start("d:1");
@@ -254,10 +254,10 @@
   for (const PartitionId& id : {kSlots, kBatches}) {
     Fleet fleet;
     const auto order = fleet.order(id);
-    fleet.store(order[0], id, "key", "value");
-    fleet.isolate(order[0], order[1]);
-    fleet.store(order[0], id, "key", std::nullopt);
-    fleet.lose(order[0]);
+    fleet.writeAcknowledged(order[0], id, "key", "value");
+    fleet.blockLink(order[0], order[1]);
+    fleet.writeAcknowledged(order[0], id, "key", std::nullopt);
+    fleet.killAndMarkDead(order[0]);
     fleet.advance(seconds(1));
     BOOST_REQUIRE(fleet.core(order[1]).owns(id));
     BOOST_TEST(!fleet.core(order[1]).get(id, "key"));
@@ -268,12 +268,12 @@
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   const std::string record = partitionRecordPrefix(kBatches) + "row/key";
-  fleet.store(order[0], kBatches, "key", "value");
-  fleet.isolate(order[0], order[2]);
-  fleet.store(order[0], kBatches, "key", std::nullopt);
+  fleet.writeAcknowledged(order[0], kBatches, "key", "value");
+  fleet.blockLink(order[0], order[2]);
+  fleet.writeAcknowledged(order[0], kBatches, "key", std::nullopt);
   fleet.advance(seconds(1));
   BOOST_TEST(fleet.harness.records[order[0]].rows.count(record) == 1);
-  fleet.cut.clear();
+  fleet.blockedLinks.clear();
   fleet.advance(seconds(2));
   for (const std::string& name : order) {
     BOOST_TEST(fleet.harness.records[name].rows.count(record) == 0);
@@ -284,7 +284,7 @@
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   const std::string record = partitionRecordPrefix(kBatches) + "row/key";
-  fleet.store(order[0], kBatches, "key", "value");
+  fleet.writeAcknowledged(order[0], kBatches, "key", "value");
   const std::string good = fleet.harness.records[order[2]].rows[record];
   // A replica notices when it loads, the owner when it reads.
   fleet.kill(order[2]);
@@ -304,9 +304,9 @@
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   const std::string record = partitionRecordPrefix(kBatches) + "row/key";
-  fleet.store(order[0], kBatches, "key", "first");
+  fleet.writeAcknowledged(order[0], kBatches, "key", "first");
   const std::string old = fleet.harness.records[order[2]].rows[record];
-  fleet.store(order[0], kBatches, "key", "second");
+  fleet.writeAcknowledged(order[0], kBatches, "key", "second");
   const std::string good = fleet.harness.records[order[2]].rows[record];
   // The disk of the third store brings an old, valid record back at its restart.
   fleet.kill(order[2]);
@@ -320,11 +320,11 @@
 BOOST_AUTO_TEST_CASE(owner_takes_no_new_data_while_a_replica_has_little_disk_space) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
-  BOOST_TEST(fleet.core(order[0]).takesNewData(kBatches));
+  BOOST_TEST(fleet.core(order[0]).canAcceptNewData(kBatches));
   fleet.harness.records[order[2]].recordSpace = {80, 100};
   fleet.advance(milliseconds(600));
-  BOOST_TEST(!fleet.core(order[0]).takesNewData(kBatches));
+  BOOST_TEST(!fleet.core(order[0]).canAcceptNewData(kBatches));
   fleet.harness.records[order[2]].recordSpace = {20, 100};
   fleet.advance(milliseconds(600));
-  BOOST_TEST(fleet.core(order[0]).takesNewData(kBatches));
+  BOOST_TEST(fleet.core(order[0]).canAcceptNewData(kBatches));
 }
--- a/tests/partition/partition_replica_test.cpp
+++ b/tests/partition/partition_replica_test.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 /// A replica on a node of its own, with its writer.
-struct LoneReplica : Core {
-  explicit LoneReplica(HarnessContext& context)
+struct StandaloneReplica : Core {
+  explicit StandaloneReplica(HarnessContext& context)
       : writer(context, 1), replica(context, writer, PartitionOptions{"disk"}, kBatches) {
     replica.load();
   }
@@ -35,15 +35,15 @@
 
 /// A node that restarts cannot know whether it owned the epoch that it had promised to itself. Two
 /// owners of one epoch would write different rows under equal versions.
-BOOST_AUTO_TEST_CASE(an_epoch_promised_to_oneself_stays_so_through_a_restart) {
+BOOST_AUTO_TEST_CASE(a_promise_to_itself_survives_a_restart) {
   Harness harness;
   HarnessContext& context = harness.context("a:1", ServiceId::Partition);
   {
-    LoneReplica before(context);
+    StandaloneReplica before(context);
     harness.attach(context, before);
     BOOST_TEST(grants(harness, before.replica, 5, "a:1"));
   }
-  LoneReplica after(context);
+  StandaloneReplica after(context);
   harness.attach(context, after);
   BOOST_TEST(!grants(harness, after.replica, 5, "b:1"));
   BOOST_TEST(!after.replica.accepts(5, NodeId{"b:1"}));
--- a/tests/partition/partition_takeover_test.cpp
+++ b/tests/partition/partition_takeover_test.cpp
@@ -25,11 +25,11 @@
     Fleet fleet;
     const auto order = fleet.order(id);
     // The second store misses the writes: it must fetch them from the third.
-    fleet.isolate(order[0], order[1]);
+    fleet.blockLink(order[0], order[1]);
     for (int i = 0; i < 20; ++i) {
-      fleet.store(order[0], id, "key" + std::to_string(i), "value" + std::to_string(i));
+      fleet.writeAcknowledged(order[0], id, "key" + std::to_string(i), "value" + std::to_string(i));
     }
-    fleet.lose(order[0]);
+    fleet.killAndMarkDead(order[0]);
     fleet.advance(seconds(1));
     BOOST_REQUIRE(fleet.core(order[1]).owns(id));
     BOOST_TEST((fleet.recovery(order[1], id) == RecoveryKind::Complete));
@@ -45,7 +45,7 @@
 /// Cuts the first owner off from the second store only and lets the second take over.
 void fenceFirstOwner(Fleet& fleet, const PartitionId& id) {
   const auto order = fleet.order(id);
-  fleet.isolate(order[0], order[1]);
+  fleet.blockLink(order[0], order[1]);
   fleet.markDead(order[0]);
   fleet.advance(seconds(1));
   BOOST_REQUIRE(fleet.core(order[1]).owns(id));
@@ -57,19 +57,19 @@
   for (const PartitionId& id : {kSlots, kBatches}) {
     Fleet fleet;
     const auto order = fleet.order(id);
-    fleet.isolate(order[0], order[1]);
-    fleet.isolate(order[0], order[2]);
+    fleet.blockLink(order[0], order[1]);
+    fleet.blockLink(order[0], order[2]);
     fleet.markDead(order[0]);
     fleet.advance(milliseconds(500));
     BOOST_REQUIRE(fleet.core(order[0]).owns(id));
     BOOST_REQUIRE(fleet.core(order[1]).owns(id));
     const Outcome write = fleet.write(order[0], id, "key", "old");
     const Outcome confirmed = fleet.confirm(order[0], id);
-    fleet.store(order[1], id, "key", "new");
+    fleet.writeAcknowledged(order[1], id, "key", "new");
     fleet.advance(seconds(2));
     BOOST_TEST(!write.succeeded());
     BOOST_TEST(confirmed.failedWith(ErrorCode::NoQuorum));
-    fleet.cut.clear();
+    fleet.blockedLinks.clear();
     fleet.advance(seconds(1));
     BOOST_TEST(write.failedWith(ErrorCode::NotOwner));
     BOOST_TEST(fleet.stores[order[0]].recorder.owned.count(id) == 0);
@@ -80,8 +80,8 @@
 BOOST_AUTO_TEST_CASE(owner_without_a_majority_gives_up_ownership) {
   Fleet fleet;
   const auto order = fleet.order(kSlots);
-  fleet.isolate(order[0], order[1]);
-  fleet.isolate(order[0], order[2]);
+  fleet.blockLink(order[0], order[1]);
+  fleet.blockLink(order[0], order[2]);
   fleet.advance(PartitionOptions::kHeartbeatTimeout + seconds(1));
   BOOST_TEST(!fleet.core(order[0]).owns(kSlots));
   BOOST_TEST(fleet.stores[order[0]].recorder.owned.empty());
@@ -114,11 +114,11 @@
 
 /// A row is acknowledged by the owner and the third store; then the owner dies and the third
 /// restarts empty, while the second has missed the row.
-RecoveryKind takeOverBesideAnEmptyReplica(Fleet& fleet) {
+RecoveryKind takeOverWithEmptyReplica(Fleet& fleet) {
   const auto order = fleet.order(kSlots);
-  fleet.isolate(order[0], order[1]);
-  fleet.store(order[0], kSlots, "key", "value");
-  fleet.lose(order[0]);
+  fleet.blockLink(order[0], order[1]);
+  fleet.writeAcknowledged(order[0], kSlots, "key", "value");
+  fleet.killAndMarkDead(order[0]);
   fleet.kill(order[2]);
   fleet.start(order[2]);
   fleet.advance(seconds(3));
@@ -131,14 +131,14 @@
 
 BOOST_AUTO_TEST_CASE(restarted_empty_replica_does_not_count) {
   Fleet fleet;
-  BOOST_TEST((takeOverBesideAnEmptyReplica(fleet) == RecoveryKind::MemoryLost));
+  BOOST_TEST((takeOverWithEmptyReplica(fleet) == RecoveryKind::MemoryLost));
 }
 
 BOOST_AUTO_TEST_CASE(without_the_empty_replica_rule_a_lost_row_goes_unnoticed) {
   PartitionSafeguards safeguards;
   safeguards.emptyReplicaRule = false;
   Fleet fleet(safeguards);
-  BOOST_TEST((takeOverBesideAnEmptyReplica(fleet) == RecoveryKind::Complete));
+  BOOST_TEST((takeOverWithEmptyReplica(fleet) == RecoveryKind::Complete));
 }
 
 /// The mark must be in the installed table itself: an owner that is lost right after its takeover
@@ -155,20 +155,20 @@
   fleet.advance(seconds(3));
   BOOST_REQUIRE((fleet.recovery(order[0], kSlots) == RecoveryKind::MemoryLost));
   BOOST_TEST(fleet.core(order[0]).get(kSlots, kRecoveringRow).has_value());
-  fleet.lose(order[0]);
+  fleet.killAndMarkDead(order[0]);
   fleet.advance(seconds(3));
   BOOST_REQUIRE((fleet.recovery(order[1], kSlots) == RecoveryKind::Complete));
   BOOST_TEST(fleet.core(order[1]).get(kSlots, kRecoveringRow).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(restarted_replica_counts_again_once_it_has_copied) {
+BOOST_AUTO_TEST_CASE(restarted_replica_counts_again_after_a_transfer) {
   Fleet fleet;
   const auto order = fleet.order(kSlots);
-  fleet.store(order[0], kSlots, "key", "value");
+  fleet.writeAcknowledged(order[0], kSlots, "key", "value");
   fleet.kill(order[1]);
   fleet.start(order[1]);
   fleet.advance(seconds(1));
-  fleet.lose(order[0]);
+  fleet.killAndMarkDead(order[0]);
   fleet.kill(order[2]);
   fleet.start(order[2]);
   fleet.advance(seconds(3));
@@ -177,12 +177,12 @@
   BOOST_TEST((fleet.core(order[1]).get(kSlots, "key") == Value("value")));
 }
 
-BOOST_AUTO_TEST_CASE(all_stores_restart_at_once) {
+BOOST_AUTO_TEST_CASE(restart_of_all_stores_keeps_batches_and_reports_lost_slot_memory) {
   Fleet fleet;
   const auto slotOrder = fleet.order(kSlots);
   const auto batchOrder = fleet.order(kBatches);
-  fleet.store(slotOrder[0], kSlots, "slot", "token");
-  fleet.store(batchOrder[0], kBatches, "batch", "accepted");
+  fleet.writeAcknowledged(slotOrder[0], kSlots, "slot", "token");
+  fleet.writeAcknowledged(batchOrder[0], kBatches, "batch", "accepted");
   for (const std::string& name : fleet.names()) {
     fleet.kill(name);
   }
@@ -199,47 +199,47 @@
 
 /// A durable row reaches only the owner, which restarts and shows it to a reader with a confirmed
 /// ownership; then the owner is lost.
-Value readAfterUnackedRowWasShown(Fleet& fleet) {
+Value readUnacknowledgedRow(Fleet& fleet) {
   const auto order = fleet.order(kBatches);
-  fleet.isolate(order[0], order[1]);
-  fleet.isolate(order[0], order[2]);
+  fleet.blockLink(order[0], order[1]);
+  fleet.blockLink(order[0], order[2]);
   fleet.write(order[0], kBatches, "key", "value");
   fleet.harness.settle();
   fleet.kill(order[0]);
-  fleet.cut.clear();
+  fleet.blockedLinks.clear();
   // The write-back can't pass, whereas all else does.
-  fleet.network = [](const Harness::Envelope& envelope) {
+  fleet.messageFilter = [](const Harness::Envelope& envelope) {
     return envelope.message.kind != InstallRequest::kKind;
   };
   fleet.start(order[0]);
   fleet.advance(seconds(1));
-  Value shown;
+  Value found;
   if (fleet.core(order[0]).owns(kBatches)) {
     const Outcome confirmed = fleet.confirm(order[0], kBatches);
     fleet.harness.settle();
     BOOST_REQUIRE(confirmed.succeeded());
-    shown = fleet.core(order[0]).get(kBatches, "key");
+    found = fleet.core(order[0]).get(kBatches, "key");
   }
-  fleet.lose(order[0]);
-  fleet.network = [](const Harness::Envelope&) { return true; };
+  fleet.killAndMarkDead(order[0]);
+  fleet.messageFilter = [](const Harness::Envelope&) { return true; };
   fleet.advance(seconds(2));
   BOOST_REQUIRE(fleet.core(order[1]).owns(kBatches));
   BOOST_TEST(!fleet.core(order[1]).get(kBatches, "key"));
-  return shown;
+  return found;
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(merged_row_is_shown_only_after_the_write_back) {
+BOOST_AUTO_TEST_CASE(merged_row_is_readable_only_after_the_write_back) {
   Fleet fleet;
-  BOOST_TEST(!readAfterUnackedRowWasShown(fleet));
+  BOOST_TEST(!readUnacknowledgedRow(fleet));
 }
 
-BOOST_AUTO_TEST_CASE(without_the_write_back_a_shown_row_vanishes) {
+BOOST_AUTO_TEST_CASE(without_the_write_back_a_row_that_was_read_is_lost) {
   PartitionSafeguards safeguards;
   safeguards.mergeWriteBack = false;
   Fleet fleet(safeguards);
-  BOOST_TEST((readAfterUnackedRowWasShown(fleet) == Value("value")));
+  BOOST_TEST((readUnacknowledgedRow(fleet) == Value("value")));
 }
 
 BOOST_AUTO_TEST_CASE(equal_replicas_transfer_nothing_and_large_ones_move_in_pages) {
@@ -253,14 +253,14 @@
   fleet.core(order[0]).write(kBatches, entries, outcome.callback());
   fleet.advance(milliseconds(100));
   BOOST_REQUIRE(outcome.succeeded());
-  fleet.lose(order[0]);
+  fleet.killAndMarkDead(order[0]);
   fleet.advance(seconds(1));
   BOOST_REQUIRE(fleet.core(order[1]).owns(kBatches));
   BOOST_TEST(fleet.harness.counters.values["partition_takeover_rows_total"] == 0);
   BOOST_TEST(fleet.harness.counters.values["partition_transfer_rows_total"] == 0);
 
   std::size_t largest = 0;
-  fleet.network = [&largest](const Harness::Envelope& envelope) {
+  fleet.messageFilter = [&largest](const Harness::Envelope& envelope) {
     largest = std::max(largest, envelope.message.payload.size());
     return true;
   };
@@ -279,7 +279,7 @@
   Fleet fleet;
   const auto order = fleet.order(kBatches);
   for (const std::string& name : fleet.names()) {
-    fleet.endProofs(name, seconds(4));
+    fleet.stopFreshnessRenewal(name, seconds(4));
   }
   fleet.advance(seconds(9));
   BOOST_TEST(fleet.core(order[0]).owns(kBatches));
--- a/tests/partition/placement_test.cpp
+++ b/tests/partition/placement_test.cpp
@@ -13,9 +13,9 @@
 constexpr int kStores = 13;
 
 /// Thirteen stores, five of which hold each partition. All see one directory.
-class WideFleet {
+class LargeFleet {
  public:
-  WideFleet() {
+  LargeFleet() {
     list.replicas = kReplicas;
     for (int number = 0; number < kStores; ++number) {
       const std::string name = nameOf(number);
@@ -48,7 +48,7 @@
     }
   }
   /// Ends the process and loses its disk.
-  void lose(const std::string& name) {
+  void destroyStore(const std::string& name) {
     harness.settle();
     harness.crash(name);
     harness.records[name] = {};
@@ -94,11 +94,11 @@
 
 BOOST_AUTO_TEST_SUITE(placement)
 
-BOOST_AUTO_TEST_CASE(every_partition_has_its_replicas_and_every_slot_its_share) {
+BOOST_AUTO_TEST_CASE(partitions_have_the_configured_replicas_spread_evenly_over_slots) {
   MemberList list;
   list.replicas = kReplicas;
   for (int number = 0; number < kStores; ++number) {
-    list.stores.push_back({NodeId{WideFleet::nameOf(number)}, "disk"});
+    list.stores.push_back({NodeId{LargeFleet::nameOf(number)}, "disk"});
   }
   std::map<NodeId, int> held;
   for (const PartitionId& partition : allPartitions()) {
@@ -124,7 +124,7 @@
 
 // The cost of a write must not grow with the number of stores.
 BOOST_AUTO_TEST_CASE(a_write_costs_messages_to_the_replicas_only) {
-  WideFleet fleet;
+  LargeFleet fleet;
   std::size_t writes = 0;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
     writes += envelope.message.kind == ReplicateRequest::kKind ? 1 : 0;
@@ -137,7 +137,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(callers_ask_replicas_only) {
-  WideFleet fleet;
+  LargeFleet fleet;
   OwnerLocator locator(fleet.directory, fleet.stores.begin()->second.configuration);
   for (const PartitionId& partition : allPartitions()) {
     BOOST_TEST(locator.candidate(partition, 0).address == fleet.owner(partition));
@@ -146,13 +146,13 @@
 
 BOOST_AUTO_TEST_CASE(no_acknowledged_row_is_lost_with_any_two_disks) {
   for (int seed = 0; seed < 12; ++seed) {
-    WideFleet fleet;
+    LargeFleet fleet;
     for (const PartitionId& partition : allPartitions()) {
       fleet.write(partition, "value");
     }
     fleet.harness.advance(milliseconds(300));
-    fleet.lose(WideFleet::nameOf(seed % kStores));
-    fleet.lose(WideFleet::nameOf((seed + 1 + seed / 3) % kStores));
+    fleet.destroyStore(LargeFleet::nameOf(seed % kStores));
+    fleet.destroyStore(LargeFleet::nameOf((seed + 1 + seed / 3) % kStores));
     fleet.harness.advance(seconds(8));
     for (const PartitionId& partition : allPartitions()) {
       BOOST_TEST((fleet.read(partition) == Value("value")));
@@ -162,13 +162,13 @@
 
 // The slots of the member list get new stores one after the other until no first store is left.
 BOOST_AUTO_TEST_CASE(rows_survive_the_replacement_of_every_store) {
-  WideFleet fleet;
+  LargeFleet fleet;
   for (const PartitionId& partition : allPartitions()) {
     fleet.write(partition, "value");
   }
   fleet.harness.advance(milliseconds(300));
   for (int number = 0; number < kStores; ++number) {
-    const std::string old = WideFleet::nameOf(number);
+    const std::string old = LargeFleet::nameOf(number);
     const std::string replacement = "n" + old;
     fleet.start(replacement, "disk-" + replacement);
     for (int step = 0; step < 100; ++step) {
@@ -182,7 +182,7 @@
     fleet.publish();
     fleet.harness.advance(seconds(2));
     BOOST_TEST(fleet.stores.at(replacement).core->repairProgress().replacementComplete());
-    fleet.lose(old);
+    fleet.destroyStore(old);
   }
   fleet.harness.advance(seconds(8));
   for (const PartitionId& partition : allPartitions()) {
@@ -192,9 +192,9 @@
 
 // A store that returned with an empty disk is caught up with the partitions of its own slot.
 BOOST_AUTO_TEST_CASE(an_emptied_store_needs_only_the_partitions_of_its_slot) {
-  WideFleet fleet;
-  const std::string name = WideFleet::nameOf(4);
-  fleet.lose(name);
+  LargeFleet fleet;
+  const std::string name = LargeFleet::nameOf(4);
+  fleet.destroyStore(name);
   fleet.harness.advance(seconds(2));
   fleet.start(name, "new-disk");
   fleet.harness.advance(seconds(3));
--- a/tests/partition/promise_quorum_test.cpp
+++ b/tests/partition/promise_quorum_test.cpp
@@ -13,11 +13,11 @@
 
 const StoreMembers kPresent = {member("a"), member("b"), member("c")};
 
-PromiseAnswer answer(bool intact, std::uint64_t setEpoch = 0, StoreMembers replicas = {}) {
+PromiseAnswer answer(bool intact, std::uint64_t replicaSetEpoch = 0, StoreMembers replicas = {}) {
   PromiseAnswer answer;
   answer.granted = true;
   answer.intact = intact;
-  answer.setEpoch = setEpoch;
+  answer.replicaSetEpoch = replicaSetEpoch;
   answer.replicas = std::move(replicas);
   return answer;
 }
--- a/tests/partition/takeover_policy_test.cpp
+++ b/tests/partition/takeover_policy_test.cpp
@@ -10,7 +10,7 @@
   for (const PartitionId& id : {kSlots, kBatches}) {
     Fleet fleet;
     const auto order = fleet.order(id);
-    fleet.store(order[0], id, "key", "value");
+    fleet.writeAcknowledged(order[0], id, "key", "value");
     fleet.markDraining(order[0]);
     fleet.advance(milliseconds(200));
     BOOST_TEST(fleet.owners(id) == std::vector<std::string>{order[1]},
@@ -21,7 +21,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(draining_store_ends_up_owning_nothing_and_stays_so) {
+BOOST_AUTO_TEST_CASE(draining_store_transfers_all_partitions_and_takes_none_back) {
   Fleet fleet;
   fleet.markDraining("a:1");
   fleet.advance(milliseconds(300));
@@ -61,16 +61,16 @@
 BOOST_AUTO_TEST_CASE(draining_owner_serves_until_the_successor_can_be_reached) {
   Fleet fleet;
   const auto order = fleet.order(kSlots);
-  fleet.store(order[0], kSlots, "key", "value");
-  fleet.isolate(order[0], order[1]);
-  fleet.isolate(order[2], order[1]);
+  fleet.writeAcknowledged(order[0], kSlots, "key", "value");
+  fleet.blockLink(order[0], order[1]);
+  fleet.blockLink(order[2], order[1]);
   fleet.kill(order[1]);
   fleet.start(order[1]);
   fleet.markDraining(order[0]);
   fleet.advance(seconds(3));
   BOOST_TEST(fleet.owners(kSlots) == std::vector<std::string>{order[0]},
              boost::test_tools::per_element());
-  fleet.cut.clear();
+  fleet.blockedLinks.clear();
   fleet.advance(seconds(1));
   BOOST_TEST(fleet.owners(kSlots) == std::vector<std::string>{order[1]},
              boost::test_tools::per_element());
@@ -78,14 +78,14 @@
   BOOST_TEST((fleet.core(order[1]).get(kSlots, "key") == Value("value")));
 }
 
-BOOST_AUTO_TEST_CASE(returning_store_takes_back_after_the_hand_back_delay) {
+BOOST_AUTO_TEST_CASE(returning_store_takes_over_after_the_failback_delay) {
   Fleet fleet;
   const auto order = fleet.order(kSlots);
-  fleet.lose(order[0]);
+  fleet.killAndMarkDead(order[0]);
   fleet.advance(seconds(1));
-  fleet.store(order[1], kSlots, "key", "value");
+  fleet.writeAcknowledged(order[1], kSlots, "key", "value");
   fleet.start(order[0]);
-  fleet.advance(TakeoverPolicy::kHandBackDelay - milliseconds(200));
+  fleet.advance(TakeoverPolicy::kFailbackDelay - milliseconds(200));
   BOOST_TEST(fleet.core(order[1]).owns(kSlots));
   fleet.advance(seconds(1));
   BOOST_TEST(fleet.core(order[0]).owns(kSlots));
@@ -98,7 +98,7 @@
   Fleet fleet;
   const auto order = fleet.order(kSlots);
   const std::uint64_t epoch = fleet.core(order[0]).epoch(kSlots);
-  fleet.isolate(order[0], order[1]);
+  fleet.blockLink(order[0], order[1]);
   fleet.advance(seconds(30));
   BOOST_TEST(fleet.core(order[0]).epoch(kSlots) == epoch);
   BOOST_TEST(!fleet.core(order[1]).owns(kSlots));
--- a/tests/partition_known_red/interrupted_transfer_test.cpp
+++ b/tests/partition_known_red/interrupted_transfer_test.cpp
@@ -16,7 +16,7 @@
 
 /// Lets at most @p limit pages pass to @p node; counts them in @p pages.
 void limitPages(Fleet& fleet, const std::string& node, int& pages, int& limit) {
-  fleet.network = [&pages, &limit, node](const Harness::Envelope& envelope) {
+  fleet.messageFilter = [&pages, &limit, node](const Harness::Envelope& envelope) {
     const bool isPage = envelope.message.kind == InstallRequest::kKind &&
                         envelope.to.address == node &&
                         envelope.message.payload.size() > kPageMessageBytes;
@@ -41,7 +41,7 @@
   fleet.core(order[0]).write(kBatches, rows, written.callback());
   fleet.advance(milliseconds(100));
   BOOST_REQUIRE(written.succeeded());
-  fleet.lose(order[0]);
+  fleet.killAndMarkDead(order[0]);
   fleet.advance(seconds(1));
   fleet.harness.records[order[0]].rows.clear();
   fleet.storeIds[order[0]] = "other-disk";
