--- a/src/partition/incoming_transfer.h
+++ b/src/partition/incoming_transfer.h
@@ -1,5 +1,5 @@
 /// @file
-/// How far a replica has applied the table that its owner transfers.
+/// Position of a replica in the transfer of its owner's table.
 #pragma once
 
 #include "partition/partition_messages.h"
@@ -9,23 +9,24 @@
 
 namespace shedshed {
 
-/// The position of a replica in the newest transfer. Pages may be lost, late or repeated: a page
-/// counts only if it begins where the last one ended, and a page of an older transfer not at all.
-/// Kept in memory only. Core thread only.
+/// The position of a replica in the newest transfer. Pages may be lost, delayed or repeated:
+/// a page is applied only if it begins where the last one ended, and pages of an older transfer are
+/// ignored. Kept in memory only. Core thread only.
 class IncomingTransfer {
  public:
-  /// Turns to the transfer of @p request if it is newer. False if it is older than the present one.
+  /// Switches to the transfer of @p request if it is newer than the current one. Returns false if
+  /// it is older.
   bool beginOrContinue(const InstallRequest& request);
 
   /// True if @p page is the next one.
   bool isNext(const TablePage& page) const;
 
-  /// @p page was applied.
+  /// Records that @p page was applied.
   void advance(const TablePage& page);
 
   bool isComplete() const { return complete_; }
 
-  /// Key up to which the table was applied.
+  /// Key through which the table has been applied.
   const std::string& throughKey() const { return throughKey_; }
 
  private:
--- a/src/partition/local_partition.cpp
+++ b/src/partition/local_partition.cpp
@@ -85,8 +85,8 @@
 }
 
 void LocalPartition::receive(const NodeId& from, const FetchRequest& request) {
-  // Rows are read for a merge, which must see what this replica had when it promised. Without the
-  // promise a lower epoch could still add writes that the merge would miss.
+  // The rows are fetched for a merge, which must see what this replica held when it promised.
+  // Without the promise a lower epoch could still add writes that the merge would miss.
   const ReplicaState& state = replica_.state();
   const bool promised = state.promisedEpoch == request.epoch && state.promisedTo == from;
   if (!promised && options_.safeguards.fencing) {
@@ -233,7 +233,8 @@
     highestEpoch_ = std::max(highestEpoch_, takeover_->rejectedBy().value_or(0));
     abandonTakeover();
     std::uniform_int_distribution<std::int64_t> backoff(0, toMilliseconds(kMaxTakeoverBackoff));
-    // A heartbeat of the owner that refused arrives within the fixed part.
+    // A heartbeat of the owner that rejected the takeover arrives within the fixed part of the
+    // delay.
     retryTakeoverAt_ = context_.now() + PartitionOptions::kHeartbeatInterval +
                        PartitionOptions::kTickInterval +
                        std::chrono::milliseconds(backoff(context_.random()));
@@ -284,9 +285,9 @@
 }
 
 void LocalPartition::beginTakeover() {
-  // Above every epoch that this node has promised or heard of, so replicas can grant it. The
-  // promise to itself is synced before the epoch leaves this node: a crash before that leaves the
-  // epoch unused, a crash after it makes the next attempt choose a higher one.
+  // Above every epoch that this node has promised or knows of, so that replicas can grant it. The
+  // promise to itself is synced before the epoch is sent to any node: after a crash before the sync
+  // the epoch is unused, after a later one the next attempt chooses a higher epoch.
   highestEpoch_ = std::max(highestEpoch_, replica_.state().promisedEpoch) + 1;
   takeover_ = std::make_unique<PartitionTakeover>(context_, stores_, replica_, options_,
                                                   highestEpoch_, [this] { scheduleRoleUpdate(); });
@@ -314,7 +315,7 @@
 
 void LocalPartition::loseOwnership() {
   highestEpoch_ = std::max(highestEpoch_, owner_->rejectedBy().value_or(0));
-  // Detached before any callback runs: a callback that writes again finds no owner.
+  // Detached before any callback runs, so that a callback that writes again finds no owner.
   const std::unique_ptr<PartitionOwner> owner = std::move(owner_);
   const bool announced = std::exchange(announced_, false);
   retryTakeoverAt_ = context_.now() + PartitionOptions::kRetransmitTimeout;
@@ -322,10 +323,11 @@
     replica_.dropDamaged();
   }
   context_.counters().add("partition_ownership_lost_total");
-  // The writes may still be on a majority, or reach one through the next owner's merge: their fate
-  // is unknown to the callers.
+  // The writes may be on a majority already, or reach one through the next owner's merge, so the
+  // callers cannot know their outcome.
   for (const std::function<void(Status)>& done : owner->takeOutstanding()) {
-    done(makeError(ErrorCode::NotOwner, "the partition has a newer owner"));
+    done(makeError(ErrorCode::NotOwner,
+                   "this node lost the ownership of the partition before the request completed"));
   }
   if (announced && listener_ != nullptr) {
     listener_->ownershipLost(id());
--- a/src/partition/local_partition.h
+++ b/src/partition/local_partition.h
@@ -1,5 +1,5 @@
 /// @file
-/// One partition on one store: its replica and this node's role.
+/// One partition on one store: its replica and this node's role in it.
 #pragma once
 
 #include "partition/known_owner.h"
@@ -15,13 +15,13 @@
 /// The local replica of one partition together with this node's role in it.
 ///
 /// The role is one of: follower (neither `takeover_` nor `owner_`), candidate (`takeover_`), owner
-/// that writes the merged table back, and serving owner (`announced_`). `PartitionCore` passes
-/// messages and ticks on. Decisions that may destroy the takeover or the owner are made in
+/// that writes the merged table back, and serving owner (`announced_`). `PartitionCore` forwards
+/// messages and ticks. Decisions that may destroy the takeover or the owner are made in
 /// `updateRole`, which runs after the event, so that neither is destroyed by its own call.
 /// Core thread only.
 class LocalPartition {
  public:
-  /// Longest random delay before a refused takeover is tried again.
+  /// Longest random delay before a rejected takeover is retried.
   static constexpr Duration kMaxTakeoverBackoff = std::chrono::milliseconds(400);
 
   /// Keeps references; they must outlive it.
@@ -30,7 +30,7 @@
   LocalPartition(const LocalPartition&) = delete;
   LocalPartition& operator=(const LocalPartition&) = delete;
 
-  /// Reads the durable state. Called once, at the start.
+  /// Reads the durable state. Called once, when the core starts.
   void load();
 
   void setListener(PartitionListener& listener) { listener_ = &listener; }
@@ -44,16 +44,16 @@
   /// Epoch of this node as the owner. Only while `isServing`.
   std::uint64_t epoch() const { return owner_->epoch(); }
 
-  /// The other node that is believed to be the owner; empty if none.
+  /// The other node that is believed to be the owner; empty if unknown.
   NodeId ownerHint() const;
 
-  /// False if a replica, this one included, has little disk space. Only while `isServing`.
+  /// False if a replica, this one included, is low on disk space. Only while `isServing`.
   bool canAcceptNewData() const;
 
   /// True if the replica is complete at the newest known epoch.
   bool isCaughtUp() const;
 
-  /// True if the epoch that is installed counts this node, with its present disk, as a replica.
+  /// True if this node, with its present disk, is a replica of the installed epoch.
   bool isCountedAsReplica() const;
 
   /// Replicates one write. Only while `isServing`.
@@ -69,12 +69,12 @@
   /// This owner's item in the next heartbeat; nullopt if it is not the owner.
   std::optional<HeartbeatItem> heartbeat();
 
-  /// The promise request of this node's takeover, and the nodes that are due to get it.
+  /// Nodes that are due a promise request of this node's takeover, and the epoch to be requested.
   std::vector<NodeId> promiseTargets();
   std::uint64_t takeoverEpoch() const { return takeover_->epoch(); }
 
   // Requests to the replica.
-  /// Calls @p done with the answer once the promise is synced, or at once without a promise.
+  /// Calls @p done with the answer once the promise is synced, or at once if it is rejected.
   void promise(const NodeId& from, std::uint64_t epoch, std::function<void(PromiseAnswer)> done);
   void receive(const NodeId& from, const FetchRequest& request);
   void receive(const NodeId& from, const InstallRequest& request);
@@ -88,12 +88,12 @@
   void receive(const NodeId& from, const ReplicateReply& reply);
   void receive(const NodeId& from, const HeartbeatReply& reply, const ReplicaPosition& position);
 
-  /// Retransmits, reviews the role and considers a takeover. With @p mayOwn false the node gives
-  /// up whatever role it has.
+  /// Retransmits, updates the role and decides whether to take over. With @p mayOwn false the node
+  /// abandons its takeover or its ownership.
   void tick(bool mayOwn);
 
  private:
-  /// Reviews the role after the current event.
+  /// Runs `updateRole` after the current event.
   void scheduleRoleUpdate();
   void updateRole();
   void updateTakeover();
@@ -103,7 +103,7 @@
   void abandonTakeover();
   void beginOwnership();
   void loseOwnership();
-  /// True if the members register names other replicas than those that this owner replicates to.
+  /// True if the replicas in the members register differ from those of this owner.
   bool replicasChanged() const;
   void ownerMessageAccepted(const NodeId& from, std::uint64_t epoch);
   void monitorTakeover();
@@ -115,12 +115,12 @@
   PartitionReplica replica_;
   std::unique_ptr<PartitionTakeover> takeover_;
   std::unique_ptr<PartitionOwner> owner_;
-  bool announced_ = false;  ///< The listener was told that this node owns the partition.
+  bool announced_ = false;  ///< The listener was notified of the ownership.
   KnownOwner knownOwner_;
   TakeoverPolicy policy_;
   SlowTakeoverMonitor monitor_;
   Time retryTakeoverAt_;
-  std::uint64_t highestEpoch_ = 0;  ///< Highest epoch that any node named.
+  std::uint64_t highestEpoch_ = 0;  ///< Highest epoch that is known from any node.
   bool roleUpdateScheduled_ = false;
 };
 
--- a/src/partition/owner_locator.h
+++ b/src/partition/owner_locator.h
@@ -10,21 +10,21 @@
 
 namespace shedshed {
 
-/// Guesses a partition's owner: the last redirect if there was one, else the first live store in
-/// the agreed order, draining stores last. A wrong guess costs one redirect, never safety: owners
-/// are fenced by epochs. Core thread only.
+/// Predicts a partition's owner: the last redirect if there was one, else the first live store in
+/// the owner order, draining stores last. A wrong prediction costs one redirect; safety is not
+/// affected, since owners are fenced by epochs. Core thread only.
 class OwnerLocator {
  public:
-  /// Keeps references to both; they must outlive it.
+  /// Keeps a reference to @p directory and subscribes to @p configuration; both must outlive it.
   OwnerLocator(const Directory& directory, ConfigurationSource& configuration);
 
   /// Returns the node for attempt number @p attempt, from 0; empty if no store is known.
   NodeId candidate(const PartitionId& partition, std::uint32_t attempt) const;
 
-  /// A node answered `NotOwner` and named @p owner.
+  /// Records that a node answered `NotOwner` and named @p owner.
   void redirected(const PartitionId& partition, const NodeId& owner);
 
-  /// A node did not answer, or named no owner.
+  /// Records that @p node did not answer or named no owner; drops a redirect to it.
   void failed(const PartitionId& partition, const NodeId& node);
 
  private:
--- a/src/partition/partition_core.cpp
+++ b/src/partition/partition_core.cpp
@@ -10,13 +10,13 @@
 constexpr TimerId kTickTimer = 1;
 constexpr TimerId kPersistRetryTimer = 2;
 
-/// Returns a first heartbeat number that an earlier incarnation of the process has hardly used: a
-/// late reply to that one must not confirm ownership now.
+/// Returns a random first heartbeat number. Earlier incarnations of the process have most likely
+/// not used it, so a late reply to one of them does not confirm ownership now.
 std::uint64_t randomRound(RandomEngine& random) {
   return random() >> 1;
 }
 
-/// The replies to the promise requests of one message. They are sent together, once the last one
+/// Answers to the items of one `PromiseRequest`. They are sent in one reply, once the last promise
 /// is synced.
 struct PendingPromiseReply {
   PromiseReply reply;
--- a/src/partition/partition_core.h
+++ b/src/partition/partition_core.h
@@ -10,17 +10,17 @@
 
 namespace shedshed {
 
-/// Holds this store's replicas of all partitions and owns those for which it comes first.
+/// Holds this store's replicas of all partitions and owns those for which it is first in order.
 ///
-/// A store owns a partition when it is the first live one in the agreed order, has taken over at a
+/// A store owns a partition when it is the first live one in the owner order, has taken over at a
 /// new epoch (`PartitionTakeover`, then `PartitionOwner`), and has not been fenced since. Two nodes
 /// may believe that they own a partition; only the one with the higher epoch can complete a write
-/// or a confirmation. What belongs to one partition is in `LocalPartition`; this class dispatches
+/// or a confirmation. The state of each partition is in a `LocalPartition`; this class dispatches
 /// messages to it and batches what the partitions send at the same time. Core thread only.
 class PartitionCore : public Core, public PartitionStore {
  public:
-  /// A store whose configuration has not been proved current for this long after its freshness
-  /// lease owns nothing: the members and settings that it acts on may have been replaced.
+  /// Time after the end of its freshness lease at which a store gives up all ownership: the members
+  /// and settings that it uses may have been replaced.
   static constexpr Duration kMaxConfigurationStaleness = std::chrono::seconds(6);
 
   /// Keeps references; they must outlive it. @p context belongs to `ServiceId::Partition`.
@@ -45,14 +45,14 @@
                const std::function<bool(std::string_view key, const std::string& value)>& visit)
       const override;
 
-  /// How many partitions this store owns.
+  /// Number of partitions that this store owns.
   std::size_t ownedPartitions() const;
 
-  /// True once a draining store may stop: it owns nothing, or no other store could own it.
+  /// True once a draining store may stop: it owns no partition that another store could own.
   bool ownershipTransferred() const;
 
-  /// How many of the partitions that this store is to replicate it has copied, also before it is a
-  /// member.
+  /// Number of partitions that this store is to replicate and number that it has copied, also
+  /// before it is a member.
   RepairProgress repairProgress() const;
 
  private:
@@ -67,20 +67,20 @@
   void handle(const NodeId& from, const HeartbeatRequest& request);
   void handle(const NodeId& from, const HeartbeatReply& reply);
 
-  /// True if this store may own partitions: its disk is a member's, by a member list that is
-  /// proved to be current or was so a short time ago.
+  /// True if this store may own partitions: with its disk it is a member, and the freshness lease
+  /// of its configuration is valid or ended less than `kMaxConfigurationStaleness` ago.
   bool mayOwn() const;
-  /// nullptr if there is no such partition: the id came over the wire.
+  /// nullptr if there is no such partition: ids in messages are not validated before.
   LocalPartition* find(const PartitionId& partition);
   const LocalPartition* find(const PartitionId& partition) const;
   /// As `find`; nullptr also if this node does not serve the partition.
   LocalPartition* findServed(const PartitionId& partition);
   const LocalPartition* findServed(const PartitionId& partition) const;
-  /// True if another live store that does not drain could own @p partition.
+  /// True if another replica of @p partition is live and not draining.
   bool hasSuccessor(const PartitionId& partition) const;
   void tick();
   void sendPromiseRequests();
-  /// Sends one message per peer with the owned partitions, or with those alone that wait for a
+  /// Sends one message per peer with the owned partitions, or only with those that wait for a
   /// confirmation.
   void sendHeartbeats(bool onlyConfirmations);
   void scheduleConfirmations();
@@ -92,7 +92,7 @@
   DurableWriter writer_;
   std::map<PartitionId, LocalPartition> partitions_;
   PartitionMetrics metrics_;
-  std::uint64_t heartbeatRound_ = 0;  ///< Number of the last heartbeat.
+  std::uint64_t heartbeatRound_ = 0;  ///< Number of the last heartbeat sent.
   Time lastHeartbeatAt_;
   bool confirmationScheduled_ = false;
 };
--- a/src/partition/partition_messages.h
+++ b/src/partition/partition_messages.h
@@ -1,6 +1,6 @@
 /// @file
-/// Messages between the replicas of partitions. All carry the sender's store id, so that an
-/// emptied machine at a known address is never taken for the member that it replaces.
+/// Messages between the replicas of partitions. All replies carry the sender's store id, so that a
+/// node that returns with a new disk at a known address is not mistaken for the earlier member.
 #pragma once
 
 #include "kernel/message.h"
@@ -15,7 +15,7 @@
   MSGPACK_DEFINE(partition, epoch);
 };
 
-/// Requests promises to reject every epoch below the named ones.
+/// Requests promises to reject all epochs below those of the items.
 struct PromiseRequest {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 1;
@@ -30,7 +30,7 @@
   std::uint64_t promisedEpoch = 0;  ///< Equal to `epoch` if granted, higher if rejected.
   bool granted = false;
   bool intact = false;               ///< Holds everything that it ever acknowledged.
-  std::uint64_t installedEpoch = 0;  ///< Epoch whose merged table it holds in full; 0 if none.
+  std::uint64_t installedEpoch = 0;  ///< Epoch whose complete merged table it holds; 0 if none.
   std::uint64_t checksum = 0;
   std::uint64_t rows = 0;
   std::uint64_t replicaSetEpoch = 0;  ///< Epoch at which `replicas` was agreed.
@@ -70,8 +70,8 @@
   MSGPACK_DEFINE(fromStart, afterKey, last, throughKey, rows);
 };
 
-/// Answers a `FetchRequest`. None is sent by a replica that has not promised the epoch to the
-/// sender.
+/// Answers a `FetchRequest`. A replica that has not promised the epoch to the requesting node does
+/// not answer.
 struct FetchReply {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 4;
@@ -89,10 +89,10 @@
   static constexpr std::uint16_t kKind = 5;
   PartitionId partition;
   std::uint64_t epoch = 0;
-  std::uint64_t transfer = 0;  ///< Number of the transfer, rising within one owner.
+  std::uint64_t transfer = 0;  ///< Number of the transfer, increasing within one owner.
   std::uint64_t sequence = 0;  ///< The owner's sequence when the transfer began.
-  bool keepRows = false;       ///< The rows are believed to be equal already; `page` is empty.
-  std::uint64_t checksum = 0;  ///< What the replica's rows must have for `keepRows`.
+  bool keepRows = false;       ///< The rows are expected to be equal already; `page` is empty.
+  std::uint64_t checksum = 0;  ///< Required checksum of the replica's rows for `keepRows`.
   StoreMembers replicas;
   TablePage page;
   MSGPACK_DEFINE(partition, epoch, transfer, sequence, keepRows, checksum, replicas, page);
@@ -109,7 +109,7 @@
   std::uint64_t transfer = 0;
   bool differs = false;    ///< The rows may not be kept; a full transfer is needed.
   bool last = false;       ///< The transfer is complete.
-  std::string throughKey;  ///< Applied up to here.
+  std::string throughKey;  ///< Key through which the table has been applied.
   MSGPACK_DEFINE(storeId, partition, epoch, promisedEpoch, transfer, differs, last, throughKey);
 };
 
@@ -141,7 +141,7 @@
   static constexpr std::uint16_t kKind = 8;
   std::string storeId;
   std::uint64_t epoch = 0;  ///< Epoch of the request.
-  bool gap = false;         ///< Writes before the request's first one are missing here.
+  bool gap = false;         ///< The replica lacks writes before the request's first one.
   ReplicaPosition position;
   MSGPACK_DEFINE(storeId, epoch, gap, position);
 };
@@ -152,7 +152,7 @@
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;  ///< Last write begun.
   std::uint64_t stable = 0;    ///< Every replica holds this write: tombstones up to it may be
-                               ///< forgotten. 0 if unknown.
+                               ///< removed. 0 if unknown.
   MSGPACK_DEFINE(partition, epoch, sequence, stable);
 };
 
@@ -160,7 +160,7 @@
 struct HeartbeatRequest {
   static constexpr ServiceId kService = ServiceId::Partition;
   static constexpr std::uint16_t kKind = 9;
-  std::uint64_t round = 0;  ///< Rises with each heartbeat of one process.
+  std::uint64_t round = 0;  ///< Increases with each heartbeat of one process.
   std::vector<HeartbeatItem> items;
   MSGPACK_DEFINE(round, items);
 };
@@ -172,7 +172,7 @@
   std::string storeId;
   std::uint64_t round = 0;
   std::vector<ReplicaPosition> positions;
-  bool isLowOnDiskSpace = false;  ///< The sender has little disk space.
+  bool isLowOnDiskSpace = false;  ///< The sender is low on disk space.
   MSGPACK_DEFINE(storeId, round, positions, isLowOnDiskSpace);
 };
 
--- a/src/partition/partition_options.h
+++ b/src/partition/partition_options.h
@@ -8,7 +8,7 @@
 
 namespace shedshed {
 
-/// Protections that only the simulator and tests may switch off, to show what each prevents.
+/// Safeguards that only the simulator and tests may disable, to show which fault each prevents.
 struct PartitionSafeguards {
   bool fencing = true;           ///< Replicas reject epochs below the promised one.
   bool emptyReplicaRule = true;  ///< A replica that restarted empty does not count as intact.
@@ -23,8 +23,8 @@
   /// Period of the owners' heartbeats; one message per peer carries all owned partitions.
   static constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(250);
 
-  /// An owner that has no reply from a majority for this long gives its partition up; a replica
-  /// that has no message from the owner for this long no longer names it.
+  /// An owner that has no reply from a majority for this long gives up its ownership; a replica
+  /// that has no message from the owner for this long no longer redirects to it.
   static constexpr Duration kHeartbeatTimeout = std::chrono::seconds(5);
 
   /// Time after which an unanswered message of a takeover, write or transfer is sent again.
--- a/src/partition/partition_owner.cpp
+++ b/src/partition/partition_owner.cpp
@@ -15,8 +15,8 @@
       quorum_(source_, peers_) {}
 
 void PartitionOwner::begin() {
-  // Until this is synced the own replica counts for no majority. A crash before that leaves the
-  // epoch that was installed earlier, and a later takeover merges the tables again.
+  // Until this is synced this node's replica counts for no majority. After a crash before the sync
+  // the previously installed epoch is in force, and a later takeover merges the tables again.
   replica_.installOwn(outcome_.epoch, outcome_.replicas, whileAlive([this] {
                         quorum_.setSelfInstalled();
                         changed_();
@@ -101,8 +101,8 @@
   ReplicaPeer& peer = peers_.try_emplace(from, source_, from).first->second;
   peer.replyReceived(storeId);
   if (promisedEpoch > outcome_.epoch) {
-    // Another node may own the higher epoch already. One replica is enough to step down: nothing
-    // is lost by it, and the next takeover of this node names an epoch above.
+    // Another node may own the higher epoch already. A single replica's report is enough to step
+    // down: this loses no data, and the next takeover of this node uses an epoch above it.
     rejectedBy_ = std::max(rejectedBy_.value_or(0), promisedEpoch);
   }
   return peer;
@@ -110,7 +110,8 @@
 
 void PartitionOwner::addPeers() {
   std::vector<NodeId> nodes = stores_.peers(replica_.partition());
-  // A majority of the earlier replicas must install the epoch too, whatever became of them.
+  // A majority of the previous replicas must install the epoch too, also if they are no longer
+  // members.
   for (const MemberList::Member& member : outcome_.previous) {
     if (member.id != context_.self()) {
       nodes.push_back(member.id);
@@ -137,7 +138,8 @@
   if (!quorum_.majorityHolds(write.sequence)) {
     return false;
   }
-  // A majority is safe. The wait lets a durable row reach all disks while none is in trouble.
+  // A majority is sufficient for safety. While all replicas are healthy, the wait lets a durable
+  // row reach every disk.
   const bool waitForAll = replica_.partition().kind == TableKind::Batches &&
                           stores_.allLiveAndNotDraining(outcome_.replicas) &&
                           context_.now() - write.begunAt < kAllReplicasTimeout;
@@ -146,8 +148,8 @@
 
 void PartitionOwner::complete() {
   if (!serving_ && quorum_.isSelfInstalled()) {
-    // Nothing may be read before: a merged row that was on a minority only would be shown, and be
-    // absent again after the next takeover.
+    // No reads before that: a merged row that is on a minority only could be read, and be absent
+    // after the next takeover.
     serving_ = quorum_.installedOnMajorities() || !options_.safeguards.mergeWriteBack;
   }
   const std::weak_ptr<bool> alive = alive_;
@@ -176,7 +178,10 @@
     }
     const std::function<void(Status)> done = std::move(confirmations_.front().done);
     confirmations_.pop_front();
-    done(confirmed ? okStatus() : Status(makeError(ErrorCode::NoQuorum, "no majority")));
+    done(confirmed
+             ? okStatus()
+             : Status(makeError(ErrorCode::NoQuorum,
+                                "no majority of the replicas confirmed the ownership in time")));
   }
 }
 
@@ -194,7 +199,7 @@
 }
 
 std::uint64_t PartitionOwner::stableSequence() const {
-  // A replica that lacks the erasing write could bring the row back, so all must hold it.
+  // A replica that lacks the erasing write could restore the row, so all must hold that write.
   return serving_ && quorum_.allHold(0) ? quorum_.lowestSequence() : 0;
 }
 
--- a/src/partition/partition_owner.h
+++ b/src/partition/partition_owner.h
@@ -1,5 +1,5 @@
 /// @file
-/// Second half of a takeover, and the owner's work afterwards.
+/// Second phase of a takeover, and the operation of the owner afterwards.
 #pragma once
 
 #include "partition/replication_quorum.h"
@@ -15,20 +15,20 @@
 /// Owns one partition at one epoch: writes the merged table back, replicates writes, confirms its
 /// ownership and repairs replicas that differ. Core thread only.
 ///
-/// Serving begins when the merged table is on a majority of the members and of the previous
-/// replicas, so any later takeover, also one by a node that has not heard of a change of the
-/// members, meets this epoch.
+/// Serving begins when the merged table is on a majority of the present and of the previous
+/// replicas. Any later takeover then finds this epoch, also one by a node that does not know of a
+/// change of the members yet.
 class PartitionOwner {
  public:
   /// While all replicas are live, a durable write waits this long for all of them before a majority
-  /// is enough.
+  /// is sufficient.
   static constexpr Duration kAllReplicasTimeout = std::chrono::milliseconds(200);
 
   /// Time after which `confirm` fails with `NoQuorum`.
   static constexpr Duration kConfirmationTimeout = std::chrono::seconds(2);
 
   /// Keeps references; they must outlive it. @p changed is called when a step that this node
-  /// persists has ended; after `receive` and `write` the caller reviews the state itself.
+  /// persists has completed; after `receive` and `write` the caller re-evaluates the state itself.
   PartitionOwner(CoreContext& context, const StoreSet& stores, PartitionReplica& replica,
                  const PartitionOptions& options, const TakeoverOutcome& outcome,
                  std::function<void()> changed);
@@ -42,7 +42,7 @@
   RecoveryKind recovery() const { return outcome_.recovery; }
   const StoreMembers& members() const { return outcome_.replicas; }
 
-  /// True once the write-back has reached the majorities.
+  /// True once the write-back has reached both majorities.
   bool isServing() const { return serving_; }
 
   /// True if a replica rejected this epoch, or no majority has replied for
@@ -52,8 +52,7 @@
   /// The higher epoch that a replica named; nullopt if none did.
   std::optional<std::uint64_t> rejectedBy() const { return rejectedBy_; }
 
-  /// Replicates @p entries as one atomic write. @p done is called by `complete` once a majority
-  /// has it.
+  /// Replicates @p entries as one atomic write. `complete` calls @p done once a majority holds it.
   void write(std::vector<TableEntry> entries, std::function<void(Status)> done);
 
   /// Completes with a majority of replies to heartbeat number @p round or later ones; fails with
@@ -61,7 +60,7 @@
   void confirm(std::uint64_t round, std::function<void(Status)> done);
   bool isConfirming() const { return !confirmations_.empty(); }
 
-  /// For the log: how far the write-back is.
+  /// Progress of the write-back, for log events.
   std::string progress() const { return quorum_.progress(); }
 
   /// The item for this partition in a heartbeat.
@@ -72,16 +71,16 @@
   void receive(const NodeId& from, const ReplicateReply& reply);
   void receive(const NodeId& from, const HeartbeatReply& reply, const ReplicaPosition& position);
 
-  /// True if a replica reported little disk space.
+  /// True if a replica reported that it is low on disk space.
   bool isReplicaLowOnDiskSpace() const { return quorum_.isAnyLowOnDiskSpace(); }
 
-  /// Adds peers that have appeared and sends again what is overdue.
+  /// Adds new peers and retransmits what was not acknowledged in time.
   void tick();
 
-  /// Completes what is due. Callbacks may call `write` and `confirm`.
+  /// Completes the writes and confirmations that are due. Callbacks may call `write` and `confirm`.
   void complete();
 
-  /// Takes out the callbacks of everything outstanding, in order.
+  /// Removes and returns the callbacks of all outstanding writes and confirmations, in order.
   std::vector<std::function<void(Status)>> takeOutstanding();
 
  private:
@@ -104,10 +103,10 @@
   bool isComplete(const PendingWrite& write) const;
   void completeWrites();
   void completeConfirmations();
-  /// Sequence up to which tombstones may be forgotten; 0 if unknown.
+  /// Sequence up to which tombstones may be removed; 0 if unknown.
   std::uint64_t stableSequence() const;
   void trimLog();
-  /// Returns a callback that calls @p step unless this owner is gone.
+  /// Returns a callback that calls @p step unless this owner has been destroyed.
   std::function<void()> whileAlive(std::function<void()> step) const;
 
   CoreContext& context_;
--- a/src/partition/partition_replica.cpp
+++ b/src/partition/partition_replica.cpp
@@ -113,7 +113,7 @@
   if (!transfer_.beginOrContinue(request)) {
     return;
   }
-  // A late answer may have named a checksum of rows that a restart has lost since.
+  // A late promise answer may carry the checksum of rows that a restart has lost since.
   const bool differs = damaged_ || request.checksum != table_.checksum();
   if (request.keepRows && !transfer_.isComplete() && differs) {
     reply.differs = true;
@@ -126,9 +126,9 @@
       table_.replaceRange(request.page, {request.epoch, request.sequence}, mutations);
     }
     transfer_.advance(request.page);
-    // Only the last page raises the installed epoch, in the same atomic step as its rows: after a
-    // crash before that, the replica counts as one of its earlier epoch, never as one of this
-    // epoch with a part of the table.
+    // Only the last page raises the installed epoch, in the same atomic step as its rows. After a
+    // crash before that the replica still counts for its earlier epoch, and never for this epoch
+    // with an incomplete table.
     if (transfer_.isComplete()) {
       finishInstall(request.epoch, request.sequence, request.replicas);
     }
--- a/src/partition/partition_store.h
+++ b/src/partition/partition_store.h
@@ -1,5 +1,5 @@
 /// @file
-/// Epoch-fenced replicated partitions as the slot and batch services see them.
+/// Interface of the epoch-fenced replicated partitions, used by the slot and batch services.
 #pragma once
 
 #include "kernel/error.h"
@@ -41,7 +41,7 @@
 /// Returns the partition that holds @p key (a pool's hash or a batch id).
 PartitionId partitionOf(TableKind kind, std::string_view key);
 
-/// Returns the stores in the order in which they own @p partition: the first live one acts.
+/// Returns the stores in the owner order of @p partition: the first live one is to own it.
 std::vector<NodeId> ownerOrder(const PartitionId& partition, std::vector<NodeId> stores);
 
 /// One row of a partition's table. An empty optional erases the key.
@@ -50,10 +50,10 @@
   std::optional<std::string> value;
 };
 
-/// What an owner knows of the past when it begins to serve.
+/// Completeness of the rows that a new owner has recovered.
 enum class RecoveryKind : std::uint8_t {
-  Complete,    ///< A majority had unbroken memory: every acknowledged row was found.
-  MemoryLost,  ///< It had not: holders must re-assert before anything new is granted.
+  Complete,    ///< A majority was intact: every acknowledged row was recovered.
+  MemoryLost,  ///< None was: rows may be missing; slot holders re-assert before new grants.
 };
 
 /// Row that marks a `Slots` table whose memory was lost and has not been re-asserted yet. A
@@ -62,11 +62,11 @@
 /// `Complete`. The slot owner erases it when its holders have re-asserted.
 inline constexpr const char* kRecoveringRow = "recovering";
 
-/// Is notified of ownership. Core thread.
+/// Is notified of changes of ownership. Core thread.
 class PartitionListener {
  public:
   virtual ~PartitionListener() = default;
-  /// This node owns @p partition at @p epoch; the merged table can be read and written.
+  /// This node now owns @p partition at @p epoch; the merged table can be read and written.
   virtual void ownershipGained(const PartitionId& partition, std::uint64_t epoch,
                                RecoveryKind recovery) = 0;
   /// This node no longer owns @p partition; outstanding writes fail with `NotOwner`.
@@ -89,19 +89,19 @@
   /// The node that this node believes to be the owner; empty if unknown. A hint for redirects.
   virtual NodeId ownerHint(const PartitionId& partition) const = 0;
 
-  /// False if this store or a replica of @p partition has little disk space: no new data should be
-  /// accepted, so that whatever follows from the present data can still be written.
+  /// False if this store or a replica of @p partition is low on disk space. No new data should be
+  /// accepted then, so that updates and results of the present data can still be written.
   virtual bool canAcceptNewData(const PartitionId& /*partition*/) const { return true; }
 
   /// Replicates @p entries as one atomic write. They are visible to `get` at once; @p done is
   /// called when a majority has them (and has synced them, for `Batches`). Fails with `NotOwner`
-  /// when fenced first: the write may or may not survive. Writes of one partition complete in
-  /// order.
+  /// if this node is fenced first: the write may or may not survive. Writes of one partition
+  /// complete in order.
   virtual void write(const PartitionId& partition, std::vector<TableEntry> entries,
                      std::function<void(Status)> done) = 0;
 
-  /// Proves with a majority that this node still owns @p partition. Anything answered from memory
-  /// alone that a successor could contradict must wait for it.
+  /// Confirms with a majority that this node still owns @p partition. An answer that is given from
+  /// memory alone, and that a successor could contradict, must wait for this.
   virtual void confirmOwnership(const PartitionId& partition, std::function<void(Status)> done) = 0;
 
   /// Reads the owner's table.
--- a/src/partition/partition_table.cpp
+++ b/src/partition/partition_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A row as it lies in the durable records.
+/// A row as stored in the durable records.
 struct RowRecord {
   VersionedRow row;
   std::uint64_t hash = 0;
--- a/src/partition/partition_table.h
+++ b/src/partition/partition_table.h
@@ -23,28 +23,29 @@
   /// hash are left out, and `isDamaged` is set; other replicas still have them.
   void load();
 
-  /// True once a row could not be read back, until `dropDamaged` is called. The row counts as
-  /// absent.
+  /// True once a row could not be read back, until `dropDamaged` is called. Such a row is treated
+  /// as absent.
   bool isDamaged() const { return !damagedKeys_.empty(); }
 
-  /// Takes the damaged rows out, so that a merge or transfer brings them back.
+  /// Removes the damaged rows, so that a merge or transfer restores them.
   void dropDamaged();
 
-  /// Sets @p row whatever is there. Appends what must be persisted to @p mutations.
+  /// Stores @p row, whatever the version of the present one. Appends what must be persisted to
+  /// @p mutations.
   void put(const VersionedRow& row, std::vector<Mutation>& mutations);
 
   /// Removes @p key without a tombstone.
   void remove(const std::string& key, std::vector<Mutation>& mutations);
 
-  /// Puts each row of @p page that is newer than what is here. Used between replicas of the same
+  /// Stores each row of @p page that is newer than the local one. Used between replicas of the same
   /// installed epoch, where the higher version is the later write.
   void merge(const TablePage& page, std::vector<Mutation>& mutations);
 
-  /// Makes the range of @p page equal to it, except for rows that a later write of @p base's
+  /// Makes the key range of @p page equal to it, except for rows that a later write of @p base's
   /// epoch has set. Rows of older epochs that the page lacks were never acknowledged.
   void replaceRange(const TablePage& page, const Version& base, std::vector<Mutation>& mutations);
 
-  /// Forgets the tombstones up to @p stable, which every replica has applied.
+  /// Removes the tombstones up to @p stable, which every replica has applied.
   void collectTombstones(const Version& stable, std::vector<Mutation>& mutations);
 
   /// Returns the rows after @p afterKey (all if @p fromStart), up to `kMaxPageBytes`.
@@ -59,7 +60,7 @@
                const std::function<bool(std::string_view, const std::string&)>& visit) const;
 
   /// XOR over the live rows of the XXH3 hash of key, version and value. Tombstones are left out,
-  /// so replicas that forgot them at different times still compare equal.
+  /// so replicas that removed them at different times still compare equal.
   std::uint64_t checksum() const { return checksum_; }
   std::uint64_t liveRows() const { return liveRows_; }
   std::size_t tombstones() const { return tombstones_.size(); }
@@ -80,7 +81,7 @@
   std::string recordPrefix_;
   std::map<std::string, Entry> entries_;
   std::set<std::pair<Version, std::string>> tombstones_;
-  mutable std::set<std::string> damagedKeys_;  ///< Noticed by reads.
+  mutable std::set<std::string> damagedKeys_;  ///< Found by reads.
   std::uint64_t checksum_ = 0;
   std::uint64_t liveRows_ = 0;
 };
--- a/src/partition/partition_takeover.h
+++ b/src/partition/partition_takeover.h
@@ -1,5 +1,5 @@
 /// @file
-/// First half of a takeover: promises, and the merge of the replicas' tables.
+/// First phase of a takeover: promises, and the merge of the replicas' tables.
 #pragma once
 
 #include "partition/promise_quorum.h"
@@ -11,29 +11,29 @@
 
 namespace shedshed {
 
-/// What a takeover found out.
+/// Result of the first phase of a takeover.
 struct TakeoverOutcome {
   std::uint64_t epoch = 0;
   RecoveryKind recovery = RecoveryKind::Complete;
-  StoreMembers replicas;  ///< The members for whom the epoch is taken.
+  StoreMembers replicas;  ///< The replicas of the new epoch.
   StoreMembers previous;  ///< The replicas of the newest epoch found; empty if none.
-  std::map<NodeId, std::uint64_t> checksums;  ///< What the replicas held when they promised.
+  std::map<NodeId, std::uint64_t> checksums;  ///< Of the replicas' tables when they promised.
 };
 
-/// Asks for promises of one epoch and builds the merged table in this node's replica.
+/// Requests promises of one epoch and builds the merged table in this node's replica.
 ///
 /// Why the merge holds every acknowledged row: an acknowledged write is on a majority that has
 /// installed its epoch. The takeover has promises of a majority of the present members and of a
 /// majority of the replicas of the newest epoch found (`PromiseQuorum`), so one of those that
 /// promised has it, and answers with the highest installed epoch, whose tables are merged
 /// (`TableMerge`). A write of a lower epoch that is still in flight can no longer reach a majority:
-/// it is rejected by those that promised. Core thread only.
+/// the replicas that promised reject it. Core thread only.
 class PartitionTakeover {
  public:
-  /// Time that a takeover of `Slots` waits for further replicas when too few are intact.
+  /// Time for which a takeover of `Slots` waits for further replicas when too few are intact.
   static constexpr Duration kIntactReplicasTimeout = std::chrono::seconds(1);
 
-  /// The same for `Batches`, which waits for dead members too: they may still hold on disk what the
+  /// The same for `Batches`. It waits for dead members too, which may still hold on disk what the
   /// others lost.
   static constexpr Duration kDurableIntactReplicasTimeout = std::chrono::seconds(60);
 
@@ -46,14 +46,14 @@
   PartitionTakeover(const PartitionTakeover&) = delete;
   PartitionTakeover& operator=(const PartitionTakeover&) = delete;
 
-  /// Promises the epoch to itself. Other replicas are asked only after that is synced, so that an
-  /// epoch is never used by two incarnations of one process.
+  /// Requests the promise of this node's own replica. The other replicas are asked only after that
+  /// is synced, so that an epoch is never used by two incarnations of one process.
   void begin();
 
   State state() const { return state_; }
   std::uint64_t epoch() const { return epoch_; }
 
-  /// For the log: how far it is.
+  /// Progress of the takeover, for log events.
   std::string progress() const;
 
   /// The highest epoch that a rejection named; nullopt if there was none.
@@ -62,7 +62,7 @@
   /// Valid when `Done`.
   TakeoverOutcome outcome() const;
 
-  /// The nodes that have not promised yet and are due to be asked now.
+  /// The nodes that have not promised yet and are due a request now.
   std::vector<NodeId> promiseTargets();
 
   void receive(const NodeId& from, const std::string& storeId, const PromiseAnswer& answer);
@@ -75,7 +75,7 @@
   bool intactReplicasTimedOut() const;
   void beginMerge(RecoveryKind recovery);
   void finishIfMerged();
-  /// Adds the row that tells a successor that this table was never complete.
+  /// Adds `kRecoveringRow`, which marks the table as incomplete for a successor.
   void markLostMemory();
 
   CoreContext& context_;
@@ -89,8 +89,8 @@
   RecoveryKind recovery_ = RecoveryKind::Complete;
   std::optional<TableMerge> merge_;  ///< Present from `Merging` on.
   std::optional<std::uint64_t> rejectedBy_;
-  std::optional<Time> promisedAt_;   ///< When the majorities had promised.
-  std::optional<Time> requestedAt_;  ///< When promises were last asked for.
+  std::optional<Time> promisedAt_;   ///< When both majorities had promised.
+  std::optional<Time> requestedAt_;  ///< When promises were last requested.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/partition/promise_quorum.cpp
+++ b/src/partition/promise_quorum.cpp
@@ -75,7 +75,7 @@
     return hasIntactPromise(member);
   };
   return count(replicas_, isPromised) + " replicas promised, " + count(replicas_, isIntact) +
-         " intact, " + count(previous_, isPromised) + " earlier ones";
+         " intact, " + count(previous_, isPromised) + " previous replicas promised";
 }
 
 }  // namespace shedshed
--- a/src/partition/promise_quorum.h
+++ b/src/partition/promise_quorum.h
@@ -1,5 +1,5 @@
 /// @file
-/// The promises that a takeover has received.
+/// Promises that a takeover has received, and their majorities.
 #pragma once
 
 #include "partition/partition_messages.h"
@@ -53,10 +53,10 @@
   /// True if all present replicas that @p stores believes to be live have promised.
   bool allLivePromised(const StoreSet& stores) const;
 
-  /// The nodes of both sets that have not promised, ascending.
+  /// The nodes of both sets that have not promised, in ascending order.
   std::vector<NodeId> missing() const;
 
-  /// For the log: the counts of promises.
+  /// Counts of promises, for log events.
   std::string progress() const;
 
  private:
--- a/src/partition/repair_progress.h
+++ b/src/partition/repair_progress.h
@@ -1,16 +1,16 @@
 /// @file
-/// How far a store's replicas are repaired.
+/// Progress of the repair of a store's replicas.
 #pragma once
 
 #include <cstdint>
 
 namespace shedshed {
 
-/// How many of the partitions that this store is to replicate it has copied.
+/// Counts of the partitions that this store is to replicate.
 struct RepairProgress {
-  std::uint32_t caughtUp = 0;  ///< Partitions complete at the newest known epoch.
+  std::uint32_t caughtUp = 0;  ///< Partitions that it holds completely at the newest known epoch.
   /// Of these, the ones whose owner counts this store, with its present disk, as a replica. Until
-  /// then a takeover still needs a majority of the earlier replicas.
+  /// then a takeover still needs a majority of the previous replicas.
   std::uint32_t countedAsReplica = 0;
   std::uint32_t total = 0;  ///< Partitions assigned to its slot in the member list; all for a
                             ///< standby.
--- a/src/partition/replica_peer.cpp
+++ b/src/partition/replica_peer.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-/// Size of a message up to which it is sent again after `PartitionOptions::kRetransmitTimeout`.
+/// Largest message that is retransmitted after `PartitionOptions::kRetransmitTimeout`.
 constexpr std::size_t kSmallMessageBytes = 64 * 1024;
 
-/// Rate at which the rest of a larger message is assumed to travel, in bytes per second. A store
-/// with an empty disk is sent a page of every partition at once; pages that are sent again while
-/// the first ones wait for the link would keep it busy.
+/// Assumed transfer rate for the rest of a larger message. A store with an empty disk is sent a
+/// page of every partition at once; retransmitting pages while the first ones are queued for the
+/// link would keep it saturated.
 constexpr double kMinTransferBytesPerSecond = 400e3;
 
-/// A scrub repairs the replica only after this many mismatches in a row: the first one may be a
-/// replica that was sent a later row with an earlier write.
+/// A scrub repairs the replica only after this many consecutive mismatches: the first one may come
+/// from a replica that was sent a later row with an earlier write.
 constexpr int kMismatchesBeforeRepair = 2;
 
 std::size_t bytesOf(const std::vector<VersionedRow>& rows) {
@@ -27,7 +27,7 @@
   return bytes;
 }
 
-/// Time after which rows of this size, without a reply, are sent again.
+/// Returns the time after which unacknowledged rows of this size are retransmitted.
 Duration retransmitTimeoutFor(std::size_t bytes) {
   const std::size_t large = std::max(bytes, kSmallMessageBytes) - kSmallMessageBytes;
   const std::chrono::duration<double> travel(static_cast<double>(large) /
@@ -44,7 +44,8 @@
 
 void ReplicaPeer::replyReceived(const std::string& storeId) {
   if (state_.storeId != storeId) {
-    // Another disk acknowledged nothing. A transfer that began before the first reply continues.
+    // Another disk has acknowledged nothing. A transfer that began before the first reply
+    // continues.
     State fresh;
     fresh.storeId = storeId;
     if (state_.storeId.empty()) {
@@ -62,8 +63,8 @@
 }
 
 void ReplicaPeer::receive(const InstallReply& reply) {
-  // Fenced: a replica that has promised a higher epoch may have given its rows to a takeover that
-  // will not see what is installed now, so it must not count for this epoch.
+  // Fencing: a replica that has promised a higher epoch may have sent its rows to a takeover that
+  // does not see what is installed now, so it must not count for this epoch.
   const bool accepted = reply.promisedEpoch == source_.epoch() || !source_.fencing;
   if (!accepted || !state_.transfer || state_.transfer->number != reply.transfer) {
     return;
@@ -161,7 +162,7 @@
   if (checksum && checksum == source_.replica.table().checksum()) {
     transfer.keepRows = true;
   } else if (checksum && checksum == log.checksumAt(0) && log.reaches(0)) {
-    // It has the merged table: the writes since then are enough.
+    // It has the merged table: only the writes since then are needed.
     transfer.keepRows = true;
     transfer.sequence = 0;
   }
--- a/src/partition/replication_quorum.cpp
+++ b/src/partition/replication_quorum.cpp
@@ -85,8 +85,8 @@
     return std::to_string(std::count_if(set.begin(), set.end(), installed)) + " of " +
            std::to_string(set.size());
   };
-  return "writing back: on " + count(source_.outcome.replicas) + " replicas, " +
-         count(source_.outcome.previous) + " earlier ones";
+  return "writing back: installed on " + count(source_.outcome.replicas) + " replicas, " +
+         count(source_.outcome.previous) + " previous replicas";
 }
 
 }  // namespace shedshed
--- a/src/partition/replication_quorum.h
+++ b/src/partition/replication_quorum.h
@@ -1,5 +1,5 @@
 /// @file
-/// What is on a majority of an owner's replicas.
+/// Majorities of an owner's replicas.
 #pragma once
 
 #include "partition/replica_peer.h"
@@ -12,13 +12,13 @@
 using ReplicaPeers = std::map<NodeId, ReplicaPeer>;
 
 /// Counts, over the replicas of one epoch, which of them hold a write, confirm the owner or reply
-/// at all. Standby stores are among the peers and count for nothing. Core thread only.
+/// at all. Standby stores are among the peers, but are not counted. Core thread only.
 class ReplicationQuorum {
  public:
   /// Keeps references to the owner's replica, outcome and peers.
   ReplicationQuorum(const ReplicationSource& source, const ReplicaPeers& peers);
 
-  /// The owner's own replica has synced the epoch, so it counts from now on.
+  /// Records that the owner's own replica has synced the epoch; it counts from now on.
   void setSelfInstalled() { selfInstalled_ = true; }
   bool isSelfInstalled() const { return selfInstalled_; }
 
@@ -28,8 +28,8 @@
 
   /// True if the merged table is on a majority of the replicas and of the previous ones.
   ///
-  /// The previous ones are needed because another node may not have heard of the change of members
-  /// and take over with a majority of them: one of these then knows this epoch.
+  /// The previous ones are needed because another node may not know of the change of members and
+  /// take over with a majority of them: one of that majority then reports this epoch.
   bool installedOnMajorities() const;
 
   /// True if a majority has promised nothing above the epoch as of heartbeat @p round.
@@ -41,10 +41,10 @@
   /// The last write that all replicas hold. All must hold the epoch.
   std::uint64_t lowestSequence() const;
 
-  /// True if a replica reported little disk space.
+  /// True if a replica reported that it is low on disk space.
   bool isAnyLowOnDiskSpace() const;
 
-  /// For the log: on how many replicas the merged table is.
+  /// Counts of replicas that hold the merged table, for log events.
   std::string progress() const;
 
  private:
--- a/src/partition/slow_takeover_monitor.h
+++ b/src/partition/slow_takeover_monitor.h
@@ -1,5 +1,5 @@
 /// @file
-/// Logs takeovers that last long.
+/// Logs takeovers that take long.
 #pragma once
 
 #include "kernel/core.h"
@@ -11,22 +11,23 @@
 
 namespace shedshed {
 
-/// Logs `TakeoverSlow` once when a node has tried to own one partition for
-/// `kSlowTakeoverThreshold`, and how that ended: `TakeoverFinished` or `TakeoverAbandoned`. Core
+/// Logs `TakeoverSlow` once when a node's takeover of one partition has taken
+/// `kSlowTakeoverThreshold`, and how it ended: `TakeoverFinished` or `TakeoverAbandoned`. Core
 /// thread only.
 class SlowTakeoverMonitor {
  public:
-  /// A takeover that lasts longer is logged.
+  /// A takeover that takes longer is logged.
   static constexpr Duration kSlowTakeoverThreshold = std::chrono::seconds(2);
 
   /// Keeps a reference to @p context.
   SlowTakeoverMonitor(CoreContext& context, const PartitionId& partition);
 
-  /// The node tries to own the partition at @p epoch and does not serve yet. @p progress tells for
-  /// the log how far it is.
+  /// To be called while the node takes the partition over at @p epoch and does not serve yet.
+  /// @p progress describes the state of the takeover for the log event.
   void takeoverInProgress(std::uint64_t epoch, const std::function<std::string()>& progress);
 
-  /// The node does not try to own it: it serves it (@p serves), or follows another owner.
+  /// To be called while no takeover is in progress: the node serves the partition (@p serves) or
+  /// follows another owner.
   void noTakeoverInProgress(std::uint64_t epoch, bool serves);
 
  private:
--- a/src/partition/store_set.h
+++ b/src/partition/store_set.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which stores hold the partitions, as this node sees it.
+/// The stores that hold the partitions, as known to this node.
 #pragma once
 
 #include "membership/directory.h"
@@ -11,8 +11,8 @@
 
 namespace shedshed {
 
-/// Joins the members register with the directory. A member is a node with one certain disk: a
-/// machine that came back with another disk is not that member. Core thread only.
+/// Combines the members register with the directory. A member is a node together with its disk: a
+/// node that returns with another disk is not that member. Core thread only.
 class StoreSet {
  public:
   /// Keeps a reference to @p directory.
@@ -25,8 +25,8 @@
   /// The members that hold @p partition.
   StoreMembers replicas(const PartitionId& partition) const { return replicasOf(partition, list_); }
 
-  /// True if this node is to replicate @p partition: as one of its replicas, or as a standby, which
-  /// replicates all.
+  /// True if this node is to replicate @p partition: as one of its replicas, or as a standby store,
+  /// which replicates all partitions.
   bool selfReplicates(const PartitionId& partition) const;
 
   /// True if @p node with the disk @p storeId is a member.
@@ -35,24 +35,24 @@
   /// True if this node with its disk is a member.
   bool selfIsMember() const { return isMember(self_, storeId_); }
 
-  /// False if the directory says that the member is dead or has another disk.
+  /// False if the directory reports the member as dead or with another disk.
   bool isLive(const MemberList::Member& member) const;
 
-  /// True if all of @p members are live and none drains.
+  /// True if all of @p members are live and none is draining.
   bool allLiveAndNotDraining(const StoreMembers& members) const;
 
-  /// True if the directory says that @p node drains: it transfers its partitions to other stores.
+  /// True if the directory reports @p node as draining: other stores take its partitions over.
   bool isDraining(const NodeId& node) const;
 
-  /// The live replicas in the order in which they own @p partition. Those that drain come last:
-  /// they own only what no other live store can.
+  /// The live replicas in the owner order of @p partition. Draining ones come last: they own it
+  /// only if no other replica is live.
   std::vector<NodeId> liveOrder(const PartitionId& partition) const;
 
   /// All other nodes that the owner of @p partition replicates to: its replicas, and live standby
-  /// stores, which are not in the member list. The latter count for no majority.
+  /// stores, which are not in the member list. Standby stores count for no majority.
   std::vector<NodeId> peers(const PartitionId& partition) const;
 
-  /// False if the directory says that @p node is dead.
+  /// False if the directory reports @p node as dead.
   bool isReachable(const NodeId& node) const;
 
  private:
--- a/src/partition/table_merge.h
+++ b/src/partition/table_merge.h
@@ -14,12 +14,12 @@
 /// Builds the merged table of a takeover in this node's replica, from the tables of the replicas
 /// that promised.
 ///
-/// Only replicas of the highest installed epoch take part. Whatever replicas of an older epoch have
-/// beyond that epoch's table was never acknowledged, and later readers were told that it is absent.
-/// Among replicas of the same epoch the higher version of a row is the later write. The tables
-/// don't change while they are read: their replicas have promised to reject lower epochs. Each row
-/// is persisted without a change of the installed epoch, so a crash in the middle leaves a replica
-/// that counts as what it was. Core thread only.
+/// Only replicas of the highest installed epoch take part. Rows or versions that only replicas of
+/// an older epoch hold were never acknowledged, and later readers have seen them as absent. Among
+/// replicas of the same epoch the higher version of a row is the later write. The tables don't
+/// change while they are read: their replicas have promised to reject lower epochs. Each row is
+/// persisted without a change of the installed epoch, so after a crash during the merge the replica
+/// still counts for its earlier epoch. Core thread only.
 class TableMerge {
  public:
   /// Time without a page after which the merge is abandoned, and the takeover tried again at a
@@ -30,12 +30,12 @@
   TableMerge(CoreContext& context, PartitionReplica& replica, const PromiseQuorum& promises,
              std::uint64_t epoch);
 
-  /// Chooses the tables to fetch and asks for the first one.
+  /// Chooses the tables to fetch and requests the first one.
   void begin();
 
   void receive(const NodeId& from, const FetchReply& reply);
 
-  /// Sends an unanswered request again.
+  /// Retransmits an unanswered request.
   void tick();
 
   /// True once no table is left to fetch.
@@ -56,8 +56,9 @@
   PartitionReplica& replica_;
   const PromiseQuorum& promises_;
   const std::uint64_t epoch_;
-  std::vector<NodeId> sources_;  ///< Whose tables are still to be fetched; the first one is.
-  bool replaceOwn_ = false;      ///< The next table replaces the own one, which is of an old epoch.
+  std::vector<NodeId> sources_;  ///< Replicas whose tables are still to be fetched, the current one
+                                 ///< first.
+  bool replaceOwn_ = false;      ///< The next table replaces the local one, whose epoch is older.
   bool fetchFromStart_ = true;
   std::string fetchAfter_;
   Time fetchSentAt_;
--- a/src/partition/takeover_policy.cpp
+++ b/src/partition/takeover_policy.cpp
@@ -28,7 +28,7 @@
     return true;
   }
   const bool upToDate = installedEpoch == owner.owner()->epoch;
-  // A draining owner waits for this: the interruption of service is the takeover alone.
+  // A draining owner serves until then, so service is interrupted only for the takeover itself.
   if (upToDate && stores_.isDraining(owner.owner()->node)) {
     return true;
   }
--- a/src/partition/write_log.h
+++ b/src/partition/write_log.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which keys the recent writes of one epoch touched.
+/// Keys that the recent writes of one epoch changed.
 #pragma once
 
 #include "partition/partition_table.h"
@@ -8,12 +8,12 @@
 
 namespace shedshed {
 
-/// Lets an owner send past writes again without keeping their values: the present rows of their
+/// Lets an owner retransmit past writes without keeping their values: the present rows of their
 /// keys are sent, which hold that write or a later one. Core thread only.
 class WriteLog {
  public:
-  /// Number of past writes whose keys are remembered for replicas that fall behind. A replica that
-  /// is further behind gets the whole table.
+  /// Number of past writes whose keys are kept for replicas that fall behind. A replica that is
+  /// further behind gets the whole table.
   static constexpr std::size_t kMaxEntries = 4096;
 
   /// Begins at sequence 0 with the merged table, whose checksum is @p baseChecksum.
@@ -25,10 +25,10 @@
   /// The last write's sequence; 0 before the first.
   std::uint64_t sequence() const { return first_ + writes_.size() - 1; }
 
-  /// True if all writes after @p sequence are still known.
+  /// True if all writes after @p sequence are still in the log.
   bool reaches(std::uint64_t sequence) const { return sequence + 1 >= first_; }
 
-  /// The table's checksum right after write @p sequence, if still known.
+  /// The table's checksum right after write @p sequence, if still in the log.
   std::optional<std::uint64_t> checksumAt(std::uint64_t sequence) const;
 
   /// Returns the writes after @p sequence with rows of @p table, up to
@@ -36,7 +36,7 @@
   std::vector<std::vector<VersionedRow>> writesAfter(std::uint64_t sequence,
                                                      const PartitionTable& table) const;
 
-  /// Forgets the oldest writes beyond `kMaxEntries`, but none after @p needed.
+  /// Drops the oldest writes beyond `kMaxEntries`, but none after @p needed.
   void trim(std::uint64_t needed);
 
  private:
