--- a/tests/partition/durable_writer_test.cpp
+++ b/tests/partition/durable_writer_test.cpp
@@ -1,4 +1,4 @@
-// Persist requests on a disk that rejects some.
+// Order of completion when the disk rejects persist requests.
 #include "partition/durable_writer.h"
 
 #include "core_harness.h"
--- a/tests/partition/incoming_transfer_test.cpp
+++ b/tests/partition/incoming_transfer_test.cpp
@@ -1,4 +1,4 @@
-// Which pages of a transfer a replica applies.
+// Order of the pages of a transfer, and newer transfers.
 #include "partition/incoming_transfer.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/partition/known_owner_test.cpp
+++ b/tests/partition/known_owner_test.cpp
@@ -1,4 +1,4 @@
-// The last heartbeat of an owner and what follows from it.
+// Time-outs and sequences of a partition's last known owner.
 #include "partition/known_owner.h"
 
 #include "partition/partition_options.h"
--- a/tests/partition/owner_locator_test.cpp
+++ b/tests/partition/owner_locator_test.cpp
@@ -1,4 +1,4 @@
-// The guess of an owner by its callers.
+// Order in which callers try the stores of a partition.
 #include "partition/owner_locator.h"
 
 #include "partition_fleet.h"
--- a/tests/partition/partition_fleet.h
+++ b/tests/partition/partition_fleet.h
@@ -1,5 +1,5 @@
 /// @file
-/// Stores that run `PartitionCore` on the hand-driven host.
+/// Stores that run `PartitionCore` on the test harness.
 #pragma once
 
 #include "core_harness.h"
@@ -76,7 +76,7 @@
   std::set<PartitionId> owned;
 };
 
-/// One running store. Its view of the directory is its own.
+/// One running store with its own configuration source.
 struct RunningStore {
   FakeConfiguration configuration;
   std::unique_ptr<PartitionCore> core;
@@ -116,7 +116,7 @@
     }
   }
 
-  /// From now on @p name proves nothing: its lease ends after @p lease.
+  /// Stops the renewal of @p name's freshness lease, which ends after @p lease.
   void stopFreshnessRenewal(const std::string& name, Duration lease) {
     stores.at(name).configuration.fresh = harness.now + lease;
   }
@@ -135,7 +135,7 @@
     store.core->start();
     directory.set(name, NodeState::Alive, storeIds[name]);
   }
-  /// Ends the process. The directory does not notice by itself.
+  /// Ends the process. The directory is not updated.
   void kill(const std::string& name) {
     runDeferred();
     auto& persists = harness.persists;
@@ -177,7 +177,7 @@
     }
     return found;
   }
-  /// All three stores in the order of ownership.
+  /// All three stores in the owner order of @p partition.
   std::vector<std::string> order(const PartitionId& partition) const {
     std::vector<std::string> found;
     for (const NodeId& id : ownerOrder(partition, {{"a:1"}, {"b:1"}, {"c:1"}})) {
--- a/tests/partition/partition_owner_test.cpp
+++ b/tests/partition/partition_owner_test.cpp
@@ -1,4 +1,4 @@
-// Writes, lossy networks, tombstones, repair and replacement.
+// Writes, lossy networks, tombstones, repair and replacement of stores.
 #include "partition/partition_owner.h"
 
 #include "partition_fleet.h"
@@ -55,7 +55,7 @@
 
 namespace {
 
-/// Loses, doubles and reorders messages at random.
+/// Drops, duplicates and reorders messages at random.
 void makeLossy(Fleet& fleet, RandomEngine& random) {
   const auto requeued = std::make_shared<int>(0);
   fleet.messageFilter = [&fleet, &random, requeued](const Harness::Envelope& envelope) {
@@ -74,12 +74,12 @@
   };
 }
 
-/// One write, and what its writer knows of it.
+/// One write, and its outcome as its writer knows it.
 struct RecordedWrite {
   std::string writer;
   std::string value;
   Outcome outcome;
-  bool writerCrashed = false;  ///< Its process ended before the outcome was known.
+  bool writerCrashed = false;  ///< The writer's process ended before the outcome was known.
 };
 
 /// The writes of each key, oldest first.
@@ -95,7 +95,7 @@
   }
 }
 
-/// Writes and restarts at random; afterwards every acknowledged row must be found.
+/// Writes and restarts at random; afterwards every acknowledged row must be present.
 void runLossySeed(std::uint64_t seed) {
   RandomEngine random(seed);
   Fleet fleet;
@@ -127,7 +127,7 @@
     const auto owners = fleet.owners(id);
     BOOST_REQUIRE(owners.size() == 1);
     const Value found = fleet.core(owners[0]).get(id, entry.first.second);
-    // The last acknowledged value, or one that was written later and whose fate is open.
+    // The last acknowledged value, or a later one whose outcome is unknown.
     bool allowed = false;
     for (auto written = entry.second.rbegin(); written != entry.second.rend(); ++written) {
       allowed = allowed || found == Value(written->value);
@@ -159,7 +159,7 @@
   }
   fleet.killAndMarkDead(order[2]);
   fleet.writeAcknowledged(order[0], kBatches, "late", "accepted");
-  // The machine returns with an empty disk: another identity, which counts for nothing yet.
+  // The node returns with an empty disk, hence another store id, and is not counted yet.
   fleet.harness.records[order[2]].rows.clear();
   fleet.storeIds[order[2]] = "new-disk";
   fleet.start(order[2]);
@@ -174,7 +174,7 @@
   fleet.blockedLinks.clear();
   fleet.advance(seconds(1));
   fleet.setMembers(fleet.storeIds);
-  // It holds all data, but the owners have not taken over with it as a replica yet.
+  // It holds all data, but no owner has taken over with it as a replica yet.
   BOOST_TEST(!fleet.core(order[2]).repairProgress().replacementComplete());
   fleet.advance(seconds(2));
   BOOST_TEST(fleet.core(order[2]).repairProgress().replacementComplete());
@@ -196,8 +196,8 @@
   BOOST_TEST(rows == 30);
 }
 
-/// Over a busy link a large page takes longer than a small message. Sent again meanwhile it would
-/// only keep the link busy, and the repair of a new disk would take longer.
+/// On a busy link a large page takes longer than a small message. A retransmission before it
+/// arrives would only add load, and delay the repair of a new disk.
 BOOST_AUTO_TEST_CASE(a_large_page_in_flight_is_not_sent_again_at_once) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
@@ -211,7 +211,7 @@
                          envelope.to.address == order[2] &&
                          envelope.message.payload.size() > 200U * 1024;
     large += isLarge ? 1 : 0;
-    return !isLarge;  // Still in flight.
+    return !isLarge;  // Treated as still in flight.
   };
   fleet.start(order[2]);
   for (int step = 0; step < 100 && large == 0; ++step) {
@@ -220,7 +220,7 @@
   BOOST_TEST(large == 1);
   fleet.advance(milliseconds(500));
   BOOST_TEST(large == 1);
-  fleet.advance(milliseconds(500));  // Lost after all: sent again.
+  fleet.advance(milliseconds(500));  // Past the time-out: retransmitted.
   BOOST_TEST(large == 2);
   fleet.messageFilter = [](const Harness::Envelope&) { return true; };
   fleet.advance(seconds(2));
@@ -241,7 +241,7 @@
   members.erase(order[0]);
   fleet.setMembers(members);
   fleet.advance(seconds(8));
-  // The second store and the newcomer are a majority of the new members, yet do not know the row.
+  // The second and the new store are a majority of the new members, but do not hold the row.
   BOOST_TEST(fleet.owners(kBatches).empty());
   fleet.start(order[2]);
   fleet.advance(seconds(3));
@@ -286,7 +286,7 @@
   const std::string record = partitionRecordPrefix(kBatches) + "row/key";
   fleet.writeAcknowledged(order[0], kBatches, "key", "value");
   const std::string good = fleet.harness.records[order[2]].rows[record];
-  // A replica notices when it loads, the owner when it reads.
+  // A replica detects the damage when it loads, the owner when it reads.
   fleet.kill(order[2]);
   fleet.harness.records[order[2]].rows[record][5] ^= 1;
   fleet.start(order[2]);
@@ -308,7 +308,7 @@
   const std::string old = fleet.harness.records[order[2]].rows[record];
   fleet.writeAcknowledged(order[0], kBatches, "key", "second");
   const std::string good = fleet.harness.records[order[2]].rows[record];
-  // The disk of the third store brings an old, valid record back at its restart.
+  // The third store restarts with an old but valid record on its disk.
   fleet.kill(order[2]);
   fleet.harness.records[order[2]].rows[record] = old;
   fleet.start(order[2]);
--- a/tests/partition/partition_replica_test.cpp
+++ b/tests/partition/partition_replica_test.cpp
@@ -33,8 +33,9 @@
 
 }  // namespace
 
-/// A node that restarts cannot know whether it owned the epoch that it had promised to itself. Two
-/// owners of one epoch would write different rows under equal versions.
+/// A restarted node cannot know whether it owned the epoch that it had promised to itself. If
+/// another node were granted the same epoch, two owners would write different rows under equal
+/// versions.
 BOOST_AUTO_TEST_CASE(a_promise_to_itself_survives_a_restart) {
   Harness harness;
   HarnessContext& context = harness.context("a:1", ServiceId::Partition);
--- a/tests/partition/partition_takeover_test.cpp
+++ b/tests/partition/partition_takeover_test.cpp
@@ -1,4 +1,4 @@
-// Who owns a partition, and what a new owner finds.
+// Ownership of a partition, and the rows that a new owner recovers.
 #include "partition/partition_takeover.h"
 
 #include "partition_fleet.h"
@@ -42,7 +42,8 @@
 
 namespace {
 
-/// Cuts the first owner off from the second store only and lets the second take over.
+/// Blocks only the link between the first owner and the second store, marks the owner dead and lets
+/// the second store take over.
 void fenceFirstOwner(Fleet& fleet, const PartitionId& id) {
   const auto order = fleet.order(id);
   fleet.blockLink(order[0], order[1]);
@@ -112,8 +113,8 @@
 
 namespace {
 
-/// A row is acknowledged by the owner and the third store; then the owner dies and the third
-/// restarts empty, while the second has missed the row.
+/// The owner and the third store acknowledge a row that the second has missed. Then the owner dies
+/// and the third store restarts with empty memory.
 RecoveryKind takeOverWithEmptyReplica(Fleet& fleet) {
   const auto order = fleet.order(kSlots);
   fleet.blockLink(order[0], order[1]);
@@ -141,8 +142,8 @@
   BOOST_TEST((takeOverWithEmptyReplica(fleet) == RecoveryKind::Complete));
 }
 
-/// The mark must be in the installed table itself: an owner that is lost right after its takeover
-/// has had no time to write anything.
+/// The marker must be in the installed table itself: an owner that is lost right after its takeover
+/// has not written anything yet.
 BOOST_AUTO_TEST_CASE(memory_loss_is_marked_in_the_installed_table) {
   Fleet fleet;
   const auto order = fleet.order(kSlots);
@@ -172,7 +173,7 @@
   fleet.kill(order[2]);
   fleet.start(order[2]);
   fleet.advance(seconds(3));
-  // One of two remembers: not a majority, but the row is there.
+  // One of the two replicas is intact: not a majority, but the row is found.
   BOOST_TEST((fleet.recovery(order[1], kSlots) == RecoveryKind::MemoryLost));
   BOOST_TEST((fleet.core(order[1]).get(kSlots, "key") == Value("value")));
 }
@@ -197,8 +198,8 @@
 
 namespace {
 
-/// A durable row reaches only the owner, which restarts and shows it to a reader with a confirmed
-/// ownership; then the owner is lost.
+/// A durable row reaches only the owner, which restarts, confirms its ownership and serves the row
+/// to a reader; then the owner is lost. Returns what the reader found.
 Value readUnacknowledgedRow(Fleet& fleet) {
   const auto order = fleet.order(kBatches);
   fleet.blockLink(order[0], order[1]);
@@ -207,7 +208,7 @@
   fleet.harness.settle();
   fleet.kill(order[0]);
   fleet.blockedLinks.clear();
-  // The write-back can't pass, whereas all else does.
+  // Only the messages of the write-back are dropped.
   fleet.messageFilter = [](const Harness::Envelope& envelope) {
     return envelope.message.kind != InstallRequest::kKind;
   };
@@ -273,8 +274,8 @@
   BOOST_TEST(largest < 2 * PartitionTable::kMaxPageBytes);
 }
 
-// Two stores that are cut off together from the registers' majority still have a majority of the
-// stores; what they act on may have been replaced meanwhile.
+// Two stores that are partitioned together from the majority of the acceptors may still be a
+// majority of the stores; the configuration that they use may have been replaced meanwhile.
 BOOST_AUTO_TEST_CASE(store_without_a_proof_of_its_configuration_gives_up_ownership) {
   Fleet fleet;
   const auto order = fleet.order(kBatches);
--- a/tests/partition/placement_test.cpp
+++ b/tests/partition/placement_test.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint32_t kReplicas = 5;
 constexpr int kStores = 13;
 
-/// Thirteen stores, five of which hold each partition. All see one directory.
+/// Thirteen stores, five of which hold each partition. All share one directory.
 class LargeFleet {
  public:
   LargeFleet() {
@@ -47,7 +47,7 @@
       store.second.configuration.setList(list);
     }
   }
-  /// Ends the process and loses its disk.
+  /// Ends the process and erases its disk.
   void destroyStore(const std::string& name) {
     harness.settle();
     harness.crash(name);
@@ -160,7 +160,7 @@
   }
 }
 
-// The slots of the member list get new stores one after the other until no first store is left.
+// The slots of the member list get new stores one after the other until no original store is left.
 BOOST_AUTO_TEST_CASE(rows_survive_the_replacement_of_every_store) {
   LargeFleet fleet;
   for (const PartitionId& partition : allPartitions()) {
@@ -190,7 +190,7 @@
   }
 }
 
-// A store that returned with an empty disk is caught up with the partitions of its own slot.
+// A store that returned with an empty disk is caught up once it has the partitions of its slot.
 BOOST_AUTO_TEST_CASE(an_emptied_store_needs_only_the_partitions_of_its_slot) {
   LargeFleet fleet;
   const std::string name = LargeFleet::nameOf(4);
--- a/tests/partition/takeover_policy_test.cpp
+++ b/tests/partition/takeover_policy_test.cpp
@@ -1,4 +1,4 @@
-// When a store takes over: after the loss of the owner, from a draining owner, on its return.
+// Takeovers after the loss of the owner, from a draining owner, and by a returning store.
 #include "partition/takeover_policy.h"
 
 #include "partition_fleet.h"
--- a/tests/partition_known_red/interrupted_transfer_test.cpp
+++ b/tests/partition_known_red/interrupted_transfer_test.cpp
@@ -1,4 +1,4 @@
-// A replica that restarts in the middle of a paged transfer must catch up all the same.
+// A replica that restarts on the same disk during a paged transfer must still catch up.
 #include "../partition/partition_fleet.h"
 
 using namespace shedshed;
@@ -10,11 +10,11 @@
 constexpr std::size_t kRowBytes = 1000;
 constexpr std::size_t kPageMessageBytes = 100000;
 constexpr int kPagesBeforeRestart = 3;
-/// Twenty times what the whole table takes. Bounds the test, not the transfer.
+/// Twenty times the pages of the whole table. Bounds the run time of the test, not the transfer.
 constexpr int kMaxPagesAfterRestart = 1000;
 constexpr auto kCatchUpTimeout = milliseconds(4800);
 
-/// Lets at most @p limit pages pass to @p node; counts them in @p pages.
+/// Delivers at most @p limit pages to @p node; counts all of them in @p pages.
 void limitPages(Fleet& fleet, const std::string& node, int& pages, int& limit) {
   fleet.messageFilter = [&pages, &limit, node](const Harness::Envelope& envelope) {
     const bool isPage = envelope.message.kind == InstallRequest::kKind &&
