--- a/src/partition/local_partition.cpp
+++ b/src/partition/local_partition.cpp
@@ -27,8 +27,8 @@
   return usable ? owner->node : NodeId();
 }
 
-bool LocalPartition::takesNewData() const {
-  return !context_.records().space().isScarce() && !owner_->replicaIsScarce();
+bool LocalPartition::canAcceptNewData() const {
+  return !context_.records().space().isScarce() && !owner_->isReplicaLowOnDiskSpace();
 }
 
 bool LocalPartition::isCaughtUp() const {
@@ -48,12 +48,12 @@
       state.replicas.begin(), state.replicas.end(), [this](const MemberList::Member& member) {
         return member.id == context_.self() && member.storeId == options_.storeId;
       });
-  return counted && state.setEpoch == state.installedEpoch;
+  return counted && state.replicaSetEpoch == state.installedEpoch;
 }
 
 void LocalPartition::write(std::vector<TableEntry> entries, std::function<void(Status)> done) {
   owner_->write(std::move(entries), std::move(done));
-  scheduleReview();
+  scheduleRoleUpdate();
 }
 
 void LocalPartition::confirmOwnership(std::uint64_t round, std::function<void(Status)> done) {
@@ -77,16 +77,16 @@
                              std::function<void(PromiseAnswer)> done) {
   const bool selfIsActive = owner_ && announced_ && !owner_->isLost();
   if (policy_.displacesActiveOwner(from, knownOwner_, selfIsActive, context_.now())) {
-    done(replica_.decline(epoch));
+    done(replica_.rejectPromise(epoch));
   } else {
     replica_.promise(epoch, from, std::move(done));
   }
-  scheduleReview();
+  scheduleRoleUpdate();
 }
 
 void LocalPartition::receive(const NodeId& from, const FetchRequest& request) {
-  // Rows are read for a merge, which must see what this replica had when it promised. Without the
-  // promise a lower epoch could still add writes that the merge would miss.
+  // The rows are fetched for a merge, which must see what this replica held when it promised.
+  // Without the promise a lower epoch could still add writes that the merge would miss.
   const ReplicaState& state = replica_.state();
   const bool promised = state.promisedEpoch == request.epoch && state.promisedTo == from;
   if (!promised && options_.safeguards.fencing) {
@@ -112,7 +112,7 @@
     return;
   }
   ownerMessageAccepted(from, request.epoch);
-  scheduleReview();
+  scheduleRoleUpdate();
   replica_.install(request, std::move(reply), [this, from](InstallReply complete) {
     // Read after the sync: if a higher epoch was promised meanwhile, the owner must not count this
     // replica.
@@ -130,7 +130,7 @@
     return;
   }
   ownerMessageAccepted(from, request.epoch);
-  scheduleReview();
+  scheduleRoleUpdate();
   const bool gap = request.firstSequence > replica_.state().sequence + 1;
   replica_.replicate(request, [reply, gap] { reply(gap); });
 }
@@ -140,7 +140,7 @@
     ownerMessageAccepted(from, heartbeat.epoch);
     knownOwner_.heartbeatAccepted(heartbeat.sequence);
     replica_.collectTombstones(heartbeat.epoch, heartbeat.stable);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
   return replica_.position();
 }
@@ -153,27 +153,27 @@
   } else if (owner_) {
     owner_->receive(from, storeId, answer);
   }
-  scheduleReview();
+  scheduleRoleUpdate();
 }
 
 void LocalPartition::receive(const NodeId& from, const FetchReply& reply) {
   if (takeover_) {
     takeover_->receive(from, reply);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
 }
 
 void LocalPartition::receive(const NodeId& from, const InstallReply& reply) {
   if (owner_) {
     owner_->receive(from, reply);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
 }
 
 void LocalPartition::receive(const NodeId& from, const ReplicateReply& reply) {
   if (owner_) {
     owner_->receive(from, reply);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
 }
 
@@ -181,7 +181,7 @@
                              const ReplicaPosition& position) {
   if (owner_) {
     owner_->receive(from, reply, position);
-    scheduleReview();
+    scheduleRoleUpdate();
   }
 }
 
@@ -197,7 +197,7 @@
   if (takeover_) {
     takeover_->tick();
   }
-  review();
+  updateRole();
   if (!owner_ && replica_.table().isDamaged()) {
     replica_.dropDamaged();
   }
@@ -205,23 +205,23 @@
   monitorTakeover();
 }
 
-void LocalPartition::scheduleReview() {
-  if (reviewScheduled_) {
+void LocalPartition::scheduleRoleUpdate() {
+  if (roleUpdateScheduled_) {
     return;
   }
-  reviewScheduled_ = true;
+  roleUpdateScheduled_ = true;
   context_.defer([this] {
-    reviewScheduled_ = false;
-    review();
+    roleUpdateScheduled_ = false;
+    updateRole();
   });
 }
 
-void LocalPartition::review() {
-  reviewTakeover();
-  reviewOwner();
+void LocalPartition::updateRole() {
+  updateTakeover();
+  updateOwner();
 }
 
-void LocalPartition::reviewTakeover() {
+void LocalPartition::updateTakeover() {
   if (!takeover_) {
     return;
   }
@@ -233,14 +233,15 @@
     highestEpoch_ = std::max(highestEpoch_, takeover_->rejectedBy().value_or(0));
     abandonTakeover();
     std::uniform_int_distribution<std::int64_t> backoff(0, toMilliseconds(kMaxTakeoverBackoff));
-    // A heartbeat of the owner that refused arrives within the fixed part.
+    // A heartbeat of the owner that rejected the takeover arrives within the fixed part of the
+    // delay.
     retryTakeoverAt_ = context_.now() + PartitionOptions::kHeartbeatInterval +
                        PartitionOptions::kTickInterval +
                        std::chrono::milliseconds(backoff(context_.random()));
   }
 }
 
-void LocalPartition::reviewOwner() {
+void LocalPartition::updateOwner() {
   if (!owner_) {
     return;
   }
@@ -284,12 +285,12 @@
 }
 
 void LocalPartition::beginTakeover() {
-  // Above every epoch that this node has promised or heard of, so replicas can grant it. The
-  // promise to itself is synced before the epoch leaves this node: a crash before that leaves the
-  // epoch unused, a crash after it makes the next attempt choose a higher one.
+  // Above every epoch that this node has promised or knows of, so that replicas can grant it. The
+  // promise to itself is synced before the epoch is sent to any node: after a crash before the sync
+  // the epoch is unused, after a later one the next attempt chooses a higher epoch.
   highestEpoch_ = std::max(highestEpoch_, replica_.state().promisedEpoch) + 1;
   takeover_ = std::make_unique<PartitionTakeover>(context_, stores_, replica_, options_,
-                                                  highestEpoch_, [this] { scheduleReview(); });
+                                                  highestEpoch_, [this] { scheduleRoleUpdate(); });
   takeover_->begin();
 }
 
@@ -308,13 +309,13 @@
     context_.counters().add("partition_memory_lost_total");
   }
   owner_ = std::make_unique<PartitionOwner>(context_, stores_, replica_, options_, outcome,
-                                            [this] { scheduleReview(); });
+                                            [this] { scheduleRoleUpdate(); });
   owner_->begin();
 }
 
 void LocalPartition::loseOwnership() {
   highestEpoch_ = std::max(highestEpoch_, owner_->rejectedBy().value_or(0));
-  // Detached before any callback runs: a callback that writes again finds no owner.
+  // Detached before any callback runs, so that a callback that writes again finds no owner.
   const std::unique_ptr<PartitionOwner> owner = std::move(owner_);
   const bool announced = std::exchange(announced_, false);
   retryTakeoverAt_ = context_.now() + PartitionOptions::kRetransmitTimeout;
@@ -322,10 +323,11 @@
     replica_.dropDamaged();
   }
   context_.counters().add("partition_ownership_lost_total");
-  // The writes may still be on a majority, or reach one through the next owner's merge: their fate
-  // is unknown to the callers.
+  // The writes may be on a majority already, or reach one through the next owner's merge, so the
+  // callers cannot know their outcome.
   for (const std::function<void(Status)>& done : owner->takeOutstanding()) {
-    done(makeError(ErrorCode::NotOwner, "the partition has a newer owner"));
+    done(makeError(ErrorCode::NotOwner,
+                   "this node lost the ownership of the partition before the request completed"));
   }
   if (announced && listener_ != nullptr) {
     listener_->ownershipLost(id());
@@ -342,13 +344,13 @@
 }
 
 void LocalPartition::monitorTakeover() {
-  const bool trying = takeover_ || (owner_ && !announced_);
-  if (!trying) {
-    monitor_.notTrying(highestEpoch_, announced_);
+  const bool inProgress = takeover_ || (owner_ && !announced_);
+  if (!inProgress) {
+    monitor_.noTakeoverInProgress(highestEpoch_, announced_);
     return;
   }
-  monitor_.trying(highestEpoch_,
-                  [this] { return takeover_ ? takeover_->progress() : owner_->progress(); });
+  monitor_.takeoverInProgress(
+      highestEpoch_, [this] { return takeover_ ? takeover_->progress() : owner_->progress(); });
 }
 
 }  // namespace shedshed
--- a/src/partition/replication_quorum.cpp
+++ b/src/partition/replication_quorum.cpp
@@ -71,11 +71,11 @@
   return lowest;
 }
 
-bool ReplicationQuorum::anyIsScarce() const {
+bool ReplicationQuorum::isAnyLowOnDiskSpace() const {
   const StoreMembers& replicas = source_.outcome.replicas;
   return std::any_of(replicas.begin(), replicas.end(), [this](const MemberList::Member& member) {
     const ReplicaPeer* peer = peerOf(member);
-    return peer != nullptr && peer->isScarce(member.storeId);
+    return peer != nullptr && peer->isLowOnDiskSpace(member.storeId);
   });
 }
 
@@ -85,8 +85,8 @@
     return std::to_string(std::count_if(set.begin(), set.end(), installed)) + " of " +
            std::to_string(set.size());
   };
-  return "writing back: on " + count(source_.outcome.replicas) + " replicas, " +
-         count(source_.outcome.previous) + " earlier ones";
+  return "writing back: installed on " + count(source_.outcome.replicas) + " replicas, " +
+         count(source_.outcome.previous) + " previous replicas";
 }
 
 }  // namespace shedshed
