--- a/src/batch/batch_client_core.cpp
+++ b/src/batch/batch_client_core.cpp
@@ -317,7 +317,7 @@
 
 void BatchClientCore::onFailure(const NodeId& from, std::uint64_t number, Request& request,
                                 const BatchReply& reply) {
-  const ErrorCode code = errorCodeOfWire(reply.code);
+  const ErrorCode code = errorCodeFromWire(reply.code);
   const PartitionId partition = partitionOfBatch(request.batchId);
   Upload* upload = std::get_if<Upload>(&request.content);
   if (upload != nullptr) {
--- a/src/batch/batch_messages.h
+++ b/src/batch/batch_messages.h
@@ -16,7 +16,7 @@
   return static_cast<std::uint16_t>(static_cast<std::uint16_t>(code) + 1U);
 }
 
-inline ErrorCode errorCodeOfWire(std::uint16_t code) {
+inline ErrorCode errorCodeFromWire(std::uint16_t code) {
   return static_cast<ErrorCode>(code - 1U);
 }
 
@@ -82,7 +82,7 @@
 };
 
 /// Names one run of one batch by one runner process.
-struct RunName {
+struct RunId {
   std::string batchId;
   std::uint64_t runEpoch = 0;
   std::uint64_t incarnation = 0;  ///< Random number of the runner process.
@@ -100,7 +100,7 @@
 /// A run that is alive at the runner. An attempt below `nextAttempt` that is not in
 /// `attemptsInFlight` is over for good, so that a delayed heartbeat stays true.
 struct RunReport {
-  RunName run;
+  RunId run;
   std::uint64_t nextAttempt = 0;
   std::vector<AttemptInFlight> attemptsInFlight;
   MSGPACK_DEFINE(run, nextAttempt, attemptsInFlight);
@@ -119,7 +119,7 @@
 struct FetchItems {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 11;
-  RunName run;
+  RunId run;
   std::uint64_t from = 0;
   std::uint32_t maxItems = 0;
   MSGPACK_DEFINE(run, from, maxItems);
@@ -129,7 +129,7 @@
 struct StartItem {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 12;
-  RunName run;
+  RunId run;
   std::uint64_t position = 0;
   std::uint64_t attempt = 0;
   MSGPACK_DEFINE(run, position, attempt);
@@ -140,7 +140,7 @@
 struct RevertStart {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 13;
-  RunName run;
+  RunId run;
   std::uint64_t position = 0;
   std::uint64_t attempt = 0;
   bool mayHaveRun = false;  ///< The attempt may have reached an engine.
@@ -151,7 +151,7 @@
 struct FinishItem {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 14;
-  RunName run;
+  RunId run;
   std::uint64_t position = 0;
   std::uint64_t attempt = 0;
   std::uint8_t state = 0;  ///< `ItemState`: `Done`, `Failed` or `Unknown`.
@@ -164,7 +164,7 @@
 struct ReturnRun {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 15;
-  RunName run;
+  RunId run;
   MSGPACK_DEFINE(run);
 };
 
@@ -183,19 +183,19 @@
 };
 
 /// What the owner says of one run in a heartbeat's answer.
-enum class RunVerdict : std::uint8_t {
+enum class RunStatus : std::uint8_t {
   Active = 1,
   Ended = 2,     ///< Fenced, cancelled with nothing running, finished, or erased: forget it.
   NotOwner = 3,  ///< Ask another store.
   Stopped = 4,   ///< Cancelled: start nothing, finish what runs.
 };
 
-struct RunAnswer {
+struct RunHeartbeatResult {
   std::string batchId;
   std::uint64_t runEpoch = 0;
-  std::uint8_t verdict = 0;  ///< `RunVerdict`.
-  NodeId owner;              ///< Hint, with `NotOwner`.
-  MSGPACK_DEFINE(batchId, runEpoch, verdict, owner);
+  std::uint8_t status = 0;  ///< `RunStatus`.
+  NodeId owner;             ///< Hint, with `NotOwner`.
+  MSGPACK_DEFINE(batchId, runEpoch, status, owner);
 };
 
 /// Owner to runner: answers `RunHeartbeat`.
@@ -203,7 +203,7 @@
   static constexpr ServiceId kService = ServiceId::BatchRunner;
   static constexpr std::uint16_t kKind = 2;
   std::uint64_t number = 0;
-  std::vector<RunAnswer> runs;
+  std::vector<RunHeartbeatResult> runs;
   MSGPACK_DEFINE(number, runs);
 };
 
@@ -219,9 +219,9 @@
   MSGPACK_DEFINE(batchId, runEpoch, from, items, next);
 };
 
-enum class ItemVerdict : std::uint8_t {
+enum class StartOutcome : std::uint8_t {
   Accepted = 1,  ///< Durable.
-  Refused = 2,   ///< Did not and will not take effect: the attempt is over.
+  Rejected = 2,  ///< Did not and will not take effect: the attempt is over.
 };
 
 /// Owner to runner: answers `StartItem`.
@@ -232,8 +232,8 @@
   std::uint64_t runEpoch = 0;
   std::uint64_t position = 0;
   std::uint64_t attempt = 0;
-  std::uint8_t verdict = 0;  ///< `ItemVerdict`.
-  MSGPACK_DEFINE(batchId, runEpoch, position, attempt, verdict);
+  std::uint8_t outcome = 0;  ///< `StartOutcome`.
+  MSGPACK_DEFINE(batchId, runEpoch, position, attempt, outcome);
 };
 
 /// Owner to runner: answers `FinishItem` and `RevertStart`.
--- a/src/batch/batch_owner_options.h
+++ b/src/batch/batch_owner_options.h
@@ -29,7 +29,7 @@
   /// Bound of one page, in items.
   std::uint32_t maxPageItems = 1000;
   /// Rows erased in one write.
-  std::uint64_t erasePerWrite = 1000;
+  std::uint64_t maxErasedRowsPerWrite = 1000;
   BatchSafeguards safeguards;
 };
 
--- a/src/batch/batch_queries.cpp
+++ b/src/batch/batch_queries.cpp
@@ -11,13 +11,14 @@
   }
   const auto kind = static_cast<BatchQueryKind>(query.kind);
   const BatchState* batch = table_.find(query.batchId);
-  const bool known = batch != nullptr && batch->committed;
+  const bool isCommitted = batch != nullptr && batch->committed;
   // Durable results never change, so they need no proof; but a fenced owner would list fewer of
   // those in the order of completion than were read before. Nor does what a mutation test leaves
   // out.
-  const bool stays = kind == BatchQueryKind::Results && known && !batch->listsByCompletion();
-  const bool proofNeeded = known ? !stays : safeguards_.confirmNotFound;
-  if (!proofNeeded) {
+  const bool isImmutable =
+      kind == BatchQueryKind::Results && isCommitted && !batch->listsByCompletion();
+  const bool needsConfirmation = isCommitted ? !isImmutable : safeguards_.confirmNotFound;
+  if (!needsConfirmation) {
     answerQuery(from, query);
     return;
   }
@@ -101,7 +102,7 @@
 
 void BatchQueries::cancelBatch(const std::string& batchId, std::function<void()> done) {
   BatchState* batch = table_.find(batchId);
-  if (batch->finished() || batch->finalWriting || batch->cancelled()) {
+  if (batch->finished() || batch->finalWriteInFlight || batch->cancelled()) {
     done();
     return;
   }
--- a/src/batch/batch_reader.cpp
+++ b/src/batch/batch_reader.cpp
@@ -75,7 +75,7 @@
   const PartitionId partition = partitionOfBatch(batch.id());
   const std::uint32_t bound = std::min(limit, maxPageItems_);
   std::uint64_t bytes = 0;
-  std::uint64_t loaded = batch.meta().chunkPositions.size();
+  std::uint64_t loadedChunk = batch.meta().chunkPositions.size();
   BodyChunk chunk;
   for (std::uint64_t position = from; position < batch.meta().itemCount; ++position) {
     if (items.size() >= bound || bytes >= maxPageBytes_) {
@@ -86,14 +86,14 @@
       continue;
     }
     const std::uint64_t index = batch.chunkOf(position);
-    if (index != loaded) {
+    if (index != loadedChunk) {
       const auto row = store_.get(partition, bodyKey(batch.id(), index));
       Result<BodyChunk> decoded = decodeRecord<BodyChunk>(row.value_or(std::string()));
       if (!decoded) {
         break;
       }
       chunk = std::move(decoded).value();
-      loaded = index;
+      loadedChunk = index;
     }
     const std::uint64_t offset = position - batch.meta().chunkPositions[index];
     items.push_back({position, state, chunk.items.at(offset)});
--- a/src/batch/batch_records.cpp
+++ b/src/batch/batch_records.cpp
@@ -11,7 +11,7 @@
 /// Digits of a number in a key: enough that keys sort as their numbers do.
 constexpr int kNumberDigits = 10;
 
-std::string padded(std::uint64_t number) {
+std::string zeroPadded(std::uint64_t number) {
   char text[32];
   std::snprintf(text, sizeof(text), "%0*llu", kNumberDigits,
                 static_cast<unsigned long long>(number));
@@ -45,7 +45,7 @@
 }
 
 std::string bodyKey(const std::string& batchId, std::uint64_t chunk) {
-  return "batch/body/" + batchId + "/" + padded(chunk);
+  return "batch/body/" + batchId + "/" + zeroPadded(chunk);
 }
 
 std::string itemPrefix(const std::string& batchId) {
@@ -53,7 +53,7 @@
 }
 
 std::string itemKey(const std::string& batchId, std::uint64_t position) {
-  return itemPrefix(batchId) + padded(position);
+  return itemPrefix(batchId) + zeroPadded(position);
 }
 
 PartitionId partitionOfBatch(const std::string& batchId) {
--- a/src/batch/batch_retention.cpp
+++ b/src/batch/batch_retention.cpp
@@ -86,10 +86,10 @@
                                PendingDeletion& deletion) {
   std::vector<TableEntry> entries;
   const PendingDeletionRecord& record = deletion.record;
-  while (deletion.erasedChunks < record.chunks && entries.size() < erasePerWrite_) {
+  while (deletion.erasedChunks < record.chunks && entries.size() < maxErasedRowsPerWrite_) {
     entries.push_back({bodyKey(batchId, deletion.erasedChunks++), std::nullopt});
   }
-  while (deletion.erasedItems < record.items && entries.size() < erasePerWrite_) {
+  while (deletion.erasedItems < record.items && entries.size() < maxErasedRowsPerWrite_) {
     entries.push_back({itemKey(batchId, deletion.erasedItems++), std::nullopt});
   }
   const bool last = deletion.erasedChunks == record.chunks && deletion.erasedItems == record.items;
--- a/src/batch/batch_retention.h
+++ b/src/batch/batch_retention.h
@@ -20,11 +20,11 @@
 class BatchRetention {
  public:
   /// Keeps references; they must outlive it. @p retention is how long a finished batch is kept;
-  /// one write erases @p erasePerWrite rows at most.
+  /// one write erases @p maxErasedRowsPerWrite rows at most.
   BatchRetention(CoreContext& context, const PartitionStore& store, BatchTable& table,
-                 RetryingWriter& writer, Duration retention, std::uint64_t erasePerWrite)
+                 RetryingWriter& writer, Duration retention, std::uint64_t maxErasedRowsPerWrite)
       : context_(context), store_(store), table_(table), writer_(writer), retention_(retention),
-        erasePerWrite_(erasePerWrite) {}
+        maxErasedRowsPerWrite_(maxErasedRowsPerWrite) {}
 
   /// Reads the pending deletions of @p partition, whose ownership begins. An interrupted
   /// submission is one of them: its sender starts again at the first chunk.
@@ -68,7 +68,7 @@
   BatchTable& table_;
   RetryingWriter& writer_;
   Duration retention_;
-  std::uint64_t erasePerWrite_;
+  std::uint64_t maxErasedRowsPerWrite_;
   std::map<PartitionId, Deletions> partitions_;
 };
 
--- a/src/batch/batch_run.h
+++ b/src/batch/batch_run.h
@@ -46,16 +46,16 @@
   std::uint32_t locatorAttempt = 0;
   Time leaseEnd{};  ///< Nothing starts from here on; extended by heartbeat replies.
   Time heartbeatSent{};
-  bool heartbeatOpen = false;  ///< The last heartbeat has no reply yet.
-  bool stopped = false;        ///< Cancelled: nothing starts, what runs is finished.
-  bool ended = false;          ///< Fenced or finished: only reports what ran.
+  bool heartbeatInFlight = false;  ///< The last heartbeat has no reply yet.
+  bool stopped = false;            ///< Cancelled: nothing starts, what runs is finished.
+  bool ended = false;              ///< Fenced or finished: only reports what ran.
   WaitingItems waiting;
-  std::map<std::uint64_t, ItemAttempt> items;         ///< By position.
-  std::map<std::uint64_t, std::uint32_t> runsOfItem;  ///< Engine calls by position.
-  std::map<std::string, ItemAdmission> admissions;    ///< By model.
-  std::uint64_t fetchFrom = 0;                        ///< Position of the next page.
-  std::optional<Time> fetchSent;                      ///< A page is in flight since then.
-  Time nextPass{};                                    ///< The first page is not fetched before.
+  std::map<std::uint64_t, ItemAttempt> items;                ///< By position.
+  std::map<std::uint64_t, std::uint32_t> engineCallsByItem;  ///< Engine calls by position.
+  std::map<std::string, ItemAdmission> admissions;           ///< By model.
+  std::uint64_t fetchFrom = 0;                               ///< Position of the next page.
+  std::optional<Time> fetchSent;                             ///< A page is in flight since then.
+  Time nextPass{};  ///< The first page is not fetched before.
 };
 
 }  // namespace shedshed
--- a/src/batch/batch_runner_core.cpp
+++ b/src/batch/batch_runner_core.cpp
@@ -59,7 +59,7 @@
 
 void BatchRunnerCore::onAssign(const NodeId& from, const AssignRun& assign) {
   const RunKey key{assign.batchId, assign.runEpoch};
-  if (runs_.supersedes(key)) {
+  if (runs_.hasRunOrNewer(key)) {
     return;
   }
   for (auto& [known, run] : runs_.runs()) {
@@ -88,7 +88,7 @@
   }
   const NodeId owner = runs_.ownerOf(run);
   if (!owner.empty()) {
-    context_.send(owner, ReturnRun{runs_.nameOf(key)});
+    context_.send(owner, ReturnRun{runs_.idOf(key)});
   }
 }
 
@@ -103,7 +103,7 @@
     returnIfDrained(key, *run);
     run->waiting.recallRequeued(context_.now());
     items_.startWaitingItems(key);
-    runs_.forgetIfDone(key);
+    runs_.removeIfDone(key);
   }
 }
 
--- a/src/batch/batch_state.cpp
+++ b/src/batch/batch_state.cpp
@@ -47,15 +47,15 @@
 }
 
 void BatchState::setStarted(std::uint64_t position, const StartedItem& started) {
-  setFinal(position, ItemState::Started);
+  setState(position, ItemState::Started);
   started_[position] = started;
 }
 
 void BatchState::setPending(std::uint64_t position) {
-  setFinal(position, ItemState::Pending);
+  setState(position, ItemState::Pending);
 }
 
-void BatchState::setFinal(std::uint64_t position, ItemState state) {
+void BatchState::setState(std::uint64_t position, ItemState state) {
   const auto before = static_cast<ItemState>(states_[position]);
   if (!isFinal(before) && isFinal(state)) {
     queuedTokens_ -= tokensOf(position);
@@ -78,7 +78,7 @@
   } else if (record->state == ItemState::Started) {
     setStarted(position, {record->runEpoch, record->incarnation, record->attempt});
   } else {
-    setFinal(position, record->state);
+    setState(position, record->state);
   }
   if (record && record->rank != 0) {
     setRank(record->rank, position);
--- a/src/batch/batch_state.h
+++ b/src/batch/batch_state.h
@@ -37,7 +37,7 @@
   /// An attempt of the item may have reached an engine. Stays until the item has a final state.
   void setMayHaveRun(std::uint64_t position) { mayHaveRun_.insert(position); }
   bool mayHaveRun(std::uint64_t position) const { return mayHaveRun_.count(position) != 0; }
-  void setFinal(std::uint64_t position, ItemState state);
+  void setState(std::uint64_t position, ItemState state);
   /// Applies the durable row of an item; none means that it is pending and never ran.
   void apply(std::uint64_t position, const std::optional<ItemRecord>& record);
   void setCancelled() { cancelled_ = true; }
@@ -79,19 +79,19 @@
   Time acceptedAt{};             ///< On this owner's clock; after a takeover the time of that.
   bool committed = false;        ///< The commit record is on a majority.
   bool cancelRequested = false;  ///< A cancel has arrived; from here on nothing starts.
-  bool finalWriting = false;
+  bool finalWriteInFlight = false;
   /// Items with a result whose rank has to be written anew after a takeover.
   std::vector<std::uint64_t> unranked;
   RunRecord run;
-  bool runDurable = false;          ///< `run` is on a majority and may be announced.
-  bool runAcknowledged = false;     ///< A heartbeat named the run.
-  std::uint64_t runnerProcess = 0;  ///< Incarnation of the run's runner; 0 if not known.
-  Time lastHeartbeat{};             ///< Of the runner, or when the run began.
-  Time finishedAt{};                ///< On this owner's clock.
+  bool runDurable = false;              ///< `run` is on a majority and may be announced.
+  bool runAcknowledged = false;         ///< A heartbeat named the run.
+  std::uint64_t runnerIncarnation = 0;  ///< Incarnation of the run's runner; 0 if not known.
+  Time lastHeartbeat{};                 ///< Of the runner, or when the run began.
+  Time finishedAt{};                    ///< On this owner's clock.
   std::vector<std::function<void()>> commitWaiters;
   std::vector<std::function<void()>> cancelWaiters;
   /// Items with a write in flight, and the events that wait for it.
-  std::map<std::uint64_t, std::vector<std::function<void()>>> writing;
+  std::map<std::uint64_t, std::vector<std::function<void()>>> writesInFlight;
   /// Highest reverted attempt per item in the current run: a late start must not undo it.
   std::map<std::uint64_t, std::uint64_t> revertedAttempts;
 
--- a/src/batch/batch_table.cpp
+++ b/src/batch/batch_table.cpp
@@ -71,7 +71,7 @@
                    const ItemRecord& item = record.value();
                    batch.apply(position, item);
                    if (item.state == ItemState::Started && item.runEpoch == batch.run.epoch) {
-                     batch.runnerProcess = item.incarnation;
+                     batch.runnerIncarnation = item.incarnation;
                    }
                    return true;
                  });
--- a/src/batch/batch_upload.cpp
+++ b/src/batch/batch_upload.cpp
@@ -19,7 +19,7 @@
   return bytes;
 }
 
-bool sameContent(const BatchMeta& meta, const SubmitChunk& chunk) {
+bool hasSameContent(const BatchMeta& meta, const SubmitChunk& chunk) {
   return meta.tenant == chunk.tenant && meta.idempotent == chunk.idempotent &&
          meta.itemCount == chunk.itemCount && meta.digest == chunk.digest;
 }
@@ -36,16 +36,17 @@
   appendItemHashes(hashes_, chunk.items);
   meta_.names.insert(meta_.names.end(), chunk.names.begin(), chunk.names.end());
   meta_.tokens.insert(meta_.tokens.end(), chunk.tokens.begin(), chunk.tokens.end());
-  meta_.chunkPositions.push_back(items_);
+  meta_.chunkPositions.push_back(itemCount_);
   meta_.bodyBytes += bytesOf(chunk.items);
-  items_ += chunk.items.size();
+  itemCount_ += chunk.items.size();
   lastProgress = now;
 }
 
 bool BatchUpload::isComplete(const SubmitChunk& last) const {
-  const bool named =
-      meta_.names.empty() || (meta_.names.size() == items_ && items_ <= kMaxNamedItems);
-  return items_ == last.itemCount && items_ != 0 && named && itemsDigest(hashes_) == last.digest;
+  const bool namesComplete =
+      meta_.names.empty() || (meta_.names.size() == itemCount_ && itemCount_ <= kMaxNamedItems);
+  return itemCount_ == last.itemCount && itemCount_ != 0 && namesComplete &&
+         itemsDigest(hashes_) == last.digest;
 }
 
 std::uint64_t BatchUpload::tokensWith(const SubmitChunk& last) const {
--- a/src/batch/batch_upload.h
+++ b/src/batch/batch_upload.h
@@ -47,14 +47,14 @@
 
  private:
   BatchMeta meta_;
-  std::string hashes_;       ///< Hash of each item so far.
-  std::uint64_t items_ = 0;  ///< Appended so far.
+  std::string hashes_;           ///< Hash of each item so far.
+  std::uint64_t itemCount_ = 0;  ///< Appended so far.
 };
 
 /// Returns the size of the bodies in bytes.
 std::uint64_t bytesOf(const std::vector<std::string>& items);
 
 /// True if the chunk belongs to the submission whose commit record is @p meta.
-bool sameContent(const BatchMeta& meta, const SubmitChunk& chunk);
+bool hasSameContent(const BatchMeta& meta, const SubmitChunk& chunk);
 
 }  // namespace shedshed
--- a/src/batch/batch_uploads.cpp
+++ b/src/batch/batch_uploads.cpp
@@ -21,7 +21,7 @@
     return;
   }
   Partition& partition = partitions_[partitionOfBatch(chunk.batchId)];
-  if (answeredAtOnce(from, chunk, partition)) {
+  if (answerWithoutUpload(from, chunk, partition)) {
     return;
   }
   BatchUpload* upload = uploadFor(from, chunk, partition);
@@ -37,7 +37,7 @@
     responder_.reply(from, nextChunkReply(chunk.request, upload->durableChunks));
     return;
   }
-  if (!admits(partition, chunk, *upload)) {
+  if (!hasSpaceFor(partition, chunk, *upload)) {
     rejectPermanently(from, requestIdOf(chunk), ErrorCode::StorageFull, partition);
     abandonUpload(chunk.batchId, partition);
     return;
@@ -51,8 +51,8 @@
   }
 }
 
-bool BatchUploads::answeredAtOnce(const NodeId& from, const SubmitChunk& chunk,
-                                  const Partition& partition) {
+bool BatchUploads::answerWithoutUpload(const NodeId& from, const SubmitChunk& chunk,
+                                       const Partition& partition) {
   if (BatchState* batch = table_.find(chunk.batchId)) {
     answerCommitted(from, chunk, *batch, true);
     return true;
@@ -81,7 +81,7 @@
     });
     return;
   }
-  if (!sameContent(batch.meta(), chunk)) {
+  if (!hasSameContent(batch.meta(), chunk)) {
     responder_.reject(from, requestIdOf(chunk), ErrorCode::AlreadyExists);
     return;
   }
@@ -96,7 +96,7 @@
                                      Partition& partition) {
   const auto found = partition.uploads.find(chunk.batchId);
   if (found != partition.uploads.end()) {
-    if (!sameContent(found->second.meta(), chunk)) {
+    if (!hasSameContent(found->second.meta(), chunk)) {
       // Another submission under the same client key has not committed yet: neither is rejected
       // permanently before one of them has.
       responder_.reject(from, requestIdOf(chunk), ErrorCode::NotReady);
@@ -117,8 +117,8 @@
               .first->second;
 }
 
-bool BatchUploads::admits(const Partition& partition, const SubmitChunk& chunk,
-                          const BatchUpload& upload) const {
+bool BatchUploads::hasSpaceFor(const Partition& partition, const SubmitChunk& chunk,
+                               const BatchUpload& upload) const {
   std::uint64_t bytes = table_.owned(chunk.batchId)->bodyBytes + upload.meta().bodyBytes;
   for (const auto& other : partition.uploads) {
     bytes += &other.second == &upload ? 0 : other.second.meta().bodyBytes;
--- a/src/batch/batch_uploads.h
+++ b/src/batch/batch_uploads.h
@@ -64,15 +64,16 @@
   };
 
   /// Answers a chunk that needs no upload: the batch exists, or cannot be accepted now.
-  bool answeredAtOnce(const NodeId& from, const SubmitChunk& chunk, const Partition& partition);
+  bool answerWithoutUpload(const NodeId& from, const SubmitChunk& chunk,
+                           const Partition& partition);
   /// @p resent tells the caller that the batch had been accepted before this submission.
   void answerCommitted(const NodeId& from, const SubmitChunk& chunk, BatchState& batch,
                        bool resent);
   /// Returns the upload of the chunk, a new one for a first chunk; null if it was answered.
   BatchUpload* uploadFor(const NodeId& from, const SubmitChunk& chunk, Partition& partition);
   /// True if the bodies of the chunk fit into the partition.
-  bool admits(const Partition& partition, const SubmitChunk& chunk,
-              const BatchUpload& upload) const;
+  bool hasSpaceFor(const Partition& partition, const SubmitChunk& chunk,
+                   const BatchUpload& upload) const;
   void storeChunk(const NodeId& from, SubmitChunk chunk, BatchUpload& upload);
   void chunkWritten(const NodeId& from, RequestId request, const std::string& batchId,
                     std::uint64_t index, const Status& status);
--- a/src/batch/item_admission.cpp
+++ b/src/batch/item_admission.cpp
@@ -5,59 +5,59 @@
 namespace shedshed {
 
 bool ItemAdmission::mayRequest(Time now) const {
-  if (now < pausedUntil_ || acquiring_ >= acquireLimit_) {
+  if (now < pausedUntil_ || requestsInFlight_ >= maxRequestsInFlight_) {
     return false;
   }
   if (share_) {
-    const bool probes = acquiring_ == 0 && now - shareSince_ >= kShareProbeInterval;
-    return acquiring_ + holding_ < *share_ || probes;
+    const bool mayProbe = requestsInFlight_ == 0 && now - shareSince_ >= kShareProbeInterval;
+    return requestsInFlight_ + slotsInUse_ < *share_ || mayProbe;
   }
-  return !window_ || acquiring_ + holding_ < windowAt(now);
+  return !window_ || requestsInFlight_ + slotsInUse_ < windowAt(now);
 }
 
-void ItemAdmission::granted(std::uint32_t most) {
-  --acquiring_;
-  ++holding_;
+void ItemAdmission::granted(std::uint32_t maxRequests) {
+  --requestsInFlight_;
+  ++slotsInUse_;
   rejections_ = 0;
-  acquireLimit_ = std::min(2 * acquireLimit_, most);
+  maxRequestsInFlight_ = std::min(2 * maxRequestsInFlight_, maxRequests);
 }
 
 void ItemAdmission::rejected(Time now, Duration pause) {
-  --acquiring_;
+  --requestsInFlight_;
   if (share_) {
     ++rejections_;
-    acquireLimit_ = std::max(acquireLimit_ / 2, 1U);
+    maxRequestsInFlight_ = std::max(maxRequestsInFlight_ / 2, 1U);
     pausedUntil_ = std::max(pausedUntil_, now + pause);
     return;
   }
-  acquireLimit_ = 1;
-  if (holding_ == 0) {
+  maxRequestsInFlight_ = 1;
+  if (slotsInUse_ == 0) {
     window_.reset();
     pausedUntil_ = std::max(pausedUntil_, now + pause);
     return;
   }
-  window_ = static_cast<std::uint32_t>(holding_ * kWindowKeptShare);
+  window_ = static_cast<std::uint32_t>(slotsInUse_ * kWindowDecreaseFactor);
   windowSince_ = now;
 }
 
 void ItemAdmission::setShare(std::uint32_t slots, std::uint32_t free, Time now) {
-  const std::uint32_t besides = acquiring_ + holding_ + free / kFreePart;
-  share_ = free >= kFreePart ? std::max(slots, besides) : slots;
+  const std::uint32_t withFreeSlots = requestsInFlight_ + slotsInUse_ + free / kFreeSlotsDivisor;
+  share_ = free >= kFreeSlotsDivisor ? std::max(slots, withFreeSlots) : slots;
   shareSince_ = now;
 }
 
-Duration ItemAdmission::retryDelay(Duration most) const {
-  constexpr std::uint32_t kMostDoublings = 1;
-  return std::min(most, kShareRetry * (1U << std::min(rejections_, kMostDoublings)));
+Duration ItemAdmission::retryDelay(Duration maxDelay) const {
+  constexpr std::uint32_t kMaxDoublings = 1;
+  return std::min(maxDelay, kInitialShareBackoff * (1U << std::min(rejections_, kMaxDoublings)));
 }
 
 void ItemAdmission::released() {
-  --holding_;
+  --slotsInUse_;
 }
 
 void ItemAdmission::pause(Time until) {
   pausedUntil_ = std::max(pausedUntil_, until);
-  acquireLimit_ = 1;
+  maxRequestsInFlight_ = 1;
 }
 
 std::uint32_t ItemAdmission::windowAt(Time now) const {
--- a/src/batch/item_admission.h
+++ b/src/batch/item_admission.h
@@ -11,17 +11,17 @@
 
 /// Share of the slots in use that a run keeps after a rejection. The rest is for others: two
 /// batches that compete for one pool come to even shares.
-inline constexpr double kWindowKeptShare = 0.75;
+inline constexpr double kWindowDecreaseFactor = 0.75;
 /// After a rejection the window grows by one item in this time, until the next one.
 inline constexpr Duration kWindowGrowthInterval = std::chrono::seconds(1);
 
 /// A run at its share requests one slot more after this time: the share may have grown.
 inline constexpr Duration kShareProbeInterval = std::chrono::milliseconds(200);
 /// First backoff after a rejection below the share.
-inline constexpr Duration kShareRetry = std::chrono::milliseconds(40);
+inline constexpr Duration kInitialShareBackoff = std::chrono::milliseconds(40);
 /// Part of the free slots that a run may take beyond its share at once, since other runs see the
 /// same ones.
-inline constexpr std::uint32_t kFreePart = 4;
+inline constexpr std::uint32_t kFreeSlotsDivisor = 4;
 
 /// A window of slots, by additive increase and multiplicative decrease.
 ///
@@ -38,10 +38,10 @@
   bool mayRequest(Time now) const;
 
   /// An item requests slots; one of `granted` and `rejected` follows.
-  void requested() { ++acquiring_; }
+  void requested() { ++requestsInFlight_; }
 
   /// Slots were granted; `released` follows. @p most bounds the requests at once.
-  void granted(std::uint32_t most);
+  void granted(std::uint32_t maxRequests);
 
   /// The request was rejected. @p pause counts if no slot is in use.
   void rejected(Time now, Duration pause);
@@ -55,7 +55,7 @@
   bool hasShare() const { return share_.has_value(); }
 
   /// Time after which a rejected request may be repeated, if there is a share; at most @p most.
-  Duration retryDelay(Duration most) const;
+  Duration retryDelay(Duration maxDelay) const;
 
   /// No item requests slots before @p until, and then one at first.
   void pause(Time until);
@@ -64,10 +64,10 @@
   std::uint32_t windowAt(Time now) const;
 
   Duration growthInterval_ = kWindowGrowthInterval;
-  std::uint32_t acquiring_ = 0;
-  std::uint32_t holding_ = 0;
-  std::uint32_t acquireLimit_ = 1;       ///< Requests at once: doubled by grants.
-  std::optional<std::uint32_t> window_;  ///< At `windowSince_`; unset before any rejection.
+  std::uint32_t requestsInFlight_ = 0;
+  std::uint32_t slotsInUse_ = 0;
+  std::uint32_t maxRequestsInFlight_ = 1;  ///< Requests at once: doubled by grants.
+  std::optional<std::uint32_t> window_;    ///< At `windowSince_`; unset before any rejection.
   Time windowSince_{};
   std::optional<std::uint32_t> share_;
   Time shareSince_{};
--- a/src/batch/item_executor.cpp
+++ b/src/batch/item_executor.cpp
@@ -97,7 +97,7 @@
   if (run->stopped || run->ended || runs_.draining()) {
     run->waiting.clear();
   }
-  runs_.forgetIfDone(key);
+  runs_.removeIfDone(key);
 }
 
 void ItemExecutor::requestStart(const RunKey& key, BatchRun& run, std::uint64_t position) {
@@ -107,13 +107,13 @@
   item.lastSent = item.startRequestedAt;
   const NodeId owner = runs_.ownerOf(run);
   if (!owner.empty()) {
-    context_.send(owner, StartItem{runs_.nameOf(key), position, item.attempt});
+    context_.send(owner, StartItem{runs_.idOf(key), position, item.attempt});
   }
 }
 
 void ItemExecutor::onStartReply(const StartReply& reply) {
   const RunKey key{reply.batchId, reply.runEpoch};
-  const bool accepted = reply.verdict == static_cast<std::uint8_t>(ItemVerdict::Accepted);
+  const bool accepted = reply.outcome == static_cast<std::uint8_t>(StartOutcome::Accepted);
   BatchRun* run = runs_.find(key);
   ItemAttempt* item = findAttempt(run, reply.position, reply.attempt);
   if (item == nullptr) {
@@ -130,7 +130,7 @@
     run->items.erase(reply.position);
     --itemsInFlight_;
     startWaitingItems(key);
-    runs_.forgetIfDone(key);
+    runs_.removeIfDone(key);
     return;
   }
   const bool fresh = context_.now() - item->startRequestedAt <= options_.maxStartAge;
@@ -145,7 +145,7 @@
 void ItemExecutor::revertUnknownStart(const RunKey& key, const StartReply& reply) {
   const NodeId owner = locator_.candidate(partitionOfBatch(reply.batchId), 0);
   if (!owner.empty()) {
-    context_.send(owner, RevertStart{runs_.nameOf(key), reply.position, reply.attempt});
+    context_.send(owner, RevertStart{runs_.idOf(key), reply.position, reply.attempt});
   }
 }
 
@@ -156,7 +156,7 @@
     finishItem(key, run, position, ItemState::Failed, {}, ErrorCode::InvalidArgument);
     return;
   }
-  ++run.runsOfItem[position];
+  ++run.engineCallsByItem[position];
   EngineCall call;
   call.requestId = key.first + "-" + std::to_string(position) + "-" + std::to_string(key.second) +
                    "-" + std::to_string(item.attempt);
@@ -200,11 +200,11 @@
   }
   if (error.ran == Ran::No) {
     run.admissions[run.items[position].model].pause(context_.now() + options_.retryPause);
-    --run.runsOfItem[position];
+    --run.engineCallsByItem[position];
     revertStart(key, run, position, false);
     return;
   }
-  if (run.assignment.idempotent && run.runsOfItem[position] < options_.maxRunsPerItem) {
+  if (run.assignment.idempotent && run.engineCallsByItem[position] < options_.maxRunsPerItem) {
     revertStart(key, run, position, true);
     return;
   }
@@ -215,7 +215,7 @@
                               ItemState state, std::string body, ErrorCode code) {
   ItemAttempt& item = run.items[position];
   FinishItem finish;
-  finish.run = runs_.nameOf(key);
+  finish.run = runs_.idOf(key);
   finish.position = position;
   finish.attempt = item.attempt;
   finish.state = static_cast<std::uint8_t>(state);
@@ -223,7 +223,7 @@
   if (state != ItemState::Done) {
     finish.errorType = std::string(errorTypeName(code));
   }
-  run.runsOfItem.erase(position);
+  run.engineCallsByItem.erase(position);
   report(run, item, encodeMessage(finish));
 }
 
@@ -231,7 +231,7 @@
                                bool mayHaveRun) {
   ItemAttempt& item = run.items[position];
   report(run, item,
-         encodeMessage(RevertStart{runs_.nameOf(key), position, item.attempt, mayHaveRun}));
+         encodeMessage(RevertStart{runs_.idOf(key), position, item.attempt, mayHaveRun}));
 }
 
 void ItemExecutor::report(BatchRun& run, ItemAttempt& item, Message message) {
@@ -269,7 +269,7 @@
     return;
   }
   if (item.phase == AttemptPhase::Starting) {
-    context_.send(owner, StartItem{runs_.nameOf(key), position, item.attempt});
+    context_.send(owner, StartItem{runs_.idOf(key), position, item.attempt});
   } else {
     context_.send(owner, *item.report);
   }
@@ -284,7 +284,7 @@
   }
   run->items.erase(reply.position);
   startWaitingItems(key);
-  runs_.forgetIfDone(key);
+  runs_.removeIfDone(key);
 }
 
 void ItemExecutor::stopStarting(const RunKey& key, BatchRun& run) {
--- a/src/batch/item_fetcher.cpp
+++ b/src/batch/item_fetcher.cpp
@@ -24,7 +24,7 @@
     return;
   }
   run.fetchSent = context_.now();
-  context_.send(owner, FetchItems{runs_.nameOf(key), run.fetchFrom, options_.pageSize()});
+  context_.send(owner, FetchItems{runs_.idOf(key), run.fetchFrom, options_.pageSize()});
 }
 
 bool ItemFetcher::onItems(const ItemsPage& page) {
--- a/src/batch/item_lifecycle.cpp
+++ b/src/batch/item_lifecycle.cpp
@@ -5,7 +5,7 @@
 namespace shedshed {
 namespace {
 
-bool sameAttempt(const StartedItem& item, const RunName& run, std::uint64_t attempt) {
+bool isSameAttempt(const StartedItem& item, const RunId& run, std::uint64_t attempt) {
   return item.runEpoch == run.runEpoch && item.incarnation == run.incarnation &&
          item.attempt == attempt;
 }
@@ -23,27 +23,27 @@
 
 }  // namespace
 
-void ItemLifecycle::whenOwnershipIsProved(const std::string& batchId,
-                                          std::function<void()> answer) {
+void ItemLifecycle::afterOwnershipConfirmed(const std::string& batchId,
+                                            std::function<void()> action) {
   store_.confirmOwnership(partitionOfBatch(batchId),
-                          [answer = std::move(answer)](const Status& status) {
+                          [action = std::move(action)](const Status& status) {
                             if (status) {
-                              answer();
+                              action();
                             }
                           });
 }
 
-void ItemLifecycle::sendStartReply(const NodeId& to, const StartItem& start, ItemVerdict verdict) {
+void ItemLifecycle::sendStartReply(const NodeId& to, const StartItem& start, StartOutcome outcome) {
   StartReply reply;
   reply.batchId = start.run.batchId;
   reply.runEpoch = start.run.runEpoch;
   reply.position = start.position;
   reply.attempt = start.attempt;
-  reply.verdict = static_cast<std::uint8_t>(verdict);
+  reply.outcome = static_cast<std::uint8_t>(outcome);
   context_.send(to, reply);
 }
 
-void ItemLifecycle::sendFinishReply(const NodeId& to, const RunName& run, std::uint64_t position,
+void ItemLifecycle::sendFinishReply(const NodeId& to, const RunId& run, std::uint64_t position,
                                     std::uint64_t attempt) {
   context_.send(to, FinishReply{run.batchId, run.runEpoch, position, attempt});
 }
@@ -54,11 +54,12 @@
 
 bool ItemLifecycle::mayStart(const BatchState& batch, const StartItem& start) const {
   const auto reverted = batch.revertedAttempts.find(start.position);
-  const bool late = reverted != batch.revertedAttempts.end() && start.attempt <= reverted->second;
+  const bool isReverted =
+      reverted != batch.revertedAttempts.end() && start.attempt <= reverted->second;
   const ItemState state = batch.state(start.position);
   const bool startable = state == ItemState::Pending ||
                          (state == ItemState::Cancelled && !safeguards_.cancelStopsStarts);
-  return !isStopped(batch) && !late && startable;
+  return !isStopped(batch) && !isReverted && startable;
 }
 
 void ItemLifecycle::onStart(const NodeId& from, const StartItem& start) {
@@ -67,26 +68,28 @@
     return;
   }
   if (batch->finished()) {
-    sendStartReply(from, start, ItemVerdict::Refused);
+    sendStartReply(from, start, StartOutcome::Rejected);
     return;
   }
-  if (items_.waitsForWrite(*batch, start.position, [this, from, start] { onStart(from, start); })) {
+  if (items_.deferWhileWriting(*batch, start.position,
+                               [this, from, start] { onStart(from, start); })) {
     return;
   }
   const bool current = runs_.isCurrent(*batch, from, start.run);
   const auto started = batch->started().find(start.position);
-  if (started != batch->started().end() && sameAttempt(started->second, start.run, start.attempt)) {
+  if (started != batch->started().end() &&
+      isSameAttempt(started->second, start.run, start.attempt)) {
     // A first acknowledgement may have been lost or not. Repeating it is safe while the run is
     // current; after a cancel the runner reverts the attempt or reports its result.
     if (current && !isStopped(*batch)) {
-      sendStartReply(from, start, ItemVerdict::Accepted);
+      sendStartReply(from, start, StartOutcome::Accepted);
     }
     return;
   }
   if (!current || !mayStart(*batch, start)) {
     context_.counters().add("batch_starts_refused_total");
-    whenOwnershipIsProved(start.run.batchId, [this, from, start] {
-      sendStartReply(from, start, ItemVerdict::Refused);
+    afterOwnershipConfirmed(start.run.batchId, [this, from, start] {
+      sendStartReply(from, start, StartOutcome::Rejected);
     });
     return;
   }
@@ -100,7 +103,7 @@
   record.attempt = start.attempt;
   record.mayHaveRun = batch.mayHaveRun(start.position);
   if (!safeguards_.startedBeforeRun) {
-    sendStartReply(from, start, ItemVerdict::Accepted);
+    sendStartReply(from, start, StartOutcome::Accepted);
   }
   items_.writeItem(batch, start.position, std::move(record),
                    [this, from, start] { startWritten(from, start); });
@@ -112,13 +115,14 @@
     return;
   }
   if (runs_.isCurrent(*batch, from, start.run) && !isStopped(*batch)) {
-    sendStartReply(from, start, ItemVerdict::Accepted);
+    sendStartReply(from, start, StartOutcome::Accepted);
     return;
   }
   // The start was never acknowledged, so nobody runs the item: reverting it is safe also if the
   // items are not idempotent.
-  items_.revertAttempt(*batch, start.position, start.attempt, false,
-                       [this, from, start] { sendStartReply(from, start, ItemVerdict::Refused); });
+  items_.revertAttempt(*batch, start.position, start.attempt, false, [this, from, start] {
+    sendStartReply(from, start, StartOutcome::Rejected);
+  });
 }
 
 void ItemLifecycle::onRevertStart(const NodeId& from, const RevertStart& revert) {
@@ -126,35 +130,35 @@
   if (batch == nullptr || !batch->committed || revert.position >= batch->meta().itemCount) {
     return;
   }
-  const auto answer = [this, from, revert] {
+  const auto acknowledge = [this, from, revert] {
     sendFinishReply(from, revert.run, revert.position, revert.attempt);
   };
   if (batch->finished()) {
-    answer();
+    acknowledge();
     return;
   }
-  if (items_.waitsForWrite(*batch, revert.position,
-                           [this, from, revert] { onRevertStart(from, revert); })) {
+  if (items_.deferWhileWriting(*batch, revert.position,
+                               [this, from, revert] { onRevertStart(from, revert); })) {
     return;
   }
   const auto started = batch->started().find(revert.position);
   if (started != batch->started().end() &&
-      sameAttempt(started->second, revert.run, revert.attempt)) {
-    items_.revertAttempt(*batch, revert.position, revert.attempt, revert.mayHaveRun, answer);
+      isSameAttempt(started->second, revert.run, revert.attempt)) {
+    items_.revertAttempt(*batch, revert.position, revert.attempt, revert.mayHaveRun, acknowledge);
     return;
   }
   if (runs_.isCurrent(*batch, from, revert.run)) {
     std::uint64_t& highest = batch->revertedAttempts[revert.position];
     highest = std::max(highest, revert.attempt);
   }
-  whenOwnershipIsProved(revert.run.batchId, answer);
+  afterOwnershipConfirmed(revert.run.batchId, acknowledge);
 }
 
 void ItemLifecycle::acknowledgeErased(const NodeId& from, const FinishItem& finish) {
   if (table_.owned(finish.run.batchId) == nullptr) {
     return;
   }
-  whenOwnershipIsProved(finish.run.batchId, [this, from, finish] {
+  afterOwnershipConfirmed(finish.run.batchId, [this, from, finish] {
     if (table_.find(finish.run.batchId) == nullptr) {
       sendFinishReply(from, finish.run, finish.position, finish.attempt);
     }
@@ -173,26 +177,29 @@
   if (!batch->committed || finish.position >= batch->meta().itemCount || !valid) {
     return;
   }
-  const auto answer = [this, from, run = finish.run, position = finish.position,
-                       attempt = finish.attempt] { sendFinishReply(from, run, position, attempt); };
+  const auto acknowledge = [this, from, run = finish.run, position = finish.position,
+                            attempt = finish.attempt] {
+    sendFinishReply(from, run, position, attempt);
+  };
   if (batch->finished()) {
-    answer();
+    acknowledge();
     return;
   }
-  if (batch->writing.count(finish.position) != 0) {
-    items_.waitsForWrite(*batch, finish.position, [this, from, finish] { onFinish(from, finish); });
+  if (batch->writesInFlight.count(finish.position) != 0) {
+    items_.deferWhileWriting(*batch, finish.position,
+                             [this, from, finish] { onFinish(from, finish); });
     return;
   }
   const auto started = batch->started().find(finish.position);
-  const bool open =
-      started != batch->started().end() && sameAttempt(started->second, finish.run, finish.attempt);
-  if (!open && safeguards_.firstResultWins) {
+  const bool isStartedAttempt = started != batch->started().end() &&
+                                isSameAttempt(started->second, finish.run, finish.attempt);
+  if (!isStartedAttempt && safeguards_.firstResultWins) {
     context_.counters().add("batch_results_ignored_total");
-    whenOwnershipIsProved(batch->id(), answer);
+    afterOwnershipConfirmed(batch->id(), acknowledge);
     return;
   }
   const std::uint64_t position = finish.position;
-  items_.writeItem(*batch, position, recordOf(std::move(finish)), answer);
+  items_.writeItem(*batch, position, recordOf(std::move(finish)), acknowledge);
 }
 
 }  // namespace shedshed
--- a/src/batch/item_lifecycle.h
+++ b/src/batch/item_lifecycle.h
@@ -43,11 +43,11 @@
   bool isStopped(const BatchState& batch) const;
   /// True if the item is pending and the start is no late duplicate of a reverted one.
   bool mayStart(const BatchState& batch, const StartItem& start) const;
-  /// Calls @p answer once a majority has proved that this node is the owner: what it would say
+  /// Calls @p action once a majority has proved that this node is the owner: what it would say
   /// from memory alone could be contradicted by a successor.
-  void whenOwnershipIsProved(const std::string& batchId, std::function<void()> answer);
-  void sendStartReply(const NodeId& to, const StartItem& start, ItemVerdict verdict);
-  void sendFinishReply(const NodeId& to, const RunName& run, std::uint64_t position,
+  void afterOwnershipConfirmed(const std::string& batchId, std::function<void()> action);
+  void sendStartReply(const NodeId& to, const StartItem& start, StartOutcome outcome);
+  void sendFinishReply(const NodeId& to, const RunId& run, std::uint64_t position,
                        std::uint64_t attempt);
 
   CoreContext& context_;
--- a/src/batch/item_writer.cpp
+++ b/src/batch/item_writer.cpp
@@ -10,10 +10,10 @@
 
 }  // namespace
 
-bool ItemWriter::waitsForWrite(BatchState& batch, std::uint64_t position,
-                               std::function<void()> event) {
-  const auto found = batch.writing.find(position);
-  if (found == batch.writing.end()) {
+bool ItemWriter::deferWhileWriting(BatchState& batch, std::uint64_t position,
+                                   std::function<void()> event) {
+  const auto found = batch.writesInFlight.find(position);
+  if (found == batch.writesInFlight.end()) {
     return false;
   }
   if (found->second.size() < kMaxWaiters) {
@@ -22,7 +22,7 @@
   return true;
 }
 
-void ItemWriter::rankResult(BatchState& batch, std::optional<ItemRecord>& record) {
+void ItemWriter::assignRank(BatchState& batch, std::optional<ItemRecord>& record) {
   if (record && isFinal(record->state) && batch.listsByCompletion()) {
     record->rank = batch.nextRank();
   }
@@ -35,7 +35,7 @@
   for (const std::uint64_t position : positions) {
     const auto row = store_.get(partition, itemKey(batch.id(), position));
     Result<ItemRecord> record = decodeRecord<ItemRecord>(row.value_or(std::string()));
-    if (record && batch.writing.count(position) == 0) {
+    if (record && batch.writesInFlight.count(position) == 0) {
       writeItem(batch, position, std::move(record.value()), [] {});
     }
   }
@@ -44,18 +44,18 @@
 std::vector<std::function<void()>> ItemWriter::takeWaiters(BatchState& batch,
                                                            std::uint64_t position) {
   std::vector<std::function<void()>> waiters;
-  const auto found = batch.writing.find(position);
-  if (found != batch.writing.end()) {
+  const auto found = batch.writesInFlight.find(position);
+  if (found != batch.writesInFlight.end()) {
     waiters = std::move(found->second);
-    batch.writing.erase(found);
+    batch.writesInFlight.erase(found);
   }
   return waiters;
 }
 
 void ItemWriter::writeItem(BatchState& batch, std::uint64_t position,
                            std::optional<ItemRecord> record, std::function<void()> done) {
-  batch.writing[position];
-  rankResult(batch, record);
+  batch.writesInFlight[position];
+  assignRank(batch, record);
   TableEntry entry{itemKey(batch.id(), position), std::nullopt};
   if (record) {
     entry.value = encodeRecord(*record);
@@ -84,13 +84,13 @@
 void ItemWriter::writeItems(BatchState& batch, std::vector<TableEntry> entries, ItemRecords records,
                             std::function<void(BatchState&)> done) {
   for (auto& [position, record] : records) {
-    rankResult(batch, record);
+    assignRank(batch, record);
     TableEntry entry{itemKey(batch.id(), position), std::nullopt};
     if (record) {
       entry.value = encodeRecord(*record);
     }
     entries.push_back(std::move(entry));
-    batch.writing[position];
+    batch.writesInFlight[position];
   }
   writer_.write(partitionOfBatch(batch.id()), std::move(entries),
                 [this, batchId = batch.id(), records = std::move(records), done = std::move(done)] {
@@ -135,16 +135,16 @@
 }
 
 void ItemWriter::finishIfDone(BatchState& batch) {
-  const bool ready = batch.committed && batch.allFinal() && batch.writing.empty();
-  if (!ready || batch.finished() || batch.finalWriting) {
+  const bool ready = batch.committed && batch.allFinal() && batch.writesInFlight.empty();
+  if (!ready || batch.finished() || batch.finalWriteInFlight) {
     return;
   }
-  batch.finalWriting = true;
+  batch.finalWriteInFlight = true;
   const BatchStatus status = batch.status();
   std::vector<TableEntry> entries{{finalKey(batch.id()), encodeRecord(status)}};
   // The body of an item with a result is not read any more.
   const std::uint64_t chunks =
-      std::min<std::uint64_t>(batch.meta().chunkPositions.size(), erasePerWrite_);
+      std::min<std::uint64_t>(batch.meta().chunkPositions.size(), maxErasedRowsPerWrite_);
   for (std::uint64_t chunk = 0; chunk < chunks; ++chunk) {
     entries.push_back({bodyKey(batch.id(), chunk), std::nullopt});
   }
--- a/src/batch/item_writer.h
+++ b/src/batch/item_writer.h
@@ -21,15 +21,15 @@
 /// and a successor finds at least that. Core thread only.
 class ItemWriter {
  public:
-  /// Keeps references; they must outlive it. @p erasePerWrite bounds the body rows that the write
-  /// of a finished batch erases.
+  /// Keeps references; they must outlive it. @p maxErasedRowsPerWrite bounds the body rows that the
+  /// write of a finished batch erases.
   ItemWriter(CoreContext& context, const PartitionStore& store, BatchTable& table,
-             RetryingWriter& writer, std::uint64_t erasePerWrite)
+             RetryingWriter& writer, std::uint64_t maxErasedRowsPerWrite)
       : context_(context), store_(store), table_(table), writer_(writer),
-        erasePerWrite_(erasePerWrite) {}
+        maxErasedRowsPerWrite_(maxErasedRowsPerWrite) {}
 
   /// Postpones @p event until the item's write in flight is durable; false if there is none.
-  bool waitsForWrite(BatchState& batch, std::uint64_t position, std::function<void()> event);
+  bool deferWhileWriting(BatchState& batch, std::uint64_t position, std::function<void()> event);
 
   /// Writes the item's row, or erases it, then changes the state and calls @p done.
   void writeItem(BatchState& batch, std::uint64_t position, std::optional<ItemRecord> record,
@@ -55,7 +55,7 @@
 
  private:
   /// Gives a final result the next rank.
-  static void rankResult(BatchState& batch, std::optional<ItemRecord>& record);
+  static void assignRank(BatchState& batch, std::optional<ItemRecord>& record);
   /// Ends the write of an item; returns the events that waited for it.
   static std::vector<std::function<void()>> takeWaiters(BatchState& batch, std::uint64_t position);
 
@@ -63,7 +63,7 @@
   const PartitionStore& store_;
   BatchTable& table_;
   RetryingWriter& writer_;
-  std::uint64_t erasePerWrite_;
+  std::uint64_t maxErasedRowsPerWrite_;
 };
 
 }  // namespace shedshed
--- a/src/batch/run_heartbeats.cpp
+++ b/src/batch/run_heartbeats.cpp
@@ -18,7 +18,7 @@
     if (run.ended) {
       continue;
     }
-    if (run.heartbeatOpen && now - run.heartbeatSent >= options_.heartbeat) {
+    if (run.heartbeatInFlight && now - run.heartbeatSent >= options_.heartbeat) {
       locator_.failed(run.partition, runs_.ownerOf(run));
       ++run.locatorAttempt;
     }
@@ -26,7 +26,7 @@
     if (owner.empty()) {
       continue;
     }
-    run.heartbeatOpen = true;
+    run.heartbeatInFlight = true;
     run.heartbeatSent = now;
     perOwner[owner].runs.push_back(reportOf(key, run));
   }
@@ -47,7 +47,7 @@
 }
 
 RunReport RunHeartbeats::reportOf(const RunKey& key, const BatchRun& run) const {
-  RunReport report{runs_.nameOf(key), items_.nextAttempt(), {}};
+  RunReport report{runs_.idOf(key), items_.nextAttempt(), {}};
   for (const auto& [position, item] : run.items) {
     report.attemptsInFlight.push_back({position, item.attempt});
   }
@@ -60,38 +60,38 @@
     return;
   }
   const Time sentAt = sent->second;
-  for (const RunAnswer& answer : reply.runs) {
-    applyVerdict(from, sentAt, answer);
+  for (const RunHeartbeatResult& answer : reply.runs) {
+    applyResult(from, sentAt, answer);
   }
 }
 
-void RunHeartbeats::applyVerdict(const NodeId& from, Time sent, const RunAnswer& answer) {
+void RunHeartbeats::applyResult(const NodeId& from, Time sent, const RunHeartbeatResult& answer) {
   const RunKey key{answer.batchId, answer.runEpoch};
   BatchRun* run = runs_.find(key);
   if (run == nullptr || run->ended) {
     return;
   }
-  switch (static_cast<RunVerdict>(answer.verdict)) {
-  case RunVerdict::Active:
-    run->heartbeatOpen = false;
+  switch (static_cast<RunStatus>(answer.status)) {
+  case RunStatus::Active:
+    run->heartbeatInFlight = false;
     run->leaseEnd = std::max(run->leaseEnd, sent + options_.lease);
     items_.startWaitingItems(key);
     break;
-  case RunVerdict::Stopped:
-    run->heartbeatOpen = false;
+  case RunStatus::Stopped:
+    run->heartbeatInFlight = false;
     run->stopped = true;
     items_.stopStarting(key, *run);
     break;
-  case RunVerdict::Ended:
+  case RunStatus::Ended:
     run->ended = true;
     items_.stopStarting(key, *run);
-    runs_.forgetIfDone(key);
+    runs_.removeIfDone(key);
     break;
-  case RunVerdict::NotOwner:
+  case RunStatus::NotOwner:
     if (!answer.owner.empty() && answer.owner != from) {
       locator_.redirected(run->partition, answer.owner);
       run->locatorAttempt = 0;
-      run->heartbeatOpen = false;
+      run->heartbeatInFlight = false;
     }
     break;
   }
--- a/src/batch/run_heartbeats.h
+++ b/src/batch/run_heartbeats.h
@@ -30,7 +30,7 @@
   void onReply(const NodeId& from, const RunHeartbeatReply& reply);
 
  private:
-  void applyVerdict(const NodeId& from, Time sent, const RunAnswer& answer);
+  void applyResult(const NodeId& from, Time sent, const RunHeartbeatResult& answer);
   RunReport reportOf(const RunKey& key, const BatchRun& run) const;
 
   CoreContext& context_;
--- a/src/batch/run_supervisor.cpp
+++ b/src/batch/run_supervisor.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// An assignment is repeated if no heartbeat has named the run for this long.
-constexpr Duration kAnnounceAfterSilence = std::chrono::seconds(2);
+constexpr Duration kReannounceInterval = std::chrono::seconds(2);
 
 /// Bound of the item states scanned for one page.
 constexpr std::uint64_t kMaxScannedStates = 8192;
@@ -23,23 +23,23 @@
     items_.reassignRanks(batch);
   }
   items_.finishIfDone(batch);
-  const bool assigning = batch.run.epoch != 0 && !batch.runDurable;
-  if (batch.finalWriting || assigning) {
+  const bool isAssigning = batch.run.epoch != 0 && !batch.runDurable;
+  if (batch.finalWriteInFlight || isAssigning) {
     return;
   }
   resolveStaleItems(batch);
   if (batch.run.epoch == 0) {
-    endRun(batch, {});
+    reassignRun(batch, {});
     return;
   }
   const NodeInfo* runner = directory_.table()->find(NodeId{batch.run.runner});
-  const bool dead = runner != nullptr && runner->state == NodeState::Dead;
-  const Duration silence = context_.now() - batch.lastHeartbeat;
-  if (dead || silence >= options_.runTimeout) {
-    endRun(batch, batch.run.runner);
+  const bool isDead = runner != nullptr && runner->state == NodeState::Dead;
+  const Duration sinceHeartbeat = context_.now() - batch.lastHeartbeat;
+  if (isDead || sinceHeartbeat >= options_.runTimeout) {
+    reassignRun(batch, batch.run.runner);
     return;
   }
-  if (!batch.runAcknowledged || silence >= kAnnounceAfterSilence) {
+  if (!batch.runAcknowledged || sinceHeartbeat >= kReannounceInterval) {
     announceRun(batch);
   }
 }
@@ -62,9 +62,9 @@
   return order.empty() ? NodeId{} : order.front();
 }
 
-void RunSupervisor::endRun(BatchState& batch, const std::string& avoidRunner) {
-  const bool assigning = batch.run.epoch != 0 && !batch.runDurable;
-  if (assigning || batch.finished() || batch.finalWriting) {
+void RunSupervisor::reassignRun(BatchState& batch, const std::string& avoidRunner) {
+  const bool isAssigning = batch.run.epoch != 0 && !batch.runDurable;
+  if (isAssigning || batch.finished() || batch.finalWriteInFlight) {
     return;
   }
   const NodeId next = chooseRunner(batch.id(), avoidRunner);
@@ -78,7 +78,7 @@
   batch.run.runner = runner.address;
   batch.runDurable = false;
   batch.runAcknowledged = false;
-  batch.runnerProcess = 0;
+  batch.runnerIncarnation = 0;
   batch.revertedAttempts.clear();
   context_.counters().add("batch_runs_assigned_total");
   // What the lost run had started is resolved in the write that fences it.
@@ -105,12 +105,12 @@
 
 ItemRecords RunSupervisor::resolutionsBefore(const BatchState& batch, std::uint64_t epoch) const {
   ItemRecords resolutions;
-  const bool repeat = batch.meta().idempotent || !options_.safeguards.unknownAfterLostRun;
+  const bool mayRerun = batch.meta().idempotent || !options_.safeguards.unknownAfterLostRun;
   for (const auto& [position, started] : batch.started()) {
-    if (started.runEpoch >= epoch || batch.writing.count(position) != 0) {
+    if (started.runEpoch >= epoch || batch.writesInFlight.count(position) != 0) {
       continue;
     }
-    if (repeat) {
+    if (mayRerun) {
       resolutions[position] = ItemWriter::pendingRecord(true);
       continue;
     }
@@ -130,27 +130,28 @@
   }
 }
 
-bool RunSupervisor::isCurrent(BatchState& batch, const NodeId& from, const RunName& run) {
+bool RunSupervisor::isCurrent(BatchState& batch, const NodeId& from, const RunId& run) {
   if (!options_.safeguards.runEpochFence) {
     return true;
   }
   if (run.runEpoch != batch.run.epoch || !batch.runDurable || from.address != batch.run.runner) {
     return false;
   }
-  if (batch.runnerProcess == 0) {
-    batch.runnerProcess = run.incarnation;
+  if (batch.runnerIncarnation == 0) {
+    batch.runnerIncarnation = run.incarnation;
   }
-  if (batch.runnerProcess != run.incarnation) {
-    endRun(batch, {});
+  if (batch.runnerIncarnation != run.incarnation) {
+    reassignRun(batch, {});
     return false;
   }
   return true;
 }
 
-RunAnswer RunSupervisor::answerRun(const NodeId& from, const RunName& run) {
-  RunAnswer answer{run.batchId, run.runEpoch, static_cast<std::uint8_t>(RunVerdict::Ended), {}};
+RunHeartbeatResult RunSupervisor::answerRun(const NodeId& from, const RunId& run) {
+  RunHeartbeatResult answer{
+      run.batchId, run.runEpoch, static_cast<std::uint8_t>(RunStatus::Ended), {}};
   if (table_.owned(run.batchId) == nullptr) {
-    answer.verdict = static_cast<std::uint8_t>(RunVerdict::NotOwner);
+    answer.status = static_cast<std::uint8_t>(RunStatus::NotOwner);
     answer.owner = store_.ownerHint(partitionOfBatch(run.batchId));
     return answer;
   }
@@ -161,7 +162,7 @@
   batch->runAcknowledged = true;
   batch->lastHeartbeat = context_.now();
   const bool stopped = batch->cancelRequested && options_.safeguards.cancelStopsStarts;
-  answer.verdict = static_cast<std::uint8_t>(stopped ? RunVerdict::Stopped : RunVerdict::Active);
+  answer.status = static_cast<std::uint8_t>(stopped ? RunStatus::Stopped : RunStatus::Active);
   return answer;
 }
 
@@ -169,12 +170,12 @@
   RunHeartbeatReply redirects;
   redirects.number = heartbeat.number;
   for (const RunReport& report : heartbeat.runs) {
-    RunAnswer answer = answerRun(from, report.run);
-    if (answer.verdict == static_cast<std::uint8_t>(RunVerdict::NotOwner)) {
+    RunHeartbeatResult answer = answerRun(from, report.run);
+    if (answer.status == static_cast<std::uint8_t>(RunStatus::NotOwner)) {
       redirects.runs.push_back(std::move(answer));
       continue;
     }
-    if (answer.verdict != static_cast<std::uint8_t>(RunVerdict::Ended)) {
+    if (answer.status != static_cast<std::uint8_t>(RunStatus::Ended)) {
       revertDroppedAttempts(report);
     }
     // A fenced owner that has not learnt of its loss must neither end a run that its successor
@@ -205,10 +206,10 @@
   for (const auto& [position, started] : batch->started()) {
     const auto found = inFlight.find(position);
     const bool isInFlight = found != inFlight.end() && found->second == started.attempt;
-    const bool ours =
+    const bool isSameRun =
         started.runEpoch == report.run.runEpoch && started.incarnation == report.run.incarnation;
-    if (ours && !isInFlight && started.attempt < report.nextAttempt &&
-        batch->writing.count(position) == 0) {
+    if (isSameRun && !isInFlight && started.attempt < report.nextAttempt &&
+        batch->writesInFlight.count(position) == 0) {
       dropped[position] = started.attempt;
     }
   }
@@ -223,7 +224,7 @@
   BatchState* batch = table_.find(returned.run.batchId);
   if (batch != nullptr && batch->committed && !batch->finished() &&
       isCurrent(*batch, from, returned.run)) {
-    endRun(*batch, from.address);
+    reassignRun(*batch, from.address);
   }
 }
 
@@ -262,7 +263,8 @@
     const std::uint64_t first = batch.meta().chunkPositions[index];
     const std::uint64_t end = batch.chunkEnd(index);
     for (; position < end && page.items.size() < fetch.maxItems; ++position) {
-      if (batch.state(position) == ItemState::Pending && batch.writing.count(position) == 0) {
+      if (batch.state(position) == ItemState::Pending &&
+          batch.writesInFlight.count(position) == 0) {
         page.items.push_back(
             {position, ItemState::Pending, std::move(chunk.value().items.at(position - first))});
       }
--- a/src/batch/run_supervisor.h
+++ b/src/batch/run_supervisor.h
@@ -40,16 +40,16 @@
 
   /// True if @p run is the one in force. Ends the run if another incarnation of the same runner
   /// speaks for it.
-  bool isCurrent(BatchState& batch, const NodeId& from, const RunName& run);
+  bool isCurrent(BatchState& batch, const NodeId& from, const RunId& run);
 
  private:
-  RunAnswer answerRun(const NodeId& from, const RunName& run);
+  RunHeartbeatResult answerRun(const NodeId& from, const RunId& run);
   /// Returns the page that @p fetch asks for; none if its bodies cannot be read.
   std::optional<ItemsPage> pendingItems(const BatchState& batch, const FetchItems& fetch);
   /// Reverts the starts of this run that its runner no longer has in flight.
   void revertDroppedAttempts(const RunReport& report);
   /// Assigns the batch to another node than @p avoidRunner, if there is one.
-  void endRun(BatchState& batch, const std::string& avoidRunner);
+  void reassignRun(BatchState& batch, const std::string& avoidRunner);
   void assignRun(BatchState& batch, const NodeId& runner);
   void announceRun(const BatchState& batch);
   NodeId chooseRunner(const std::string& batchId, const std::string& avoid) const;
--- a/src/batch/run_table.cpp
+++ b/src/batch/run_table.cpp
@@ -7,14 +7,14 @@
   return found == runs_.end() ? nullptr : &found->second;
 }
 
-void RunTable::forgetIfDone(const RunKey& key) {
+void RunTable::removeIfDone(const RunKey& key) {
   const BatchRun* run = find(key);
   if (run != nullptr && run->ended && run->items.empty()) {
     runs_.erase(key);
   }
 }
 
-bool RunTable::supersedes(const RunKey& key) const {
+bool RunTable::hasRunOrNewer(const RunKey& key) const {
   const auto newer = runs_.upper_bound(key);
   const bool superseded = newer != runs_.end() && newer->first.first == key.first;
   return superseded || runs_.count(key) != 0;
--- a/src/batch/run_table.h
+++ b/src/batch/run_table.h
@@ -29,14 +29,14 @@
   /// Returns the run, or null if it is not known.
   BatchRun* find(const RunKey& key);
   /// Forgets a run that has ended, once all that ran is acknowledged.
-  void forgetIfDone(const RunKey& key);
+  void removeIfDone(const RunKey& key);
   /// True if this run or a newer one of the same batch is known.
-  bool supersedes(const RunKey& key) const;
+  bool hasRunOrNewer(const RunKey& key) const;
 
   /// True while the lease holds and nothing forbids starts: not draining, cancelled or ended.
   bool mayStart(const BatchRun& run) const;
   /// The name of the run in messages of this process.
-  RunName nameOf(const RunKey& key) const { return RunName{key.first, key.second, incarnation_}; }
+  RunId idOf(const RunKey& key) const { return RunId{key.first, key.second, incarnation_}; }
   /// The node that is believed to own the batch; empty if none is known.
   NodeId ownerOf(const BatchRun& run) const;
 
--- a/tests/batch/batch_world.h
+++ b/tests/batch/batch_fleet.h
@@ -65,8 +65,9 @@
   explicit FakeSlots(Harness& harness) : harness_(harness) {}
   void acquire(SlotRequest request, std::function<void(Result<SlotGrant>)> done) override {
     const bool fullPool =
-        std::any_of(request.limits.begin(), request.limits.end(),
-                    [this](const SlotLimit& limit) { return fullKeys.count(limit.pool.key) != 0; });
+        std::any_of(request.limits.begin(), request.limits.end(), [this](const SlotLimit& limit) {
+          return fullPoolKeys.count(limit.pool.key) != 0;
+        });
     requests.push_back({harness_.now, std::move(request)});
     harness_.deferred.push_back([this, fullPool, done = std::move(done)] {
       if (fullPool || held.size() >= capacity) {
@@ -81,7 +82,7 @@
   }
   void release(std::uint64_t grantId) override { held.erase(grantId); }
   std::size_t capacity = 1000;
-  std::set<std::string> fullKeys;  ///< Keys of pools that refuse always.
+  std::set<std::string> fullPoolKeys;  ///< Keys of pools that refuse always.
   std::set<std::uint64_t> held;
   std::vector<std::pair<Time, SlotRequest>> requests;
 
@@ -90,24 +91,24 @@
   std::uint64_t lastGrant_ = 0;
 };
 
-/// Counts the runs of each body; answers at once unless `hold`.
+/// Counts the runs of each body; answers at once unless `holdAnswers`.
 class FakeEngines : public EngineRunner {
  public:
   explicit FakeEngines(Harness& harness) : harness_(harness) {}
   void run(EngineCall call, std::function<void(Result<EngineAnswer>)> done) override {
     ++runs[call.body];
     lastRun = harness_.now;
-    open.push_back({std::move(call), std::move(done)});
-    if (!hold) {
+    openCalls.push_back({std::move(call), std::move(done)});
+    if (!holdAnswers) {
       harness_.deferred.push_back([this] { answerNext(); });
     }
   }
   void answerNext() {
-    if (open.empty()) {
+    if (openCalls.empty()) {
       return;
     }
-    auto [call, done] = std::move(open.front());
-    open.pop_front();
+    auto [call, done] = std::move(openCalls.front());
+    openCalls.pop_front();
     if (fail) {
       if (fail->ran == Ran::No) {
         --runs[call.body];
@@ -117,18 +118,18 @@
     }
     done(EngineAnswer{200, "answer " + std::to_string(++answers_) + " to " + call.body});
   }
-  int mostRuns() const {
-    int most = 0;
+  int maxRuns() const {
+    int maximum = 0;
     for (const auto& entry : runs) {
-      most = std::max(most, entry.second);
+      maximum = std::max(maximum, entry.second);
     }
-    return most;
+    return maximum;
   }
-  bool hold = false;
+  bool holdAnswers = false;
   std::optional<Error> fail;
   std::map<std::string, int> runs;
   Time lastRun{};
-  std::deque<std::pair<EngineCall, std::function<void(Result<EngineAnswer>)>>> open;
+  std::deque<std::pair<EngineCall, std::function<void(Result<EngineAnswer>)>>> openCalls;
 
  private:
   Harness& harness_;
@@ -191,20 +192,20 @@
 };
 
 /// Options under which a test runs.
-struct WorldOptions {
+struct BatchFleetOptions {
   BatchOwnerOptions owner;
   BatchClientOptions client;
   BatchRunnerOptions runner;
 };
 
-class World {
+class BatchFleet {
  public:
-  struct Data {
-    Data(World& world, HarnessContext& clientContext, HarnessContext& runnerContext)
-        : locator(world.directory, world.configuration), slots(world.slots), engines(world.engines),
-          client(clientContext, locator, world.options.client),
-          runner(runnerContext, locator, slots, engines, world.configuration,
-                 world.options.runner) {}
+  struct DataNode {
+    DataNode(BatchFleet& fleet, HarnessContext& clientContext, HarnessContext& runnerContext)
+        : locator(fleet.directory, fleet.configuration), slots(fleet.slots), engines(fleet.engines),
+          client(clientContext, locator, fleet.options.client),
+          runner(runnerContext, locator, slots, engines, fleet.configuration,
+                 fleet.options.runner) {}
     OwnerLocator locator;
     ProcessSlots slots;
     ProcessEngines engines;
@@ -212,7 +213,7 @@
     BatchRunnerCore runner;
   };
 
-  explicit World(WorldOptions worldOptions = {}) : options(std::move(worldOptions)) {
+  explicit BatchFleet(BatchFleetOptions fleetOptions = {}) : options(std::move(fleetOptions)) {
     for (const std::string name : {"s1", "s2"}) {
       directory.set(name, NodeRole::Store, NodeState::Alive);
       auto& context = harness.context(name, ServiceId::BatchOwner);
@@ -232,9 +233,9 @@
   }
 
   struct StoreNode {
-    StoreNode(World& world, const std::string& name, HarnessContext& context)
-        : table(world.harness, NodeId{name}),
-          core(context, table, world.configuration, world.directory, world.options.owner) {}
+    StoreNode(BatchFleet& fleet, const std::string& name, HarnessContext& context)
+        : table(fleet.harness, NodeId{name}),
+          core(context, table, fleet.configuration, fleet.directory, fleet.options.owner) {}
     FakePartitionStore table;
     BatchOwnerCore core;
   };
@@ -243,39 +244,40 @@
   void startData(const std::string& name) {
     auto& clientContext = harness.context(name, ServiceId::BatchClient);
     auto& runnerContext = harness.context(name, ServiceId::BatchRunner);
-    data[name] = std::make_unique<Data>(*this, clientContext, runnerContext);
+    data[name] = std::make_unique<DataNode>(*this, clientContext, runnerContext);
     harness.attach(clientContext, data[name]->client);
     harness.attach(runnerContext, data[name]->runner);
     data[name]->client.start();
     data[name]->runner.start();
   }
   /// Drops everything from and to @p node.
-  void cut(const std::string& node) { cutNodes.insert(node); }
+  void isolate(const std::string& node) { isolatedNodes.insert(node); }
   void installFilter() {
     harness.filter = [this](const Harness::Envelope& envelope) {
-      return cutNodes.count(envelope.from.address) == 0 && cutNodes.count(envelope.to.address) == 0;
+      return isolatedNodes.count(envelope.from.address) == 0 &&
+             isolatedNodes.count(envelope.to.address) == 0;
     };
   }
   FakePartitionStore& table() { return stores[owner]->table; }
   /// The other store takes over.
-  void failover(bool unacknowledgedSurvive, bool previousLearns = true) {
+  void failover(bool unacknowledgedSurvive, bool notifyPrevious = true) {
     FakePartitionStore& previous = table();
     owner = owner == "s1" ? "s2" : "s1";
-    const bool hold = previous.holdWrites;
+    const bool holdWrites = previous.holdWrites;
     previous.holdWrites = false;
-    table().holdWrites = hold;
+    table().holdWrites = holdWrites;
     table().takeOver(previous, unacknowledgedSurvive);
-    if (previousLearns) {
+    if (notifyPrevious) {
       previous.loseOwnership();
     }
   }
   /// A batch of @p count items.
   static BatchSubmission batchOf(std::size_t count, const std::string& clientKey = "",
-                                 bool repeatable = false, const std::string& tag = "item") {
+                                 bool idempotent = false, const std::string& tag = "item") {
     BatchSubmission submission;
     submission.tenant = "acme";
     submission.clientKey = clientKey;
-    submission.idempotentItems = repeatable;
+    submission.idempotentItems = idempotent;
     for (std::size_t index = 0; index < count; ++index) {
       submission.items.push_back("{\"model\":\"m\",\"n\":\"" + tag + std::to_string(index) + "\"}");
     }
@@ -334,15 +336,15 @@
     return row == rows.end() ? "" : decodeRecord<RunRecord>(row->second).value().runner;
   }
 
-  WorldOptions options;
+  BatchFleetOptions options;
   Harness harness;
   FakeDirectory directory;
   FakeConfiguration configuration;
   FakeSlots slots{harness};
   FakeEngines engines{harness};
   std::map<std::string, std::unique_ptr<StoreNode>> stores;
-  std::map<std::string, std::unique_ptr<Data>> data;
-  std::set<std::string> cutNodes;
+  std::map<std::string, std::unique_ptr<DataNode>> data;
+  std::set<std::string> isolatedNodes;
   std::string owner;
 };
 
--- a/tests/batch/batch_reader_test.cpp
+++ b/tests/batch/batch_reader_test.cpp
@@ -1,12 +1,12 @@
 /// Items with names: results in the order of completion.
-#include "batch_world.h"
+#include "batch_fleet.h"
 
 namespace shedshed::test {
 
 namespace {
 
 BatchSubmission namedBatch(int count) {
-  BatchSubmission submission = World::batchOf(static_cast<std::size_t>(count), "key", true);
+  BatchSubmission submission = BatchFleet::batchOf(static_cast<std::size_t>(count), "key", true);
   for (int number = 0; number < count; ++number) {
     submission.names.push_back("item-" + std::to_string(number));
   }
@@ -21,11 +21,11 @@
   return names;
 }
 
-Result<std::string> bodyOf(World& world, const std::string& id, const std::string& name) {
+Result<std::string> bodyOf(BatchFleet& fleet, const std::string& id, const std::string& name) {
   std::optional<Result<std::string>> answer;
-  world.data["d1"]->client.itemBody("acme", id, name,
+  fleet.data["d1"]->client.itemBody("acme", id, name,
                                     [&](Result<std::string> body) { answer = std::move(body); });
-  world.waitFor(answer);
+  fleet.waitFor(answer);
   return *answer;
 }
 
@@ -34,25 +34,25 @@
 BOOST_AUTO_TEST_SUITE(batch_reader)
 
 BOOST_AUTO_TEST_CASE(aSlowItemDelaysNoOtherResult) {
-  World world;
-  world.engines.hold = true;
-  const std::string id = world.accepted(namedBatch(4));
-  world.harness.advance(1s);
-  BOOST_REQUIRE_EQUAL(world.engines.open.size(), 4U);
-  world.engines.open.push_back(world.engines.open.front());
-  world.engines.open.erase(world.engines.open.begin());
+  BatchFleet fleet;
+  fleet.engines.holdAnswers = true;
+  const std::string id = fleet.accepted(namedBatch(4));
+  fleet.harness.advance(1s);
+  BOOST_REQUIRE_EQUAL(fleet.engines.openCalls.size(), 4U);
+  fleet.engines.openCalls.push_back(fleet.engines.openCalls.front());
+  fleet.engines.openCalls.erase(fleet.engines.openCalls.begin());
   for (int answered = 0; answered < 3; ++answered) {
-    world.engines.answerNext();
+    fleet.engines.answerNext();
   }
-  world.harness.advance(1s);
-  const ResultPage early = world.page(id, 0, 10);
+  fleet.harness.advance(1s);
+  const ResultPage early = fleet.page(id, 0, 10);
   BOOST_TEST(early.itemCount == 4U);
   BOOST_TEST(early.results.size() == 3U);
   BOOST_TEST(early.next == 3U);
   BOOST_TEST(!early.complete);
-  world.engines.answerNext();
-  world.harness.advance(2s);
-  const ResultPage late = world.page(id, 0, 10);
+  fleet.engines.answerNext();
+  fleet.harness.advance(2s);
+  const ResultPage late = fleet.page(id, 0, 10);
   BOOST_TEST(late.results.size() == 4U);
   BOOST_TEST(late.complete);
   for (std::size_t place = 0; place < 3; ++place) {
@@ -63,24 +63,24 @@
 
 BOOST_AUTO_TEST_CASE(listedResultsKeepTheirIndexThroughATakeover) {
   for (const bool unacknowledgedSurvive : {false, true}) {
-    World world;
-    world.engines.hold = true;
-    const std::string id = world.accepted(namedBatch(6));
-    world.harness.advance(1s);
+    BatchFleet fleet;
+    fleet.engines.holdAnswers = true;
+    const std::string id = fleet.accepted(namedBatch(6));
+    fleet.harness.advance(1s);
     for (int answered = 0; answered < 3; ++answered) {
-      world.engines.answerNext();
+      fleet.engines.answerNext();
     }
-    world.harness.advance(1s);
-    const std::vector<std::string> before = namesOf(world.page(id, 0, 10));
+    fleet.harness.advance(1s);
+    const std::vector<std::string> before = namesOf(fleet.page(id, 0, 10));
     BOOST_TEST(before.size() == 3U);
-    world.failover(unacknowledgedSurvive);
-    world.harness.advance(2s);
-    world.engines.hold = false;
-    while (!world.engines.open.empty()) {
-      world.engines.answerNext();
+    fleet.failover(unacknowledgedSurvive);
+    fleet.harness.advance(2s);
+    fleet.engines.holdAnswers = false;
+    while (!fleet.engines.openCalls.empty()) {
+      fleet.engines.answerNext();
     }
-    world.harness.advance(20s);
-    const std::vector<std::string> after = namesOf(world.page(id, 0, 10));
+    fleet.harness.advance(20s);
+    const std::vector<std::string> after = namesOf(fleet.page(id, 0, 10));
     BOOST_REQUIRE_EQUAL(after.size(), 6U);
     for (std::size_t place = 0; place < before.size(); ++place) {
       BOOST_TEST(after[place] == before[place]);
@@ -90,15 +90,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(theBodyOfAnUnfinishedItemIsFoundByItsName) {
-  World world;
-  world.engines.hold = true;
+  BatchFleet fleet;
+  fleet.engines.holdAnswers = true;
   const BatchSubmission submission = namedBatch(3);
-  const std::string id = world.accepted(submission);
-  world.harness.advance(1s);
-  const Result<std::string> body = bodyOf(world, id, "item-1");
+  const std::string id = fleet.accepted(submission);
+  fleet.harness.advance(1s);
+  const Result<std::string> body = bodyOf(fleet, id, "item-1");
   BOOST_REQUIRE(body.has_value());
   BOOST_TEST(body.value() == submission.items[1]);
-  BOOST_TEST((bodyOf(world, id, "another").error().code == ErrorCode::NotFound));
+  BOOST_TEST((bodyOf(fleet, id, "another").error().code == ErrorCode::NotFound));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/batch/batch_runner_core_test.cpp
+++ b/tests/batch/batch_runner_core_test.cpp
@@ -1,13 +1,13 @@
 /// Runs, starts, results and cancels.
-#include "batch_world.h"
+#include "batch_fleet.h"
 
 namespace shedshed::test {
 
 namespace {
 
 /// Stops what the run's node says and hears, and lets the owner find it dead.
-void loseRunner(World& world, const std::string& runner) {
-  world.cut(runner);
+void loseRunner(BatchFleet& world, const std::string& runner) {
+  world.isolate(runner);
   world.directory.set(runner, NodeRole::Data, NodeState::Dead);
 }
 
@@ -16,13 +16,13 @@
 BOOST_AUTO_TEST_SUITE(batch_runner_core)
 
 BOOST_AUTO_TEST_CASE(runsEachItemOnceThroughItsSlots) {
-  World world;
-  const std::string id = world.accepted(World::batchOf(50));
+  BatchFleet world;
+  const std::string id = world.accepted(BatchFleet::batchOf(50));
   world.harness.advance(5s);
   const BatchStatus status = world.status(id).value();
   BOOST_TEST(status.done == 50U);
   BOOST_TEST(status.pending == 0U);
-  BOOST_TEST(world.engines.mostRuns() == 1);
+  BOOST_TEST(world.engines.maxRuns() == 1);
   BOOST_TEST(world.slots.held.empty());
   const SlotRequest& request = world.slots.requests.front().second;
   BOOST_REQUIRE(request.limits.size() == 2U);
@@ -35,53 +35,53 @@
 
 BOOST_AUTO_TEST_CASE(lostRunnerLeavesUnknownOrRepeats) {
   for (const bool repeatable : {false, true}) {
-    World world;
-    world.engines.hold = true;
-    const std::string id = world.accepted(World::batchOf(20, "", repeatable));
+    BatchFleet world;
+    world.engines.holdAnswers = true;
+    const std::string id = world.accepted(BatchFleet::batchOf(20, "", repeatable));
     world.harness.advance(1s);
-    const std::size_t running = world.engines.open.size();
+    const std::size_t running = world.engines.openCalls.size();
     BOOST_TEST(running == 16U);
     const std::string first = world.runnerOf(id);
     loseRunner(world, first);
-    world.engines.open.clear();
-    world.engines.hold = false;
+    world.engines.openCalls.clear();
+    world.engines.holdAnswers = false;
     world.harness.advance(20s);
     if (first == "d2") {
-      world.cutNodes.clear();
+      world.isolatedNodes.clear();
     }
     const BatchStatus status = world.status(id).value();
     BOOST_TEST(world.runnerOf(id) != first);
     BOOST_TEST(status.done == (repeatable ? 20U : 4U));
     BOOST_TEST(status.unknown == (repeatable ? 0U : 16U));
-    BOOST_TEST(world.engines.mostRuns() == (repeatable ? 2 : 1));
+    BOOST_TEST(world.engines.maxRuns() == (repeatable ? 2 : 1));
     BOOST_TEST(world.page(id, 0, 1).results.front().errorType ==
                (repeatable ? "" : "outcome_unknown"));
   }
 }
 
 BOOST_AUTO_TEST_CASE(withoutUnknownANonIdempotentItemRunsTwice) {
-  WorldOptions options;
+  BatchFleetOptions options;
   options.owner.safeguards.unknownAfterLostRun = false;
-  World world(options);
-  world.engines.hold = true;
-  const std::string id = world.accepted(World::batchOf(3));
+  BatchFleet world(options);
+  world.engines.holdAnswers = true;
+  const std::string id = world.accepted(BatchFleet::batchOf(3));
   world.harness.advance(1s);
   loseRunner(world, world.runnerOf(id));
-  world.engines.hold = false;
+  world.engines.holdAnswers = false;
   world.harness.advance(20s);
-  BOOST_TEST(world.engines.mostRuns() == 2);
+  BOOST_TEST(world.engines.maxRuns() == 2);
 }
 
 BOOST_AUTO_TEST_CASE(startIsDurableBeforeTheEngineIsCalled) {
   for (const bool safe : {true, false}) {
-    WorldOptions options;
+    BatchFleetOptions options;
     options.owner.safeguards.startedBeforeRun = safe;
-    World world(options);
+    BatchFleet world(options);
     world.slots.capacity = 0;
-    world.accepted(World::batchOf(1));
+    world.accepted(BatchFleet::batchOf(1));
     world.slots.capacity = 1;
     world.harness.advance(1s);
-    world.engines.hold = true;
+    world.engines.holdAnswers = true;
     // The write of the start is lost with its owner.
     world.table().holdWrites = true;
     world.harness.advance(16s);
@@ -89,52 +89,52 @@
     BOOST_TEST(runsBefore == (safe ? 0U : 1U));
     world.failover(false);
     world.table().holdWrites = false;
-    loseRunner(world, world.runnerOf(world.accepted(World::batchOf(1, "", false, "other"))));
+    loseRunner(world, world.runnerOf(world.accepted(BatchFleet::batchOf(1, "", false, "other"))));
     world.harness.advance(60s);
-    world.engines.hold = false;
+    world.engines.holdAnswers = false;
     world.harness.advance(60s);
-    BOOST_TEST(world.engines.mostRuns() <= (safe ? 1 : 2));
+    BOOST_TEST(world.engines.maxRuns() <= (safe ? 1 : 2));
   }
 }
 
 BOOST_AUTO_TEST_CASE(durableStartSurvivesALostOwnerAndRunsOnce) {
-  World world;
-  world.engines.hold = true;
-  const std::string id = world.accepted(World::batchOf(5));
+  BatchFleet world;
+  world.engines.holdAnswers = true;
+  const std::string id = world.accepted(BatchFleet::batchOf(5));
   world.harness.advance(1s);
-  BOOST_TEST(world.engines.open.size() == 5U);
+  BOOST_TEST(world.engines.openCalls.size() == 5U);
   const std::string runner = world.runnerOf(id);
   world.failover(false);
   world.harness.advance(3s);
-  world.engines.hold = false;
-  while (!world.engines.open.empty()) {
+  world.engines.holdAnswers = false;
+  while (!world.engines.openCalls.empty()) {
     world.engines.answerNext();
   }
   world.harness.advance(10s);
   BOOST_TEST(world.status(id).value().done == 5U);
   BOOST_TEST(world.runnerOf(id) == runner);
-  BOOST_TEST(world.engines.mostRuns() == 1);
+  BOOST_TEST(world.engines.maxRuns() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(restartedRunnerProcessIsFenced) {
-  World world;
-  world.engines.hold = true;
-  const std::string id = world.accepted(World::batchOf(3));
+  BatchFleet world;
+  world.engines.holdAnswers = true;
+  const std::string id = world.accepted(BatchFleet::batchOf(3));
   world.harness.advance(1s);
   world.startData(world.runnerOf(id));
-  world.engines.hold = false;
+  world.engines.holdAnswers = false;
   world.harness.advance(20s);
   BOOST_TEST(world.status(id).value().unknown == 3U);
-  BOOST_TEST(world.engines.mostRuns() == 1);
+  BOOST_TEST(world.engines.maxRuns() == 1);
 }
 
 BOOST_AUTO_TEST_CASE(olderRunIsFenced) {
   for (const bool safe : {true, false}) {
-    WorldOptions options;
+    BatchFleetOptions options;
     options.owner.safeguards.runEpochFence = safe;
-    World world(options);
+    BatchFleet world(options);
     world.slots.capacity = 0;
-    const std::string id = world.accepted(World::batchOf(1));
+    const std::string id = world.accepted(BatchFleet::batchOf(1));
     world.harness.advance(1s);
     const std::string first = world.runnerOf(id);
     loseRunner(world, first);
@@ -143,25 +143,25 @@
     std::optional<std::uint8_t> verdict;
     world.harness.filter = [&](const Harness::Envelope& envelope) {
       dispatchMessage<StartReply>(envelope.message,
-                                  [&](const StartReply& reply) { verdict = reply.verdict; });
+                                  [&](const StartReply& reply) { verdict = reply.outcome; });
       return true;
     };
     const StartItem late{{id, 1, 77}, 0, 1};
     world.harness.queue.push_back({NodeId{first}, NodeId{world.owner}, encodeMessage(late)});
     world.harness.settle();
     BOOST_REQUIRE(verdict.has_value());
-    const bool accepted = *verdict == static_cast<std::uint8_t>(ItemVerdict::Accepted);
+    const bool accepted = *verdict == static_cast<std::uint8_t>(StartOutcome::Accepted);
     BOOST_TEST(accepted == !safe);
   }
 }
 
 BOOST_AUTO_TEST_CASE(firstResultWins) {
   for (const bool safe : {true, false}) {
-    WorldOptions options;
+    BatchFleetOptions options;
     options.owner.safeguards.firstResultWins = safe;
-    World world(options);
-    world.engines.hold = true;
-    const std::string id = world.accepted(World::batchOf(2));
+    BatchFleet world(options);
+    world.engines.holdAnswers = true;
+    const std::string id = world.accepted(BatchFleet::batchOf(2));
     std::optional<Message> result;
     world.harness.filter = [&](const Harness::Envelope& envelope) {
       dispatchMessage<FinishItem>(envelope.message, [&](FinishItem finish) {
@@ -183,15 +183,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(lateResultOfALostRunDoesNotReplaceUnknown) {
-  World world;
-  world.engines.hold = true;
-  const std::string id = world.accepted(World::batchOf(1));
+  BatchFleet world;
+  world.engines.holdAnswers = true;
+  const std::string id = world.accepted(BatchFleet::batchOf(1));
   world.harness.advance(1s);
   const std::string first = world.runnerOf(id);
   loseRunner(world, first);
   world.harness.advance(10s);
   world.engines.answerNext();
-  world.cutNodes.clear();
+  world.isolatedNodes.clear();
   world.harness.advance(30s);
   const ResultPage page = world.page(id, 0, 10);
   BOOST_REQUIRE(page.results.size() == 1U);
@@ -201,11 +201,11 @@
 
 BOOST_AUTO_TEST_CASE(cancelledBatchStartsNothing) {
   for (const bool safe : {true, false}) {
-    WorldOptions options;
+    BatchFleetOptions options;
     options.owner.safeguards.cancelStopsStarts = safe;
-    World world(options);
-    world.engines.hold = true;
-    const std::string id = world.accepted(World::batchOf(40));
+    BatchFleet world(options);
+    world.engines.holdAnswers = true;
+    const std::string id = world.accepted(BatchFleet::batchOf(40));
     world.harness.advance(1s);
     BOOST_TEST(world.engines.runs.size() == 16U);
     // Starts are under way when the cancel arrives.
@@ -230,7 +230,7 @@
       world.engines.answerNext();
       world.harness.settle();
     }
-    world.engines.hold = false;
+    world.engines.holdAnswers = false;
     world.harness.advance(10s);
     const bool startedLate = world.engines.lastRun > cancelled + 3s;
     BOOST_TEST(startedLate == !safe);
@@ -249,11 +249,11 @@
 }
 
 BOOST_AUTO_TEST_CASE(runnerWithoutContactStartsNothingAfterItsLease) {
-  World world;
-  world.engines.hold = true;
-  const std::string id = world.accepted(World::batchOf(100));
+  BatchFleet world;
+  world.engines.holdAnswers = true;
+  const std::string id = world.accepted(BatchFleet::batchOf(100));
   world.harness.advance(1s);
-  world.cut(world.runnerOf(id));
+  world.isolate(world.runnerOf(id));
   const Time cutAt = world.harness.now;
   for (int step = 0; step < 50; ++step) {
     world.engines.answerNext();
@@ -263,15 +263,15 @@
 }
 
 BOOST_AUTO_TEST_CASE(itemThatDidNotRunIsRevertedAndOneThatMayHaveRunIsUnknown) {
-  World world;
+  BatchFleet world;
   world.engines.fail = makeError(ErrorCode::NoEngine, {}, Ran::No);
-  const std::string id = world.accepted(World::batchOf(3));
+  const std::string id = world.accepted(BatchFleet::batchOf(3));
   world.harness.advance(5s);
   BOOST_TEST(world.status(id).value().pending == 3U);
   world.engines.fail = makeError(ErrorCode::EngineFailed, {}, Ran::Unknown);
   world.harness.advance(10s);
   BOOST_TEST(world.status(id).value().unknown == 3U);
-  BOOST_TEST(world.engines.mostRuns() == 1);
+  BOOST_TEST(world.engines.maxRuns() == 1);
   BOOST_TEST(world.slots.held.empty());
 }
 
@@ -279,9 +279,9 @@
 /// reported so.
 BOOST_AUTO_TEST_CASE(idempotentItemThatMayHaveRunIsNotReportedAsCancelled) {
   for (const bool ownerIsLost : {false, true}) {
-    World world;
-    world.engines.hold = true;
-    const std::string id = world.accepted(World::batchOf(3, "", true));
+    BatchFleet world;
+    world.engines.holdAnswers = true;
+    const std::string id = world.accepted(BatchFleet::batchOf(3, "", true));
     world.harness.advance(1s);
     world.engines.fail = makeError(ErrorCode::EngineFailed, {}, Ran::Unknown);
     world.engines.answerNext();
@@ -291,7 +291,7 @@
       world.failover(false);
     }
     world.engines.fail.reset();
-    while (!world.engines.open.empty()) {
+    while (!world.engines.openCalls.empty()) {
       world.engines.answerNext();
     }
     world.harness.advance(10s);
@@ -310,26 +310,26 @@
 /// A fenced store that nobody tells of its loss must not keep a runner by its heartbeat answers.
 BOOST_AUTO_TEST_CASE(runnerLeavesAFencedOwnerThatHasNotLearntOfIt) {
   for (const bool unacknowledgedSurvive : {false, true}) {
-    World world;
-    world.engines.hold = true;
-    const std::string id = world.accepted(World::batchOf(40));
+    BatchFleet world;
+    world.engines.holdAnswers = true;
+    const std::string id = world.accepted(BatchFleet::batchOf(40));
     world.harness.advance(1s);
     world.failover(unacknowledgedSurvive, false);
-    world.engines.hold = false;
-    while (!world.engines.open.empty()) {
+    world.engines.holdAnswers = false;
+    while (!world.engines.openCalls.empty()) {
       world.engines.answerNext();
     }
     world.harness.advance(60s);
     // The status is proved with a majority; a page may come from the fenced store's memory.
     BOOST_TEST(world.status(id).value().done == 40U);
     BOOST_TEST(world.page(id, 0, 100).complete);
-    BOOST_TEST(world.engines.mostRuns() == 1);
+    BOOST_TEST(world.engines.maxRuns() == 1);
   }
 }
 
 BOOST_AUTO_TEST_CASE(invalidItemFailsWithoutAnEngine) {
-  World world;
-  BatchSubmission submission = World::batchOf(2);
+  BatchFleet world;
+  BatchSubmission submission = BatchFleet::batchOf(2);
   submission.items[0] = "not json";
   const std::string id = world.accepted(submission);
   world.harness.advance(3s);
@@ -341,9 +341,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(drainingRunnerFinishesAndReturnsItsRuns) {
-  World world;
-  world.engines.hold = true;
-  const std::string id = world.accepted(World::batchOf(40));
+  BatchFleet world;
+  world.engines.holdAnswers = true;
+  const std::string id = world.accepted(BatchFleet::batchOf(40));
   world.harness.advance(1s);
   const std::string first = world.runnerOf(id);
   world.data[first]->runner.drain();
@@ -351,12 +351,12 @@
   for (int answered = 0; answered < 16; ++answered) {
     world.engines.answerNext();
   }
-  world.engines.hold = false;
+  world.engines.holdAnswers = false;
   world.harness.advance(10s);
   BOOST_TEST(world.data[first]->runner.idle());
   BOOST_TEST(world.runnerOf(id) != first);
   BOOST_TEST(world.status(id).value().done == 40U);
-  BOOST_TEST(world.engines.mostRuns() == 1);
+  BOOST_TEST(world.engines.maxRuns() == 1);
 }
 
 /// Losses, copies, reordering, changes of owner and of runner from a seed. Each unrepeatable item
@@ -364,15 +364,15 @@
 BOOST_AUTO_TEST_CASE(randomFaultsNeitherRepeatNorChangeAnItem) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
-      WorldOptions options;
+      BatchFleetOptions options;
       options.client.maxChunkItems = 10;
-      World world(options);
+      BatchFleet world(options);
       std::mt19937_64 random(seed);
       const auto chance = [&](unsigned percent) { return random() % 100 < percent; };
       bool faulty = true;
       world.harness.filter = [&](const Harness::Envelope& envelope) {
-        if (world.cutNodes.count(envelope.from.address) +
-            world.cutNodes.count(envelope.to.address)) {
+        if (world.isolatedNodes.count(envelope.from.address) +
+            world.isolatedNodes.count(envelope.to.address)) {
           return false;
         }
         if (faulty && chance(5)) {
@@ -380,14 +380,14 @@
         }
         return !(faulty && chance(10));
       };
-      const auto answer = world.submit(World::batchOf(60, "key"));
+      const auto answer = world.submit(BatchFleet::batchOf(60, "key"));
       for (int wait = 0; !answer->has_value() && wait < 200; ++wait) {
         world.harness.advance(100ms);
       }
       BOOST_REQUIRE(answer->has_value() && (*answer)->has_value());
       const std::string id = (*answer)->value().id;
       std::map<std::uint64_t, std::string> seen;
-      world.engines.hold = true;
+      world.engines.holdAnswers = true;
       bool cancelled = false;
       const auto readAll = [&] {
         const ResultPage page = world.page(id, 0, 100);
@@ -417,28 +417,28 @@
           world.startData(chance(50) ? "d1" : "d2");
         }
         if (chance(4)) {
-          world.cutNodes = {chance(50) ? "d1" : "d2"};
+          world.isolatedNodes = {chance(50) ? "d1" : "d2"};
         } else if (chance(30)) {
-          world.cutNodes.clear();
+          world.isolatedNodes.clear();
         }
-        if (!cancelled && seed % 4 == 0 && step == 40 && world.cutNodes.count("d2") == 0) {
+        if (!cancelled && seed % 4 == 0 && step == 40 && world.isolatedNodes.count("d2") == 0) {
           cancelled = world.cancel(id).has_value();
         }
-        if (chance(20) && world.cutNodes.count("d2") == 0) {
+        if (chance(20) && world.isolatedNodes.count("d2") == 0) {
           readAll();
         }
       }
       faulty = false;
-      world.cutNodes.clear();
-      world.engines.hold = false;
-      while (!world.engines.open.empty()) {
+      world.isolatedNodes.clear();
+      world.engines.holdAnswers = false;
+      while (!world.engines.openCalls.empty()) {
         world.engines.answerNext();
       }
       world.harness.advance(120s);
       const ResultPage page = readAll();
       BOOST_TEST(page.complete);
       BOOST_TEST(page.results.size() == 60U);
-      BOOST_TEST(world.engines.mostRuns() == 1);
+      BOOST_TEST(world.engines.maxRuns() == 1);
       BOOST_TEST(world.slots.held.empty());
     }
   }
--- a/tests/batch/batch_upload_test.cpp
+++ b/tests/batch/batch_upload_test.cpp
@@ -36,7 +36,7 @@
   BOOST_TEST(upload.chunks() == 2U);
   BOOST_TEST(upload.meta().chunkPositions[1] == 2U);
   BOOST_TEST(upload.meta().bodyBytes == 11U);
-  BOOST_TEST(sameContent(upload.meta(), last));
+  BOOST_TEST(hasSameContent(upload.meta(), last));
 }
 
 BOOST_AUTO_TEST_CASE(otherItemsDoNotMatchTheDigest) {
--- a/tests/batch/fake_partition_store.h
+++ b/tests/batch/fake_partition_store.h
@@ -21,7 +21,7 @@
   std::uint64_t epoch(const PartitionId&) const override { return believesOwner ? epoch_ : 0; }
   NodeId ownerHint(const PartitionId&) const override { return hint; }
 
-  bool takesNewData(const PartitionId&) const override { return !scarce; }
+  bool takesNewData(const PartitionId&) const override { return !lowOnSpace; }
 
   void write(const PartitionId& partition, std::vector<TableEntry> entries,
              std::function<void(Status)> done) override {
@@ -136,7 +136,7 @@
     }
   }
 
-  bool scarce = false;
+  bool lowOnSpace = false;
   bool holdWrites = false;
   std::optional<ErrorCode> failWrites;
   bool fenced = true;
--- a/tests/batch/item_admission_test.cpp
+++ b/tests/batch/item_admission_test.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-constexpr std::uint32_t kMost = 16;
+constexpr std::uint32_t kMaxRequests = 16;
 
 /// Asks and is granted while the window admits, up to @p most.
-std::uint32_t fill(ItemAdmission& admission, Time now, std::uint32_t most) {
+std::uint32_t acquireSlots(ItemAdmission& admission, Time now, std::uint32_t limit) {
   std::uint32_t granted = 0;
-  while (granted < most && admission.mayRequest(now)) {
+  while (granted < limit && admission.mayRequest(now)) {
     admission.requested();
-    admission.granted(kMost);
+    admission.granted(kMaxRequests);
     ++granted;
   }
   return granted;
 }
 
-void refuse(ItemAdmission& admission, Time now) {
+void rejectRequest(ItemAdmission& admission, Time now) {
   admission.requested();
   admission.rejected(now, 10s);
 }
@@ -36,7 +36,7 @@
   const Time now{};
   admission.requested();
   BOOST_TEST(!admission.mayRequest(now));
-  admission.granted(kMost);
+  admission.granted(kMaxRequests);
   admission.requested();
   BOOST_TEST(admission.mayRequest(now));
   admission.requested();
@@ -46,31 +46,31 @@
 BOOST_AUTO_TEST_CASE(aRejectionKeepsAShareAndTheWindowGrowsByOneASecond) {
   ItemAdmission admission;
   const Time now{};
-  BOOST_TEST(fill(admission, now, 8) == 8U);
-  refuse(admission, now);
+  BOOST_TEST(acquireSlots(admission, now, 8) == 8U);
+  rejectRequest(admission, now);
   for (int i = 0; i < 3; ++i) {
     BOOST_TEST(!admission.mayRequest(now));
     admission.released();
   }
-  BOOST_TEST(fill(admission, now, kMost) == 1U);
-  BOOST_TEST(fill(admission, now + 999ms, kMost) == 0U);
-  BOOST_TEST(fill(admission, now + 1s, kMost) == 1U);
-  BOOST_TEST(fill(admission, now + 4s, kMost) == 3U);
+  BOOST_TEST(acquireSlots(admission, now, kMaxRequests) == 1U);
+  BOOST_TEST(acquireSlots(admission, now + 999ms, kMaxRequests) == 0U);
+  BOOST_TEST(acquireSlots(admission, now + 1s, kMaxRequests) == 1U);
+  BOOST_TEST(acquireSlots(admission, now + 4s, kMaxRequests) == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(aRejectionWithNothingInUsePauses) {
   ItemAdmission admission;
   const Time now{};
-  refuse(admission, now);
+  rejectRequest(admission, now);
   BOOST_TEST(!admission.mayRequest(now + 10s - 1ms));
   BOOST_TEST(admission.mayRequest(now + 10s));
 }
 
-BOOST_AUTO_TEST_CASE(theLastSlotIsLeftToOthersForAMoment) {
+BOOST_AUTO_TEST_CASE(theLastSlotIsLeftToOthersForOneGrowthInterval) {
   ItemAdmission admission;
   const Time now{};
-  BOOST_TEST(fill(admission, now, 1) == 1U);
-  refuse(admission, now);
+  BOOST_TEST(acquireSlots(admission, now, 1) == 1U);
+  rejectRequest(admission, now);
   admission.released();
   BOOST_TEST(!admission.mayRequest(now + 999ms));
   BOOST_TEST(admission.mayRequest(now + 1s));
@@ -80,13 +80,13 @@
   ItemAdmission admission;
   const Time now{};
   admission.setShare(3, 0, now);
-  BOOST_TEST(fill(admission, now, kMost) == 3U);
-  refuse(admission, now);
+  BOOST_TEST(acquireSlots(admission, now, kMaxRequests) == 3U);
+  rejectRequest(admission, now);
   admission.setShare(5, 0, now + 11s);
-  BOOST_TEST(fill(admission, now + 11s, kMost) == 2U);
+  BOOST_TEST(acquireSlots(admission, now + 11s, kMaxRequests) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(aRunAtItsShareProbesNowAndThen) {
+BOOST_AUTO_TEST_CASE(aRunAtItsShareProbesPeriodically) {
   ItemAdmission admission;
   const Time now{};
   admission.setShare(0, 0, now);
@@ -96,24 +96,24 @@
   BOOST_TEST(!admission.mayRequest(now + kShareProbeInterval));
 }
 
-BOOST_AUTO_TEST_CASE(aRunTakesAPartOfTheSlotsThatNobodyHolds) {
+BOOST_AUTO_TEST_CASE(aRunTakesAQuarterOfTheFreeSlots) {
   ItemAdmission admission;
   admission.setShare(0, 40, Time{});
-  BOOST_TEST(fill(admission, Time{}, kMost) == 10U);
+  BOOST_TEST(acquireSlots(admission, Time{}, kMaxRequests) == 10U);
 }
 
 BOOST_AUTO_TEST_CASE(rejectedRequestsBelowTheShareAreRetriedSoon) {
   ItemAdmission admission;
   admission.setShare(9, 0, Time{});
-  BOOST_TEST((admission.retryDelay(10s) == kShareRetry));
+  BOOST_TEST((admission.retryDelay(10s) == kInitialShareBackoff));
   admission.requested();
   admission.rejected(Time{}, 1ms);
-  BOOST_TEST((admission.retryDelay(10s) == 2 * kShareRetry));
-  for (int refusal = 0; refusal < 40; ++refusal) {
+  BOOST_TEST((admission.retryDelay(10s) == 2 * kInitialShareBackoff));
+  for (int rejection = 0; rejection < 40; ++rejection) {
     admission.requested();
     admission.rejected(Time{}, 1ms);
   }
-  BOOST_TEST((admission.retryDelay(333ms) == 2 * kShareRetry));
+  BOOST_TEST((admission.retryDelay(333ms) == 2 * kInitialShareBackoff));
   BOOST_TEST((admission.retryDelay(10ms) == Duration(10ms)));
 }
 
--- a/tests/batch/item_slots_test.cpp
+++ b/tests/batch/item_slots_test.cpp
@@ -1,14 +1,14 @@
 /// How many items of a batch are under way: refusals of slots, and batches side by side.
-#include "batch_world.h"
+#include "batch_fleet.h"
 
 namespace shedshed::test {
 
 BOOST_AUTO_TEST_SUITE(item_slots)
 
 BOOST_AUTO_TEST_CASE(rejectedSlotsPauseTheBatchAndOneItemProbes) {
-  World world;
+  BatchFleet world;
   world.slots.capacity = 0;
-  world.accepted(World::batchOf(100));
+  world.accepted(BatchFleet::batchOf(100));
   world.harness.advance(9s);
   BOOST_TEST(world.slots.requests.size() == 1U);
   world.harness.advance(60s);
@@ -25,10 +25,10 @@
 
 BOOST_AUTO_TEST_CASE(aRejectionKeepsTheGrantedSlotsInUse) {
   constexpr std::size_t kCapacity = 8;
-  World world;
+  BatchFleet world;
   world.slots.capacity = kCapacity;
-  world.engines.hold = true;
-  world.accepted(World::batchOf(1000));
+  world.engines.holdAnswers = true;
+  world.accepted(BatchFleet::batchOf(1000));
   world.harness.advance(2s);
   std::size_t inUse = 0;
   constexpr int kSteps = 300;
@@ -43,10 +43,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(aRejectedItemRequestsSlotsAgainAfterTheDelayOnly) {
-  World world;
+  BatchFleet world;
   world.slots.capacity = 4;
-  world.engines.hold = true;
-  world.accepted(World::batchOf(1000));
+  world.engines.holdAnswers = true;
+  world.accepted(BatchFleet::batchOf(1000));
   for (int step = 0; step < 300; ++step) {
     world.engines.answerNext();
     world.harness.advance(100ms);
@@ -66,9 +66,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(aFullPoolOfOneModelDoesNotPauseTheOthers) {
-  World world;
-  world.slots.fullKeys = {"full"};
-  BatchSubmission submission = World::batchOf(100);
+  BatchFleet world;
+  world.slots.fullPoolKeys = {"full"};
+  BatchSubmission submission = BatchFleet::batchOf(100);
   for (std::size_t index = 0; index < 50; ++index) {
     submission.items[index] = "{\"model\":\"full\",\"n\":\"" + std::to_string(index) + "\"}";
   }
@@ -79,12 +79,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(twoBatchesShareThePool) {
-  World world;
+  BatchFleet world;
   world.slots.capacity = 8;
-  world.engines.hold = true;
-  const std::string first = world.accepted(World::batchOf(1000, "", false, "first"));
+  world.engines.holdAnswers = true;
+  const std::string first = world.accepted(BatchFleet::batchOf(1000, "", false, "first"));
   world.harness.advance(5s);
-  const std::string second = world.accepted(World::batchOf(1000, "", false, "second"));
+  const std::string second = world.accepted(BatchFleet::batchOf(1000, "", false, "second"));
   for (int step = 0; step < 1200; ++step) {
     world.engines.answerNext();
     world.harness.advance(100ms);
--- a/tests/batch/queued_token_quota_model_test.cpp
+++ b/tests/batch/queued_token_quota_model_test.cpp
@@ -2,7 +2,7 @@
 // messages: seeded schedules over three stores.
 #include "batch/batch_owner_core.h"
 #include "batch/queued_token_quota.h"
-#include "batch_world.h"
+#include "batch_fleet.h"
 
 namespace shedshed::test {
 namespace {
--- a/tests/batch/queued_token_quota_test.cpp
+++ b/tests/batch/queued_token_quota_test.cpp
@@ -1,6 +1,6 @@
 // The queued tokens of a route stay below the route's bound.
 #include "batch/queued_token_quota.h"
-#include "batch_world.h"
+#include "batch_fleet.h"
 
 namespace shedshed::test {
 namespace {
@@ -15,7 +15,7 @@
     world.configuration.values[kSettingsRegister] = RegisterValue{1, kSettings};
     for (const std::string name : {"s1", "s2"}) {
       auto& ownerContext = world.harness.context(name, ServiceId::BatchOwner);
-      world.stores[name] = std::make_unique<World::StoreNode>(world, name, ownerContext);
+      world.stores[name] = std::make_unique<BatchFleet::StoreNode>(world, name, ownerContext);
       world.harness.attach(ownerContext, world.stores[name]->core);
       world.stores[name]->core.start();
       auto& context = world.harness.context(name, ServiceId::WaitingTokens);
@@ -25,11 +25,11 @@
     }
     world.stores["s1"]->table.begin(1);
     world.stores["s2"]->table.hint = NodeId{"s1"};
-    world.engines.hold = true;
+    world.engines.holdAnswers = true;
   }
   /// A batch of two items with @p tokens each.
   static BatchSubmission batch(const std::string& key, std::uint64_t tokens) {
-    BatchSubmission submission = World::batchOf(2, key, true, key);
+    BatchSubmission submission = BatchFleet::batchOf(2, key, true, key);
     submission.route = "r";
     submission.tokens = {tokens, tokens};
     return submission;
@@ -44,7 +44,7 @@
     return rejectionOf(submission) == ErrorCode::Internal;
   }
 
-  World world;
+  BatchFleet world;
   std::map<std::string, std::unique_ptr<QueuedTokenQuota>> quotas;
 };
 
--- a/tests/batch/retrying_writer_test.cpp
+++ b/tests/batch/retrying_writer_test.cpp
@@ -53,7 +53,7 @@
   BOOST_TEST(done == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aWriteThatCompletesAfterTheOwnershipCallsNobody) {
+BOOST_AUTO_TEST_CASE(aWriteThatCompletesAfterTheOwnershipRunsNoCallback) {
   store.fenced = false;
   write("ended");
   writer.end(kPartition);
