--- a/src/batch/batch_messages.h
+++ b/src/batch/batch_messages.h
@@ -1,6 +1,8 @@
 /// @file
-/// Messages between the batch services. Error codes travel as numbers of `ErrorCode`; 0 (which is
-/// `Internal` there) means success here, so `wireCode` shifts them by one.
+/// Messages exchanged by the batch services.
+///
+/// An error code is encoded as the numeric value of `ErrorCode` plus one: 0 means success on the
+/// wire, but is `Internal` in `ErrorCode`.
 #pragma once
 
 #include "batch/batch_client.h"
@@ -9,7 +11,7 @@
 
 namespace shedshed {
 
-/// The code of success on the wire.
+/// Wire code of success.
 inline constexpr std::uint16_t kWireOk = 0;
 
 inline std::uint16_t wireCode(ErrorCode code) {
@@ -28,15 +30,15 @@
   std::string batchId;
   std::string tenant;
   bool idempotent = false;
-  std::uint64_t itemCount = 0;  ///< Of the whole submission.
-  std::string digest;           ///< Of the whole submission.
+  std::uint64_t itemCount = 0;  ///< Items of the whole submission.
+  std::string digest;           ///< Digest of the whole submission.
   std::uint64_t chunk = 0;
   bool last = false;
-  std::uint32_t transmission = 0;  ///< Numbers the transmissions of one request; echoed.
+  std::uint32_t transmission = 0;  ///< Transmission number in the request; echoed.
   std::vector<std::string> items;
-  std::vector<std::string> names;     ///< Of the items of this chunk, or empty.
-  std::string route;                  ///< Route that took the batch, or empty.
-  std::vector<std::uint64_t> tokens;  ///< Of the items of this chunk, or empty.
+  std::vector<std::string> names;     ///< Of this chunk's items; empty if unnamed.
+  std::string route;                  ///< Route that accepted the batch, or empty.
+  std::vector<std::uint64_t> tokens;  ///< Token counts of this chunk's items, or empty.
   MSGPACK_DEFINE(request, batchId, tenant, idempotent, itemCount, digest, chunk, last, transmission,
                  items, names, route, tokens);
 };
@@ -46,10 +48,10 @@
   Results = 2,
   Unfinished = 3,
   Cancel = 4,
-  ItemBody = 5,  ///< Answered as `Unfinished` with at most one item.
+  ItemBody = 5,  ///< Replied to like `Unfinished`, with at most one item.
 };
 
-/// A read or a cancel.
+/// A read or a cancellation request.
 struct BatchQuery {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 2;
@@ -59,21 +61,21 @@
   std::string batchId;
   std::uint64_t from = 0;
   std::uint32_t limit = 0;
-  std::string name;  ///< With `ItemBody`.
+  std::string name;  ///< Item name, with `ItemBody`.
   MSGPACK_DEFINE(request, kind, tenant, batchId, from, limit, name);
 };
 
-/// Answer to `SubmitChunk` and `BatchQuery`.
+/// Reply to `SubmitChunk` and `BatchQuery`.
 struct BatchReply {
   static constexpr ServiceId kService = ServiceId::BatchClient;
   static constexpr std::uint16_t kKind = 1;
   std::uint64_t request = 0;
-  std::uint32_t transmission = 0;  ///< Of the `SubmitChunk` answered.
+  std::uint32_t transmission = 0;  ///< Copied from the `SubmitChunk`.
   std::uint16_t code = kWireOk;
   std::string detail;
-  NodeId owner;                 ///< Hint, with `NotOwner`.
+  NodeId owner;                 ///< Owner hint, with `NotOwner`.
   bool committed = false;       ///< The submission is durable; `status` is set.
-  std::uint64_t nextChunk = 0;  ///< Chunks below this are durable.
+  std::uint64_t nextChunk = 0;  ///< Chunks with a lower index are durable.
   BatchStatus status;
   ResultPage page;
   std::vector<UnfinishedItem> unfinished;
@@ -81,24 +83,24 @@
                  unfinished);
 };
 
-/// Names one run of one batch by one runner process.
+/// Identifies one run of one batch by one runner process.
 struct RunId {
   std::string batchId;
   std::uint64_t runEpoch = 0;
-  std::uint64_t incarnation = 0;  ///< Random number of the runner process.
+  std::uint64_t incarnation = 0;  ///< Random identifier of the runner process.
   MSGPACK_DEFINE(batchId, runEpoch, incarnation);
 };
 
-/// An attempt of an item that a runner has in flight: its start is requested, it runs, or its
-/// report is not acknowledged.
+/// An item attempt in flight at a runner: its start has been requested, it is running, or its
+/// result has not been acknowledged.
 struct AttemptInFlight {
   std::uint64_t position = 0;
   std::uint64_t attempt = 0;
   MSGPACK_DEFINE(position, attempt);
 };
 
-/// A run that is alive at the runner. An attempt below `nextAttempt` that is not in
-/// `attemptsInFlight` is over for good, so that a delayed heartbeat stays true.
+/// A run that is active on the runner. An attempt numbered below `nextAttempt` that is not in
+/// `attemptsInFlight` has ended for good, which remains true if the heartbeat is delayed.
 struct RunReport {
   RunId run;
   std::uint64_t nextAttempt = 0;
@@ -106,11 +108,11 @@
   MSGPACK_DEFINE(run, nextAttempt, attemptsInFlight);
 };
 
-/// Runner to owner: these runs are alive here.
+/// Runner to owner: the runs that are active on this runner.
 struct RunHeartbeat {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 10;
-  std::uint64_t number = 0;  ///< Echoed, so that the runner knows when it sent this one.
+  std::uint64_t number = 0;  ///< Echoed, so that the runner can look up the send time.
   std::vector<RunReport> runs;
   MSGPACK_DEFINE(number, runs);
 };
@@ -125,7 +127,7 @@
   MSGPACK_DEFINE(run, from, maxItems);
 };
 
-/// Runner to owner: make this item `Started` before I call an engine.
+/// Runner to owner: requests that the item be made `Started` before an engine is called.
 struct StartItem {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 12;
@@ -135,8 +137,8 @@
   MSGPACK_DEFINE(run, position, attempt);
 };
 
-/// Runner to owner: the attempt is over and the item may run again: no byte of it has gone to an
-/// engine, or the items of the batch are idempotent.
+/// Runner to owner: the attempt has ended and the item may run again, either because none of its
+/// bytes reached an engine or because the batch's items are idempotent.
 struct RevertStart {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 13;
@@ -147,7 +149,7 @@
   MSGPACK_DEFINE(run, position, attempt, mayHaveRun);
 };
 
-/// Runner to owner: the item's final result. Sent until acknowledged.
+/// Runner to owner: the item's final result. Retransmitted until acknowledged.
 struct FinishItem {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 14;
@@ -160,7 +162,7 @@
   MSGPACK_DEFINE(run, position, attempt, state, body, errorType);
 };
 
-/// Runner to owner: returns the run for another node; none of its items is running.
+/// Runner to owner: returns the run for reassignment to another node; none of its items is running.
 struct ReturnRun {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 15;
@@ -168,7 +170,7 @@
   MSGPACK_DEFINE(run);
 };
 
-/// Owner to runner: run this batch. Repeated until a heartbeat names the run.
+/// Owner to runner: assigns a run of a batch. Retransmitted until a heartbeat lists the run.
 struct AssignRun {
   static constexpr ServiceId kService = ServiceId::BatchRunner;
   static constexpr std::uint16_t kKind = 1;
@@ -178,27 +180,28 @@
   bool idempotent = false;
   std::uint64_t itemCount = 0;
   bool hasDueTime = false;
-  std::int64_t dueInMilliseconds = 0;  ///< Time until all results are due; may be negative.
+  std::int64_t dueInMilliseconds = 0;  ///< Time until all results are due; negative if overdue.
   MSGPACK_DEFINE(batchId, runEpoch, tenant, idempotent, itemCount, hasDueTime, dueInMilliseconds);
 };
 
-/// What the owner says of one run in a heartbeat's answer.
+/// Status of a run at its owner, in the reply to a heartbeat.
 enum class RunStatus : std::uint8_t {
   Active = 1,
-  Ended = 2,     ///< Fenced, cancelled with nothing running, finished, or erased: forget it.
-  NotOwner = 3,  ///< Ask another store.
-  Stopped = 4,   ///< Cancelled: start nothing, finish what runs.
+  Ended = 2,     ///< Fenced, cancelled and idle, finished, or erased: the runner drops it.
+  NotOwner = 3,  ///< Another store owns the batch.
+  Stopped = 4,   ///< Cancelled: no new starts; running items are finished.
 };
 
+/// The reply to a heartbeat for one run.
 struct RunHeartbeatResult {
   std::string batchId;
   std::uint64_t runEpoch = 0;
   std::uint8_t status = 0;  ///< `RunStatus`.
-  NodeId owner;             ///< Hint, with `NotOwner`.
+  NodeId owner;             ///< Owner hint, with `NotOwner`.
   MSGPACK_DEFINE(batchId, runEpoch, status, owner);
 };
 
-/// Owner to runner: answers `RunHeartbeat`.
+/// Owner to runner: reply to `RunHeartbeat`.
 struct RunHeartbeatReply {
   static constexpr ServiceId kService = ServiceId::BatchRunner;
   static constexpr std::uint16_t kKind = 2;
@@ -207,7 +210,7 @@
   MSGPACK_DEFINE(number, runs);
 };
 
-/// Owner to runner: answers `FetchItems`.
+/// Owner to runner: reply to `FetchItems`.
 struct ItemsPage {
   static constexpr ServiceId kService = ServiceId::BatchRunner;
   static constexpr std::uint16_t kKind = 3;
@@ -215,16 +218,17 @@
   std::uint64_t runEpoch = 0;
   std::uint64_t from = 0;
   std::vector<UnfinishedItem> items;
-  std::uint64_t next = 0;  ///< Position to fetch next; 0 when the end was reached.
+  std::uint64_t next = 0;  ///< Position to fetch next; 0 at the end of the batch.
   MSGPACK_DEFINE(batchId, runEpoch, from, items, next);
 };
 
+/// Outcome of a request to start an item.
 enum class StartOutcome : std::uint8_t {
-  Accepted = 1,  ///< Durable.
-  Rejected = 2,  ///< Did not and will not take effect: the attempt is over.
+  Accepted = 1,  ///< `Started` is durable.
+  Rejected = 2,  ///< Has not taken effect and never will; the attempt has ended.
 };
 
-/// Owner to runner: answers `StartItem`.
+/// Owner to runner: reply to `StartItem`.
 struct StartReply {
   static constexpr ServiceId kService = ServiceId::BatchRunner;
   static constexpr std::uint16_t kKind = 4;
@@ -236,7 +240,7 @@
   MSGPACK_DEFINE(batchId, runEpoch, position, attempt, outcome);
 };
 
-/// Owner to runner: answers `FinishItem` and `RevertStart`.
+/// Owner to runner: reply to `FinishItem` and `RevertStart`.
 struct FinishReply {
   static constexpr ServiceId kService = ServiceId::BatchRunner;
   static constexpr std::uint16_t kKind = 5;
--- a/src/batch/batch_owner_core.h
+++ b/src/batch/batch_owner_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// Owner side of durable batches, on the store nodes.
+/// Owner role of durable batches, on store nodes.
 #pragma once
 
 #include "batch/batch_owner_options.h"
@@ -18,32 +18,34 @@
 
 namespace shedshed {
 
-/// Keeps the batches of the partitions that this node owns.
+/// Manages the batches of the partitions that this node owns.
 ///
-/// Dispatches messages, timers and changes of ownership to its parts:
-/// - `BatchUploads`: submissions until they are committed; `QueuedTokenReservations` for their
-///   share of the quota.
-/// - `RunSupervisor`: which node runs a batch. `ItemLifecycle`: start, revert and result of items.
-/// - `BatchQueries`: reads and cancels. `BatchRetention`: deletion.
-/// - `BatchTable`, `ItemWriter` and `RetryingWriter`: the state that the others share, and the only
-///   ways to change rows of a committed batch.
+/// Dispatches messages, timers and ownership changes to its components:
+/// - `BatchUploads`: submissions until they are committed. `QueuedTokenReservations`: their
+///   reservations of the queued-token quota.
+/// - `RunSupervisor`: assignment of batches to runners. `ItemLifecycle`: start, revert and result
+///   of items.
+/// - `BatchQueries`: reads and cancellations. `BatchRetention`: deletion.
+/// - `BatchTable`, `ItemWriter` and `RetryingWriter`: the shared state, and the only ways to change
+///   rows of a committed batch.
 ///
-/// What is durable before what:
-/// - the commit record, on a majority, before a submission is accepted;
-/// - the run epoch before the run is announced, in the write that resolves the starts of earlier
-///   runs (idempotent items become pending, the others `Unknown`);
-/// - `Started` before the runner may call an engine;
-/// - the first result of an item before it is acknowledged or read; later ones change nothing.
+/// Durability order:
+/// - The commit record is on a majority before a submission is acknowledged.
+/// - The run epoch is durable before the run is sent to its runner. The same write resolves the
+///   starts of earlier runs: idempotent items become pending, the others `Unknown`.
+/// - `Started` is durable before the runner may call an engine.
+/// - The first result of an item is durable before it is acknowledged or read. Later results change
+///   nothing.
 ///
-/// A successor fences this node by the epoch of the partition: writes of a fenced owner fail, and
-/// what it would answer from memory needs a proof of the ownership first.
+/// A successor fences this node with the partition epoch: writes of a fenced owner fail, and it
+/// must confirm its ownership before it replies from memory.
 /// Core thread only.
 class BatchOwnerCore : public Core, public PartitionListener {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   BatchOwnerCore(CoreContext& context, PartitionStore& store, ConfigurationSource& configuration,
                  const Directory& directory, BatchOwnerOptions options = {});
-  // The parts refer to each other.
+  // Not copyable: the components hold references to each other.
   BatchOwnerCore(const BatchOwnerCore&) = delete;
   BatchOwnerCore& operator=(const BatchOwnerCore&) = delete;
 
@@ -55,21 +57,21 @@
                        RecoveryKind recovery) override;
   void ownershipLost(const PartitionId& partition) override;
 
-  /// The committed batches of all tenants in the owned partitions, for operators.
+  /// Returns the committed batches of all tenants in the owned partitions, for operators.
   std::vector<BatchStatus> list() const { return queries_.list(); }
 
-  /// Proves the ownership and gives the status of any tenant's batch. Fails with `NotFound`,
-  /// `NotOwner` or `NotReady`.
+  /// Confirms ownership and passes the status of any tenant's batch to @p done. Fails with
+  /// `NotFound`, `NotOwner` or `NotReady`.
   void statusForOperator(const std::string& batchId, std::function<void(Result<BatchStatus>)> done);
 
-  /// Cancels any tenant's batch; safe to repeat. @p done is not called if the ownership is lost
-  /// meanwhile: the outcome is then unknown.
+  /// Cancels any tenant's batch; idempotent. @p done is not called if ownership is lost in the
+  /// meantime; the outcome is then unknown.
   void cancelForOperator(const std::string& batchId, std::function<void(Result<BatchStatus>)> done);
 
  private:
   static constexpr TimerId kTickTimer = 1;
 
-  /// True if the message is one of a runner, and was handled.
+  /// Returns true if the message was a runner's and has been handled.
   bool receiveFromRunner(const NodeId& from, const Message& message);
   /// Periodic work of all owned partitions.
   void tick();
--- a/src/batch/batch_owner_options.h
+++ b/src/batch/batch_owner_options.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sizes and times of the owner of batches.
+/// Limits and durations of the batch owner.
 #pragma once
 
 #include "batch/batch_safeguards.h"
@@ -9,26 +9,27 @@
 
 namespace shedshed {
 
-/// Options of `BatchOwnerCore`, shared by its parts.
+/// Options of `BatchOwnerCore`, shared by its components.
 struct BatchOwnerOptions {
-  /// How long a finished batch can be read. Counted by each owner from the moment that it saw the
-  /// batch finished: clocks of two machines are never compared.
+  /// How long a finished batch can be read. Each owner measures it from the time at which it
+  /// observed the batch to be finished, because clocks of different machines are never compared.
   Duration retention = std::chrono::hours(24);
   /// A submission without progress for this long is erased.
   Duration uploadTimeout = std::chrono::seconds(60);
-  /// How long a rejected submission is remembered, so that a late duplicate is rejected as well.
+  /// How long a rejection is remembered, so that a delayed duplicate of the request is rejected
+  /// too.
   Duration rejectionRetention = std::chrono::minutes(5);
-  /// A run without a heartbeat for this long is assigned to another node.
+  /// A run without a heartbeat for this long is reassigned to another node.
   Duration runTimeout = std::chrono::seconds(6);
   /// Interval of the owner's periodic work.
   Duration tick = std::chrono::milliseconds(500);
-  /// Body bytes that one partition takes before it rejects new batches with `StorageFull`.
+  /// Body bytes in one partition above which new batches are rejected with `StorageFull`.
   std::uint64_t maxPartitionBodyBytes = 512ULL << 20U;
-  /// Bound of one page of results or bodies, in bytes of bodies.
+  /// Limit on the body bytes of one page of results or items.
   std::uint64_t maxPageBytes = 1U << 20U;
-  /// Bound of one page, in items.
+  /// Limit on the items of one page.
   std::uint32_t maxPageItems = 1000;
-  /// Rows erased in one write.
+  /// Limit on the rows erased in one write.
   std::uint64_t maxErasedRowsPerWrite = 1000;
   BatchSafeguards safeguards;
 };
--- a/src/batch/batch_queries.cpp
+++ b/src/batch/batch_queries.cpp
@@ -12,9 +12,9 @@
   const auto kind = static_cast<BatchQueryKind>(query.kind);
   const BatchState* batch = table_.find(query.batchId);
   const bool isCommitted = batch != nullptr && batch->committed;
-  // Durable results never change, so they need no proof; but a fenced owner would list fewer of
-  // those in the order of completion than were read before. Nor does what a mutation test leaves
-  // out.
+  // Durable results never change, so they can be served without confirming ownership. Listings in
+  // completion order are the exception: a fenced owner could list fewer results than were read
+  // before. Mutation tests can disable the confirmation of `NotFound`.
   const bool isImmutable =
       kind == BatchQueryKind::Results && isCommitted && !batch->listsByCompletion();
   const bool needsConfirmation = isCommitted ? !isImmutable : safeguards_.confirmNotFound;
@@ -111,7 +111,7 @@
     return;
   }
   batch->cancelRequested = true;
-  // Pending items need no row of their own: in a cancelled batch an absent row means cancelled.
+  // Pending items need no rows of their own: in a cancelled batch an absent row means cancelled.
   writer_.write(partitionOfBatch(batchId), {{cancelKey(batchId), std::string("1")}},
                 [this, batchId] {
                   BatchState* cancelled = table_.find(batchId);
--- a/src/batch/batch_queries.h
+++ b/src/batch/batch_queries.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reads and cancels of batches.
+/// Reads and cancellations of batches.
 #pragma once
 
 #include "batch/batch_messages.h"
@@ -13,14 +13,14 @@
 
 namespace shedshed {
 
-/// Answers reads and cancels of clients and operators.
+/// Serves reads and cancellations for clients and operators.
 ///
-/// A durable result never changes and is answered from memory; everything else only after a proof
-/// of the ownership. A cancel is durable before it is acknowledged; from its arrival on nothing
-/// starts. Core thread only.
+/// Durable results never change and are served from memory. Every other reply is sent only after
+/// ownership has been confirmed. A cancellation is durable before it is acknowledged, and no item
+/// starts after it has been received. Core thread only.
 class BatchQueries {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   BatchQueries(PartitionStore& store, const BatchSafeguards& safeguards, BatchTable& table,
                RetryingWriter& writer, ItemWriter& items, BatchResponder& responder,
                BatchReader reader)
@@ -31,16 +31,16 @@
 
   /// Returns the committed batches of all tenants in the owned partitions.
   std::vector<BatchStatus> list() const;
-  /// Proves the ownership and gives the status of any tenant's batch. Fails with `NotFound`,
-  /// `NotOwner` or `NotReady`.
+  /// Confirms ownership and passes the status of any tenant's batch to @p done. Fails with
+  /// `NotFound`, `NotOwner` or `NotReady`.
   void statusForOperator(const std::string& batchId, std::function<void(Result<BatchStatus>)> done);
-  /// Cancels any tenant's batch; idempotent. @p done is not called if the ownership is lost
-  /// meanwhile: the outcome is then unknown.
+  /// Cancels any tenant's batch; idempotent. @p done is not called if ownership is lost in the
+  /// meantime; the outcome is then unknown.
   void cancelForOperator(const std::string& batchId, std::function<void(Result<BatchStatus>)> done);
 
  private:
   void answerQuery(const NodeId& from, const BatchQuery& query);
-  /// Returns the committed batch of the query's tenant, or null with the error in @p reply.
+  /// Returns the committed batch of the query's tenant; or null, with the error set in @p reply.
   BatchState* visibleBatch(const BatchQuery& query, BatchReply& reply);
   void answerItemBody(const BatchState& batch, const BatchQuery& query, BatchReply& answer) const;
   void cancelBatch(const std::string& batchId, std::function<void()> done);
--- a/src/batch/batch_reader.cpp
+++ b/src/batch/batch_reader.cpp
@@ -19,7 +19,7 @@
   const PartitionId partition = partitionOfBatch(batch.id());
   const auto row = store_.get(partition, itemKey(batch.id(), position));
   if (!row) {
-    // Only an item that was cancelled before it started has a final state without a row.
+    // An item has a final state without a row only if it was cancelled before it started.
     return batch.cancelled();
   }
   Result<ItemRecord> record = decodeRecord<ItemRecord>(*row);
@@ -42,7 +42,7 @@
 
 ResultPage BatchReader::resultPage(const BatchState& batch, std::uint64_t from,
                                    std::uint32_t limit) const {
-  // In the order of completion a slow item delays no other's result.
+  // In completion order, a slow item does not delay the results of others.
   const bool byCompletion = batch.listsByCompletion();
   const std::uint64_t end = byCompletion ? batch.listed() : batch.meta().itemCount;
   ResultPage page;
--- a/src/batch/batch_records.cpp
+++ b/src/batch/batch_records.cpp
@@ -8,7 +8,7 @@
 namespace shedshed {
 namespace {
 
-/// Digits of a number in a key: enough that keys sort as their numbers do.
+/// Numbers in keys are zero-padded to this width, so that keys sort in numeric order.
 constexpr int kNumberDigits = 10;
 
 std::string zeroPadded(std::uint64_t number) {
--- a/src/batch/batch_records.h
+++ b/src/batch/batch_records.h
@@ -1,8 +1,8 @@
 /// @file
-/// Rows of a batch in its partition's table.
+/// Rows of a batch in the table of its partition.
 ///
-/// The kind of row comes before the batch id in each key, so that a takeover reads the few `meta`
-/// rows without visiting the rows of all items.
+/// Each key begins with the kind of row, followed by the batch id, so that a takeover can read the
+/// few `meta` rows without scanning the rows of all items.
 #pragma once
 
 #include "batch/batch_client.h"
@@ -16,8 +16,8 @@
 
 namespace shedshed {
 
-/// The commit record. A batch exists if and only if this row does; it is written together with the
-/// last chunk, after all the others are durable, and never changes.
+/// The commit record. A batch exists if and only if this row does. It is written atomically with
+/// the last chunk, after all other chunks are durable, and never changes.
 struct BatchMeta {
   std::string tenant;
   bool idempotent = false;
@@ -25,9 +25,9 @@
   std::string digest;                         ///< `itemsDigest` of the whole submission.
   std::vector<std::uint64_t> chunkPositions;  ///< Position of the first item of each chunk.
   std::uint64_t bodyBytes = 0;
-  std::vector<std::string> names;     ///< Of all items in order, or empty.
-  std::string route;                  ///< Route that took the batch, or empty.
-  std::vector<std::uint64_t> tokens;  ///< Of all items in order, or empty.
+  std::vector<std::string> names;     ///< Of all items in order; empty if unnamed.
+  std::string route;                  ///< Route that accepted the batch, or empty.
+  std::vector<std::uint64_t> tokens;  ///< Token counts of all items in order, or empty.
   MSGPACK_DEFINE(tenant, idempotent, itemCount, digest, chunkPositions, bodyBytes, names, route,
                  tokens);
 };
@@ -38,39 +38,39 @@
   MSGPACK_DEFINE(items);
 };
 
-/// Marks an uncommitted submission or a batch being erased: rows that nobody may read.
+/// Marks an uncommitted submission or a batch that is being erased, whose rows must not be read.
 struct PendingDeletionRecord {
   std::uint64_t chunks = 0;  ///< Body rows below this index may exist.
   std::uint64_t items = 0;   ///< Item rows below this position may exist.
   MSGPACK_DEFINE(chunks, items);
 };
 
-/// The run in force. The epoch only rises; it fences the runners before it.
+/// The current run. The epoch only increases and fences the runners of earlier runs.
 struct RunRecord {
   std::uint64_t epoch = 0;
   std::string runner;  ///< Node id; empty before the first run.
   MSGPACK_DEFINE(epoch, runner);
 };
 
-/// An item that was started at least once. A pending item that never ran has no row, and neither
-/// has a cancelled one: in a cancelled batch the absence of a row means `Cancelled`. A row in the
-/// state `Pending` is that of an idempotent item that may have run and waits to run again; in a
-/// cancelled batch its result is `Unknown`.
+/// An item that was started at least once. Pending and cancelled items that never ran have no row:
+/// in a cancelled batch the absence of a row means `Cancelled`. A row in state `Pending` belongs to
+/// an idempotent item that may have run and will run again; in a cancelled batch its result is
+/// `Unknown`.
 struct ItemRecord {
   ItemState state = ItemState::Started;
   std::uint64_t runEpoch = 0;
-  std::uint64_t incarnation = 0;  ///< Of the runner process that started it.
-  std::uint64_t attempt = 0;      ///< Numbers the starts of one runner process.
+  std::uint64_t incarnation = 0;  ///< Of the runner process that started the item.
+  std::uint64_t attempt = 0;      ///< Start number within the runner process.
   std::string body;
   std::string errorType;
   bool mayHaveRun = false;  ///< An earlier attempt of this item may have reached an engine.
-  /// Place of the result in the order of completion, from 1; 0 if the item has no result or the
-  /// batch's items have no names.
+  /// Rank of the result in completion order, from 1; 0 if the item has no result or the items of
+  /// the batch are unnamed.
   std::uint64_t rank = 0;
   MSGPACK_DEFINE(state, runEpoch, incarnation, attempt, body, errorType, mayHaveRun, rank);
 };
 
-/// Prefixes of the kinds of row.
+/// Key prefixes of the kinds of row.
 inline constexpr const char* kMetaPrefix = "batch/meta/";
 inline constexpr const char* kRunPrefix = "batch/run/";
 inline constexpr const char* kCancelPrefix = "batch/cancel/";
@@ -92,20 +92,20 @@
 /// Returns the partition that holds the rows of @p batchId.
 PartitionId partitionOfBatch(const std::string& batchId);
 
-/// Returns the batch id that ends the key of a row of the batch itself.
+/// Returns the batch id at the end of the key of a per-batch row.
 std::string batchIdOfKey(std::string_view key);
 
-/// Returns the position that ends an item's key.
+/// Returns the position at the end of the key of an item row.
 std::uint64_t positionOfItemKey(std::string_view key);
 
-/// Returns the batch id that a client key stands for: every resend finds the same batch.
+/// Derives the batch id from a client key, so that a resent submission maps to the same batch.
 std::string batchIdOfClientKey(const std::string& tenant, const std::string& clientKey);
 
-/// Extends @p hashes by the hash of each item. `itemsDigest` of the result names the content.
+/// Appends the hash of each item to @p hashes. `itemsDigest` of the result identifies the content.
 void appendItemHashes(std::string& hashes, const std::vector<std::string>& items);
 std::string itemsDigest(const std::string& hashes);
 
-/// True for the states that never change.
+/// True for terminal states, which never change.
 bool isFinal(ItemState state);
 
 }  // namespace shedshed
--- a/src/batch/batch_responder.h
+++ b/src/batch/batch_responder.h
@@ -1,5 +1,5 @@
 /// @file
-/// Answers of the owner to the clients of batches.
+/// Replies of the batch owner to batch clients.
 #pragma once
 
 #include "batch/batch_messages.h"
@@ -10,7 +10,7 @@
 
 namespace shedshed {
 
-/// The request that an answer belongs to, and which transmission of it.
+/// Identifies a request and one of its transmissions.
 struct RequestId {
   std::uint64_t number = 0;
   std::uint32_t transmission = 0;
@@ -23,14 +23,14 @@
 /// Sends `BatchReply` messages. Core thread only.
 class BatchResponder {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   BatchResponder(CoreContext& context, const PartitionStore& store)
       : context_(context), store_(store) {}
 
   void reply(const NodeId& to, const BatchReply& reply);
-  /// Rejects the request with @p code; @p detail is for the caller of the batch.
+  /// Rejects the request with @p code; @p detail is passed on to the caller.
   void reject(const NodeId& to, RequestId request, ErrorCode code, std::string detail = {});
-  /// Names the owner of @p batchId as far as this node knows it.
+  /// Replies `NotOwner` with the owner of @p batchId, if this node knows it.
   void redirect(const NodeId& to, RequestId request, const std::string& batchId);
 
  private:
--- a/src/batch/batch_run.h
+++ b/src/batch/batch_run.h
@@ -1,5 +1,5 @@
 /// @file
-/// One run of a batch in its runner's memory.
+/// In-memory state of one run of a batch at its runner.
 #pragma once
 
 #include "batch/batch_messages.h"
@@ -14,24 +14,24 @@
 
 namespace shedshed {
 
-/// Names a run: batch id and run epoch.
+/// Identifies a run: batch id and run epoch.
 using RunKey = std::pair<std::string, std::uint64_t>;
 
-/// What an attempt of an item waits for.
+/// What an item attempt is waiting for.
 enum class AttemptPhase {
-  Acquiring,  ///< Slots.
-  Starting,   ///< The owner makes `Started` durable.
-  Running,    ///< The engine.
-  Reporting,  ///< The owner acknowledges the result or the revert.
+  Acquiring,  ///< The grant of slots.
+  Starting,   ///< The owner's confirmation that `Started` is durable.
+  Running,    ///< The engine's response.
+  Reporting,  ///< The owner's acknowledgement of the result or revert.
 };
 
-/// An attempt of an item that is in flight.
+/// An item attempt in flight.
 struct ItemAttempt {
   AttemptPhase phase = AttemptPhase::Acquiring;
   std::uint64_t attempt = 0;
   std::string model;
   std::string body;
-  std::optional<std::uint64_t> grant;  ///< Granted slots.
+  std::optional<std::uint64_t> grant;  ///< Id of the granted slots.
   std::string suggestedEngine;
   Time startRequestedAt{};
   Time lastSent{};
@@ -44,18 +44,18 @@
   Time due{};  ///< When all results are due, if the assignment has a due time.
   PartitionId partition;
   std::uint32_t locatorAttempt = 0;
-  Time leaseEnd{};  ///< Nothing starts from here on; extended by heartbeat replies.
+  Time leaseEnd{};  ///< No item starts after this; extended by heartbeat replies.
   Time heartbeatSent{};
-  bool heartbeatInFlight = false;  ///< The last heartbeat has no reply yet.
-  bool stopped = false;            ///< Cancelled: nothing starts, what runs is finished.
-  bool ended = false;              ///< Fenced or finished: only reports what ran.
+  bool heartbeatInFlight = false;  ///< The last heartbeat has not been replied to.
+  bool stopped = false;            ///< Cancelled: no new starts; running items are finished.
+  bool ended = false;              ///< Fenced or finished: only reports outstanding results.
   WaitingItems waiting;
   std::map<std::uint64_t, ItemAttempt> items;                ///< By position.
-  std::map<std::uint64_t, std::uint32_t> engineCallsByItem;  ///< Engine calls by position.
+  std::map<std::uint64_t, std::uint32_t> engineCallsByItem;  ///< Number of calls by position.
   std::map<std::string, ItemAdmission> admissions;           ///< By model.
   std::uint64_t fetchFrom = 0;                               ///< Position of the next page.
-  std::optional<Time> fetchSent;                             ///< A page is in flight since then.
-  Time nextPass{};  ///< The first page is not fetched before.
+  std::optional<Time> fetchSent;                             ///< Set while a page is in flight.
+  Time nextPass{};  ///< Earliest time of the next first page.
 };
 
 }  // namespace shedshed
--- a/src/batch/batch_settings.h
+++ b/src/batch/batch_settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// Settings in force for the batch route of a tenant.
+/// Effective settings of batches, by tenant and route.
 #pragma once
 
 #include "register/configuration_register.h"
@@ -9,24 +9,25 @@
 
 namespace shedshed {
 
-/// The route under which tenants override settings of batches.
+/// The route under which tenants override batch settings.
 inline constexpr const char* kBatchRoute = "/v1/batches";
 
-/// Follows the settings register. A value that cannot be parsed leaves the one before in force.
-/// Core thread only.
+/// Subscribes to the settings register. A value that cannot be parsed is ignored, and the previous
+/// one stays in effect. Core thread only.
 class BatchSettings {
  public:
-  /// @p configuration and this object live as long as each other's process.
+  /// The subscription is permanent: @p configuration and this object must live as long as the
+  /// process.
   explicit BatchSettings(ConfigurationSource& configuration);
   BatchSettings(const BatchSettings&) = delete;
   BatchSettings& operator=(const BatchSettings&) = delete;
 
   EffectiveSettings effective(const std::string& tenant) const;
 
-  /// Time after its submission at which all results of a batch of @p route are due; 0: none.
+  /// Time after submission by which all results of a batch of @p route are due; 0 if there is none.
   Duration runObjective(const std::string& route) const;
 
-  /// Limit of the queued tokens of one tenant on @p route; 0 if there is none.
+  /// Limit on the queued tokens of one tenant on @p route; 0 if there is none.
   std::uint64_t queuedTokenLimit(const std::string& route) const;
   /// True if any route limits the queued tokens.
   bool limitsQueuedTokens() const;
--- a/src/batch/batch_state.h
+++ b/src/batch/batch_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// One batch in its owner's memory.
+/// In-memory state of one batch at its owner.
 #pragma once
 
 #include "batch/batch_records.h"
@@ -13,15 +13,15 @@
 
 namespace shedshed {
 
-/// A durable `Started` item.
+/// The attempt that made an item `Started`; durable.
 struct StartedItem {
   std::uint64_t runEpoch = 0;
   std::uint64_t incarnation = 0;
   std::uint64_t attempt = 0;
 };
 
-/// Durable states of the items of one batch, one byte each, with running counts: no event scans
-/// them all. A write in flight is kept apart, and nothing is answered from it.
+/// Durable states of the items of one batch, one byte per item, with running counts so that no
+/// event scans all items. Writes in flight are tracked separately and are never visible in replies.
 class BatchState {
  public:
   BatchState(std::string batchId, BatchMeta meta);
@@ -29,21 +29,21 @@
   const std::string& id() const { return id_; }
   const BatchMeta& meta() const { return meta_; }
 
-  /// The durable state. In a cancelled batch a pending item is `Cancelled`, or `Unknown` if an
-  /// earlier attempt may have run.
+  /// Returns the durable state. A pending item of a cancelled batch is `Cancelled`, or `Unknown` if
+  /// an earlier attempt may have run.
   ItemState state(std::uint64_t position) const;
   void setStarted(std::uint64_t position, const StartedItem& started);
   void setPending(std::uint64_t position);
-  /// An attempt of the item may have reached an engine. Stays until the item has a final state.
+  /// Records that an attempt may have reached an engine; kept until the item has a final state.
   void setMayHaveRun(std::uint64_t position) { mayHaveRun_.insert(position); }
   bool mayHaveRun(std::uint64_t position) const { return mayHaveRun_.count(position) != 0; }
   void setState(std::uint64_t position, ItemState state);
-  /// Applies the durable row of an item; none means that it is pending and never ran.
+  /// Applies the durable row of an item; no row means that the item is pending and never ran.
   void apply(std::uint64_t position, const std::optional<ItemRecord>& record);
   void setCancelled() { cancelled_ = true; }
   bool cancelled() const { return cancelled_; }
 
-  /// Restores a finished batch, whose per-item states are not kept in memory.
+  /// Marks the batch as finished. Its per-item states are no longer kept in memory.
   void setFinished(const BatchStatus& status);
   bool finished() const { return finished_; }
   /// True when every item has a final state.
@@ -52,20 +52,21 @@
   BatchStatus status() const;
   const std::map<std::uint64_t, StartedItem>& started() const { return started_; }
 
-  /// True if results are listed in the order of completion: the items have names.
+  /// True if results are listed in completion order, which is the case if the items are named.
   bool listsByCompletion() const { return !meta_.names.empty(); }
-  /// Returns the rank for the next result. Ranks are written in this order.
+  /// Allocates the rank of the next result. Ranks are written in increasing order.
   std::uint64_t nextRank() { return nextRank_++; }
-  /// The result of the item at @p position is durable under @p rank.
+  /// Records that the result of the item at @p position is durable with @p rank.
   void setRank(std::uint64_t rank, std::uint64_t position) { ranks_[rank] = position; }
-  /// Number of results that may be read: those with a rank and without a gap before it.
+  /// Number of results that may be read: those whose rank has no gap before it.
   std::uint64_t listed() const { return listed_; }
-  /// Counts the results that may be read anew after ranks have been set.
+  /// Updates `listed` after ranks have been set.
   void advanceListed();
-  /// The item of the result at place @p index, which must be below `listed`.
+  /// Returns the position of the item with the result at @p index, which must be below `listed`.
   std::uint64_t positionAt(std::uint64_t index) const { return ranks_.at(index + 1); }
-  /// After a takeover: removes the ranks behind a gap, and returns their items. No one can have
-  /// read them: a result counts once a majority has it, and writes count in their order.
+  /// After a takeover: removes the ranks after a gap and returns the positions of their items.
+  /// These results cannot have been read: a result becomes readable only when a majority has it,
+  /// and writes complete in order.
   std::vector<std::uint64_t> dropRanksBehindGap();
 
   /// Returns the index of the chunk that holds @p position.
@@ -76,23 +77,24 @@
   /// Tokens of the items without a final state; 0 once the batch is finished.
   std::uint64_t queuedTokens() const { return finished_ ? 0 : queuedTokens_; }
 
-  Time acceptedAt{};             ///< On this owner's clock; after a takeover the time of that.
-  bool committed = false;        ///< The commit record is on a majority.
-  bool cancelRequested = false;  ///< A cancel has arrived; from here on nothing starts.
-  bool finalWriteInFlight = false;
-  /// Items with a result whose rank has to be written anew after a takeover.
+  Time acceptedAt{};                ///< On this owner's clock; the load time after a takeover.
+  bool committed = false;           ///< The commit record is on a majority of replicas.
+  bool cancelRequested = false;     ///< A cancel was received: no further item starts.
+  bool finalWriteInFlight = false;  ///< The final row is being written.
+  /// Items whose results lost their rank in a takeover and need a new one.
   std::vector<std::uint64_t> unranked;
   RunRecord run;
-  bool runDurable = false;              ///< `run` is on a majority and may be announced.
-  bool runAcknowledged = false;         ///< A heartbeat named the run.
-  std::uint64_t runnerIncarnation = 0;  ///< Incarnation of the run's runner; 0 if not known.
-  Time lastHeartbeat{};                 ///< Of the runner, or when the run began.
+  bool runDurable = false;              ///< `run` is on a majority and may be sent to the runner.
+  bool runAcknowledged = false;         ///< A heartbeat has listed the run.
+  std::uint64_t runnerIncarnation = 0;  ///< 0 if not known yet.
+  Time lastHeartbeat{};                 ///< Last heartbeat of the runner, or start of the run.
   Time finishedAt{};                    ///< On this owner's clock.
   std::vector<std::function<void()>> commitWaiters;
   std::vector<std::function<void()>> cancelWaiters;
-  /// Items with a write in flight, and the events that wait for it.
+  /// Positions of items with a write in flight, with the events deferred until it completes.
   std::map<std::uint64_t, std::vector<std::function<void()>>> writesInFlight;
-  /// Highest reverted attempt per item in the current run: a late start must not undo it.
+  /// Highest reverted attempt per item in the current run. A delayed duplicate of its start is
+  /// rejected.
   std::map<std::uint64_t, std::uint64_t> revertedAttempts;
 
  private:
@@ -111,7 +113,7 @@
   std::uint64_t nextRank_ = 1;
   std::uint64_t listed_ = 0;
   std::map<std::uint64_t, StartedItem> started_;
-  std::set<std::uint64_t> mayHaveRun_;  ///< Of the items without a final state.
+  std::set<std::uint64_t> mayHaveRun_;  ///< Only items without a final state.
 };
 
 }  // namespace shedshed
--- a/src/batch/batch_uploads.cpp
+++ b/src/batch/batch_uploads.cpp
@@ -5,7 +5,7 @@
 namespace shedshed {
 namespace {
 
-/// Names the chunk that the sender is to send next.
+/// Tells the sender which chunk to send next.
 BatchReply nextChunkReply(std::uint64_t request, std::uint64_t nextChunk) {
   BatchReply reply;
   reply.request = request;
@@ -63,7 +63,7 @@
     return true;
   }
   if (retention_.isPending(chunk.batchId)) {
-    // Rows of an earlier batch or submission under this id are still being erased.
+    // Rows of an earlier batch or submission with this id are still being erased.
     responder_.reject(from, requestIdOf(chunk), ErrorCode::NotReady);
     return true;
   }
@@ -73,7 +73,7 @@
 void BatchUploads::answerCommitted(const NodeId& from, const SubmitChunk& chunk, BatchState& batch,
                                    bool resent) {
   if (!batch.committed && options_.safeguards.acceptAfterMajority) {
-    // The commit is in flight: its outcome decides the answer to this resend.
+    // The commit is in flight; its outcome determines the reply to this resend.
     batch.commitWaiters.push_back([this, from, chunk, resent] {
       if (BatchState* committedBatch = table_.find(chunk.batchId)) {
         answerCommitted(from, chunk, *committedBatch, resent);
@@ -97,8 +97,8 @@
   const auto found = partition.uploads.find(chunk.batchId);
   if (found != partition.uploads.end()) {
     if (!hasSameContent(found->second.meta(), chunk)) {
-      // Another submission under the same client key has not committed yet: neither is rejected
-      // permanently before one of them has.
+      // Another submission with the same client key has not committed yet. Neither is rejected
+      // permanently until one of them has committed.
       responder_.reject(from, requestIdOf(chunk), ErrorCode::NotReady);
       return nullptr;
     }
@@ -132,7 +132,7 @@
   const std::uint64_t index = chunk.chunk;
   upload.append(chunk, context_.now());
   std::vector<TableEntry> entries;
-  // The marker covers this chunk before the chunk can exist, so that no row is ever orphaned.
+  // The upload marker is written atomically with the chunk it covers, so that no row is orphaned.
   entries.push_back({uploadKey(chunk.batchId), encodeRecord(PendingDeletionRecord{index + 1, 0})});
   entries.push_back(
       {bodyKey(chunk.batchId, index), encodeRecord(BodyChunk{std::move(chunk.items)})});
--- a/src/batch/batch_uploads.h
+++ b/src/batch/batch_uploads.h
@@ -1,5 +1,5 @@
 /// @file
-/// Submissions of batches: chunks, then the commit record.
+/// Chunked submission of batches.
 #pragma once
 
 #include "batch/batch_owner_options.h"
@@ -16,20 +16,20 @@
 
 namespace shedshed {
 
-/// Takes submissions until they are committed or rejected.
+/// Processes submissions until they are committed or rejected.
 ///
-/// - A marker row is durable with the first chunk and covers each chunk before that chunk exists,
-///   so that a crash in the middle leaves no orphaned row.
-/// - A batch exists once its commit record, written after all of its chunks, is on a majority; the
-///   submission is acknowledged only then. The batch id is chosen by the sender or follows from
-///   the client key, so that a resend finds the same batch.
-/// - A commit that failed may have survived on a replica. It is rejected only once its erasure is
-///   durable: until then it may still run.
-/// - A rejection is remembered for a time: a duplicate that arrives late must not commit.
+/// - An upload marker that covers a chunk is written atomically with it, so that a crash during an
+///   upload leaves no orphaned rows.
+/// - A batch exists once its commit record, written after all of its chunks, is on a majority. The
+///   submission is acknowledged only then. The batch id is chosen by the sender or derived from the
+///   client key, so that a resent submission maps to the same batch.
+/// - A failed commit may have survived on a replica, and the batch may still run. The submission is
+///   rejected only once the erasure of the batch is durable.
+/// - Rejections are remembered for `rejectionRetention`, so that a delayed duplicate cannot commit.
 /// Core thread only.
 class BatchUploads : public ReservationListener {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   BatchUploads(CoreContext& context, PartitionStore& store, const BatchSettings& settings,
                const BatchOwnerOptions& options, BatchTable& table, BatchRetention& retention,
                QueuedTokenReservations& reservations, RunSupervisor& runs,
@@ -37,14 +37,14 @@
       : context_(context), store_(store), settings_(settings), options_(options), table_(table),
         retention_(retention), reservations_(reservations), runs_(runs), responder_(responder) {}
 
-  /// The ownership of @p partition begins or ends: its submissions are forgotten, and their senders
-  /// start again at the first chunk.
+  /// Ownership of @p partition begins or ends: its open submissions are dropped, and their senders
+  /// restart at the first chunk.
   void begin(const PartitionId& partition) { partitions_[partition] = Partition(); }
   void drop(const PartitionId& partition) { partitions_.erase(partition); }
 
   void onSubmit(const NodeId& from, SubmitChunk chunk);
 
-  /// Periodic work: abandons submissions without progress, forgets old rejections.
+  /// Periodic work: abandons submissions without progress and drops expired rejections.
   void expire(const PartitionId& partition);
 
   void reservationGranted(const PartitionId& partition, const std::string& batchId) override;
@@ -63,15 +63,16 @@
     std::map<std::pair<NodeId, std::uint64_t>, Rejection> rejected;
   };
 
-  /// Answers a chunk that needs no upload: the batch exists, or cannot be accepted now.
+  /// Replies to a chunk for which no upload is needed, because the batch exists or cannot be
+  /// accepted now. Returns true if it replied, or will once a commit in flight completes.
   bool answerWithoutUpload(const NodeId& from, const SubmitChunk& chunk,
                            const Partition& partition);
-  /// @p resent tells the caller that the batch had been accepted before this submission.
+  /// @p resent is true if the batch had been accepted before this submission.
   void answerCommitted(const NodeId& from, const SubmitChunk& chunk, BatchState& batch,
                        bool resent);
-  /// Returns the upload of the chunk, a new one for a first chunk; null if it was answered.
+  /// Returns the upload of the chunk, created for a first chunk; null if a reply has been sent.
   BatchUpload* uploadFor(const NodeId& from, const SubmitChunk& chunk, Partition& partition);
-  /// True if the bodies of the chunk fit into the partition.
+  /// True if the partition has space for the bodies of the chunk.
   bool hasSpaceFor(const Partition& partition, const SubmitChunk& chunk,
                    const BatchUpload& upload) const;
   void storeChunk(const NodeId& from, SubmitChunk chunk, BatchUpload& upload);
--- a/src/batch/item_admission.h
+++ b/src/batch/item_admission.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many items of one model a run of a batch may have with slots at once.
+/// Limits the slots that one run of a batch requests and uses for one model.
 #pragma once
 
 #include "kernel/time.h"
@@ -9,55 +9,58 @@
 
 namespace shedshed {
 
-/// Share of the slots in use that a run keeps after a rejection. The rest is for others: two
-/// batches that compete for one pool come to even shares.
+/// Multiplicative decrease: the window after a rejection, relative to the slots in use. Two batches
+/// that compete for one pool converge to equal shares.
 inline constexpr double kWindowDecreaseFactor = 0.75;
-/// After a rejection the window grows by one item in this time, until the next one.
+/// Additive increase: after a rejection the window grows by one item per interval.
 inline constexpr Duration kWindowGrowthInterval = std::chrono::seconds(1);
 
-/// A run at its share requests one slot more after this time: the share may have grown.
+/// A run that uses its whole share requests one more slot at this interval, because its share may
+/// have grown.
 inline constexpr Duration kShareProbeInterval = std::chrono::milliseconds(200);
-/// First backoff after a rejection below the share.
+/// Backoff after a rejection below the share, before doubling.
 inline constexpr Duration kInitialShareBackoff = std::chrono::milliseconds(40);
-/// Part of the free slots that a run may take beyond its share at once, since other runs see the
-/// same ones.
+/// A run may use the free slots divided by this beyond its share, because other runs see the same
+/// free slots.
 inline constexpr std::uint32_t kFreeSlotsDivisor = 4;
 
-/// A window of slots, by additive increase and multiplicative decrease.
+/// Admission window with additive increase and multiplicative decrease (AIMD).
 ///
-/// The first requests double with the grants and are bounded by the run alone. A rejection sets the
-/// window to a share of the slots in use: these keep going, one item after the other, and the
-/// window probes for one more slot at a time. A rejection without any slot in use ends all requests
-/// for a pause. A share that the pool's owner tells goes before the window.
+/// Until the first rejection there is no window: the number of concurrent requests doubles with
+/// each grant, up to the limit of the run. A rejection sets the window to a fraction of the slots
+/// in use, which are then reused by one item after the other while the window grows by one item at
+/// a time. A rejection with no slot in use pauses all requests. A share assigned by the owner of
+/// the pool takes precedence over the window.
 class ItemAdmission {
  public:
-  /// Sets the time in which the window grows by one item; `kWindowGrowthInterval` at first.
+  /// Sets the time in which the window grows by one item; initially `kWindowGrowthInterval`.
   void setGrowthInterval(Duration interval) { growthInterval_ = interval; }
 
   /// True if one more item may request slots.
   bool mayRequest(Time now) const;
 
-  /// An item requests slots; one of `granted` and `rejected` follows.
+  /// An item requests slots. Must be followed by `granted` or `rejected`.
   void requested() { ++requestsInFlight_; }
 
-  /// Slots were granted; `released` follows. @p most bounds the requests at once.
+  /// Slots were granted. Must be followed by `released`. @p maxRequests limits the concurrent
+  /// requests.
   void granted(std::uint32_t maxRequests);
 
-  /// The request was rejected. @p pause counts if no slot is in use.
+  /// The request was rejected. Without a share, @p pause applies only if no slot is in use.
   void rejected(Time now, Duration pause);
 
   /// Granted slots were released.
   void released();
 
-  /// The owner of the pool says that this run may use @p slots, and that @p free slots are not
-  /// granted. From now on this bounds the requests, in place of the window.
+  /// The owner of the pool assigned @p slots to this run and reported @p free slots that are not
+  /// granted. From now on the share limits the requests in place of the window.
   void setShare(std::uint32_t slots, std::uint32_t free, Time now);
   bool hasShare() const { return share_.has_value(); }
 
-  /// Time after which a rejected request may be repeated, if there is a share; at most @p most.
+  /// Returns the delay before a rejected request is retried if there is a share, up to @p maxDelay.
   Duration retryDelay(Duration maxDelay) const;
 
-  /// No item requests slots before @p until, and then one at first.
+  /// Pauses requests until @p until; afterwards they restart with one at a time.
   void pause(Time until);
 
  private:
@@ -66,8 +69,8 @@
   Duration growthInterval_ = kWindowGrowthInterval;
   std::uint32_t requestsInFlight_ = 0;
   std::uint32_t slotsInUse_ = 0;
-  std::uint32_t maxRequestsInFlight_ = 1;  ///< Requests at once: doubled by grants.
-  std::optional<std::uint32_t> window_;    ///< At `windowSince_`; unset before any rejection.
+  std::uint32_t maxRequestsInFlight_ = 1;  ///< Doubled by each grant.
+  std::optional<std::uint32_t> window_;    ///< At `windowSince_`; unset before a rejection.
   Time windowSince_{};
   std::optional<std::uint32_t> share_;
   Time shareSince_{};
--- a/src/batch/item_lifecycle.cpp
+++ b/src/batch/item_lifecycle.cpp
@@ -79,8 +79,8 @@
   const auto started = batch->started().find(start.position);
   if (started != batch->started().end() &&
       isSameAttempt(started->second, start.run, start.attempt)) {
-    // A first acknowledgement may have been lost or not. Repeating it is safe while the run is
-    // current; after a cancel the runner reverts the attempt or reports its result.
+    // The first acknowledgement may have been lost. Resending it is safe while the run is current.
+    // After a cancellation the runner reverts the attempt or reports its result.
     if (current && !isStopped(*batch)) {
       sendStartReply(from, start, StartOutcome::Accepted);
     }
@@ -118,7 +118,7 @@
     sendStartReply(from, start, StartOutcome::Accepted);
     return;
   }
-  // The start was never acknowledged, so nobody runs the item: reverting it is safe also if the
+  // The start was never acknowledged, so the item has not run. Reverting it is safe even if the
   // items are not idempotent.
   items_.revertAttempt(*batch, start.position, start.attempt, false, [this, from, start] {
     sendStartReply(from, start, StartOutcome::Rejected);
--- a/src/batch/item_lifecycle.h
+++ b/src/batch/item_lifecycle.h
@@ -1,5 +1,5 @@
 /// @file
-/// The states of one item: started before it runs, finished once.
+/// State transitions of items at the batch owner.
 #pragma once
 
 #include "batch/batch_messages.h"
@@ -9,21 +9,20 @@
 
 namespace shedshed {
 
-/// Handles the messages of runners on single items.
+/// Handles messages from runners about single items.
 ///
-/// - `Started` is on a majority before the runner is acknowledged and calls an engine. A crash of
-/// the
-///   owner before the acknowledgement leaves at worst an item that is `Started` and did not run:
-///   the runner's next heartbeat, or the next run, resolves it.
-/// - The first durable result of an item is kept. Later ones are acknowledged and change nothing.
-///   A result of the very attempt that is `Started` is taken also from a run that was fenced
-///   meanwhile: nothing else can be true of the item.
-/// - What changes nothing is answered after a proof of the ownership, so that a fenced owner
-///   does not make a runner drop a result that the successor lacks.
+/// - `Started` is on a majority before the runner is acknowledged and calls an engine. If the owner
+///   crashes before the acknowledgement, the item may be `Started` without having run. The runner's
+///   next heartbeat or the next run resolves it.
+/// - The first durable result of an item is kept. Later results are acknowledged and ignored. The
+///   result of the attempt that is `Started` is accepted even if its run has been fenced in the
+///   meantime, because no later attempt exists while the item is in that state.
+/// - Requests that change nothing are acknowledged only after ownership has been confirmed.
+///   Otherwise a fenced owner could make a runner drop a result that the successor does not have.
 /// Core thread only.
 class ItemLifecycle {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   ItemLifecycle(CoreContext& context, PartitionStore& store, const BatchSafeguards& safeguards,
                 BatchTable& table, ItemWriter& items, RunSupervisor& runs)
       : context_(context), store_(store), safeguards_(safeguards), table_(table), items_(items),
@@ -35,16 +34,18 @@
 
  private:
   void writeStart(const NodeId& from, const StartItem& start, BatchState& batch);
-  /// The start is durable: accepts it, or reverts it if the run has ended meanwhile.
+  /// Called when the start is durable. Accepts it, or reverts it if the run has ended or the batch
+  /// has been cancelled in the meantime.
   void startWritten(const NodeId& from, const StartItem& start);
-  /// Acknowledges a result of a batch that is not known, if it was erased after its retention.
+  /// Acknowledges a result of an unknown batch, which was erased after its retention, if this node
+  /// is the owner.
   void acknowledgeErased(const NodeId& from, const FinishItem& finish);
-  /// True if the batch is cancelled: nothing of it starts.
+  /// True if the batch is cancelled, so that none of its items may start.
   bool isStopped(const BatchState& batch) const;
-  /// True if the item is pending and the start is no late duplicate of a reverted one.
+  /// True if the item is pending and the start is not a delayed duplicate of a reverted one.
   bool mayStart(const BatchState& batch, const StartItem& start) const;
-  /// Calls @p action once a majority has proved that this node is the owner: what it would say
-  /// from memory alone could be contradicted by a successor.
+  /// Calls @p action once a majority has confirmed that this node is the owner, because a reply
+  /// from memory alone could contradict a successor.
   void afterOwnershipConfirmed(const std::string& batchId, std::function<void()> action);
   void sendStartReply(const NodeId& to, const StartItem& start, StartOutcome outcome);
   void sendFinishReply(const NodeId& to, const RunId& run, std::uint64_t position,
--- a/src/batch/item_writer.cpp
+++ b/src/batch/item_writer.cpp
@@ -5,7 +5,7 @@
 namespace shedshed {
 namespace {
 
-/// Events that wait for one write; more are dropped, their senders repeat them.
+/// Limit on the events deferred by one write. Further events are dropped; their senders retry.
 constexpr std::size_t kMaxWaiters = 8;
 
 }  // namespace
@@ -59,7 +59,7 @@
   TableEntry entry{itemKey(batch.id(), position), std::nullopt};
   if (record) {
     entry.value = encodeRecord(*record);
-    // The bodies are in the row now; the state needs only the head of the record.
+    // The body is in the encoded row; `BatchState` needs only the other fields.
     record->body.clear();
   }
   writer_.write(
@@ -71,7 +71,7 @@
         }
         written->apply(position, record);
         written->advanceListed();
-        // The write is over before the callbacks run: `done` may begin the next one.
+        // The write is ended before the callbacks run, because `done` may start the next one.
         std::vector<std::function<void()>> waiters = takeWaiters(*written, position);
         done();
         for (const auto& waiter : waiters) {
@@ -142,7 +142,7 @@
   batch.finalWriteInFlight = true;
   const BatchStatus status = batch.status();
   std::vector<TableEntry> entries{{finalKey(batch.id()), encodeRecord(status)}};
-  // The body of an item with a result is not read any more.
+  // Bodies of finished items are no longer read, so they are erased to free storage.
   const std::uint64_t chunks =
       std::min<std::uint64_t>(batch.meta().chunkPositions.size(), maxErasedRowsPerWrite_);
   for (std::uint64_t chunk = 0; chunk < chunks; ++chunk) {
--- a/src/batch/retrying_writer.h
+++ b/src/batch/retrying_writer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Writes that are repeated until a majority has them.
+/// Writes that are retried until they are durable.
 #pragma once
 
 #include "kernel/core.h"
@@ -13,24 +13,24 @@
 
 /// Writes rows of owned partitions until they are durable or the ownership ends.
 ///
-/// Right for writes whose outcome must not stay open: a failed write may have survived on a
-/// replica, and a successor may find it. Repeating it under the same ownership is safe, since the
-/// rows have the same values; a write of a fenced owner never succeeds. Core thread only.
+/// For writes whose outcome must not remain unknown: a failed write may have survived on a replica
+/// and may be found by a successor. Retrying under the same ownership is safe because the rows have
+/// the same values, and writes of a fenced owner never succeed. Core thread only.
 class RetryingWriter {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   RetryingWriter(CoreContext& context, PartitionStore& store) : context_(context), store_(store) {}
 
-  /// The ownership of @p partition at @p epoch begins: writes of an earlier one are forgotten.
+  /// Ownership of @p partition begins at @p epoch. Writes of an earlier ownership are dropped.
   void begin(const PartitionId& partition, std::uint64_t epoch);
-  /// The ownership ends: no outstanding write of @p partition calls back any more.
+  /// Ownership of @p partition ends. Callbacks of its outstanding writes are no longer called.
   void end(const PartitionId& partition) { partitions_.erase(partition); }
 
-  /// Writes @p entries in one atomic step. @p done runs on success only, under the same ownership.
+  /// Writes @p entries atomically. @p done is called only on success and under the same ownership.
   void write(const PartitionId& partition, std::vector<TableEntry> entries,
              std::function<void()> done);
 
-  /// Repeats the writes of @p partition that have failed since the last call, in their order.
+  /// Retries the writes of @p partition that have failed since the last call, in order.
   void retryFailed(const PartitionId& partition);
 
  private:
--- a/src/batch/run_supervisor.cpp
+++ b/src/batch/run_supervisor.cpp
@@ -7,10 +7,10 @@
 namespace shedshed {
 namespace {
 
-/// An assignment is repeated if no heartbeat has named the run for this long.
+/// The assignment is resent if no heartbeat has listed the run for this long.
 constexpr Duration kReannounceInterval = std::chrono::seconds(2);
 
-/// Bound of the item states scanned for one page.
+/// Limit on the item states scanned for one page.
 constexpr std::uint64_t kMaxScannedStates = 8192;
 
 }  // namespace
@@ -81,7 +81,7 @@
   batch.runnerIncarnation = 0;
   batch.revertedAttempts.clear();
   context_.counters().add("batch_runs_assigned_total");
-  // What the lost run had started is resolved in the write that fences it.
+  // The write that fences the lost run also resolves the items it had started.
   items_.writeItems(batch, {{runKey(batch.id()), encodeRecord(batch.run)}},
                     resolutionsBefore(batch, batch.run.epoch), [this](BatchState& assigned) {
                       assigned.runDurable = true;
@@ -178,9 +178,8 @@
     if (answer.status != static_cast<std::uint8_t>(RunStatus::Ended)) {
       revertDroppedAttempts(report);
     }
-    // A fenced owner that has not learnt of its loss must neither end a run that its successor
-    // counts on nor keep the runner with itself. Proofs of all partitions share one message to
-    // each replica.
+    // A fenced owner that is not aware of it must neither end a run that its successor relies on
+    // nor extend the lease. Confirmations of all partitions share one message to each replica.
     store_.confirmOwnership(partitionOfBatch(report.run.batchId),
                             [this, from, number = heartbeat.number, answer](const Status& status) {
                               if (status) {
@@ -213,8 +212,9 @@
       dropped[position] = started.attempt;
     }
   }
-  // A late duplicate of a start became durable after the runner had dropped that attempt. It never
-  // ran: a runner keeps every attempt that it ran until the owner has its result.
+  // A delayed duplicate of a start became durable after the runner had dropped the attempt. The
+  // attempt never ran, because a runner keeps each attempt that ran until its result is
+  // acknowledged.
   for (const auto& [position, attempt] : dropped) {
     items_.revertAttempt(*batch, position, attempt, false, [] {});
   }
@@ -252,7 +252,7 @@
     ++position;
   }
   if (position < scanEnd) {
-    // One page stays inside one chunk, so that one row is decoded for it.
+    // A page does not cross chunks, so that only one row has to be decoded.
     const std::uint64_t index = batch.chunkOf(position);
     const auto row = store_.get(partitionOfBatch(batch.id()), bodyKey(batch.id(), index));
     Result<BodyChunk> chunk = decodeRecord<BodyChunk>(row.value_or(std::string()));
--- a/src/batch/run_supervisor.h
+++ b/src/batch/run_supervisor.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs of batches: which node runs a batch, under which epoch.
+/// Assignment of batches to runners.
 #pragma once
 
 #include "batch/batch_messages.h"
@@ -12,19 +12,19 @@
 
 /// Assigns each unfinished batch to one data node, and reassigns it when the runner is lost.
 ///
-/// Why two runners never both start an item:
-/// - The run epoch is a fencing token. It is on a majority before the run is announced, and starts
-///   of other epochs are rejected from the moment that the new epoch is chosen.
-/// - What the lost run had started is resolved in the write that makes the new epoch durable:
-///   idempotent items become pending again, the others `Unknown`. A crash of this node before that
-///   write leaves the old run in force; after it, the successor finds the new one.
-/// - A runner process that was restarted has another incarnation, and ends the run.
-/// - A runner starts nothing without a recent heartbeat reply, and a reply is sent only after this
-///   node has proved its ownership: a fenced owner cannot extend the lease of a runner.
+/// Why two runners cannot both start an item:
+/// - The run epoch is a fencing token. It is on a majority before the run is sent to the runner,
+///   and starts of other epochs are rejected as soon as the new epoch has been chosen.
+/// - The write that makes the new epoch durable also resolves the items started by the lost run:
+///   idempotent items become pending again, the others `Unknown`. If this node crashes before that
+///   write, the old run remains current; after it, the successor finds the new run.
+/// - A restarted runner process has a different incarnation, which ends its run.
+/// - A runner starts no item without a recent heartbeat reply, and replies are sent only after this
+///   node has confirmed its ownership. A fenced owner therefore cannot extend a runner's lease.
 /// Core thread only.
 class RunSupervisor {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   RunSupervisor(CoreContext& context, PartitionStore& store, const BatchSettings& settings,
                 const Directory& directory, const BatchOwnerOptions& options, BatchTable& table,
                 ItemWriter& items)
@@ -35,27 +35,27 @@
   void onFetch(const NodeId& from, const FetchItems& fetch);
   void onReturnRun(const NodeId& from, const ReturnRun& returned);
 
-  /// Periodic check of a committed batch: assigns, announces or reassigns its run.
+  /// Periodic check of a committed batch: assigns its run, resends the assignment or reassigns it.
   void supervise(BatchState& batch);
 
-  /// True if @p run is the one in force. Ends the run if another incarnation of the same runner
-  /// speaks for it.
+  /// True if @p run is the current run. Reassigns the run if it is claimed by another incarnation
+  /// of the same runner.
   bool isCurrent(BatchState& batch, const NodeId& from, const RunId& run);
 
  private:
   RunHeartbeatResult answerRun(const NodeId& from, const RunId& run);
-  /// Returns the page that @p fetch asks for; none if its bodies cannot be read.
+  /// Returns the page requested by @p fetch; empty if its bodies cannot be decoded.
   std::optional<ItemsPage> pendingItems(const BatchState& batch, const FetchItems& fetch);
-  /// Reverts the starts of this run that its runner no longer has in flight.
+  /// Reverts the starts of this run that are no longer in flight at its runner.
   void revertDroppedAttempts(const RunReport& report);
-  /// Assigns the batch to another node than @p avoidRunner, if there is one.
+  /// Assigns the batch to a new run, on a node other than @p avoidRunner if there is one.
   void reassignRun(BatchState& batch, const std::string& avoidRunner);
   void assignRun(BatchState& batch, const NodeId& runner);
   void announceRun(const BatchState& batch);
   NodeId chooseRunner(const std::string& batchId, const std::string& avoid) const;
-  /// Returns the rows of the items that runs before @p epoch had started and did not finish.
+  /// Returns new rows for the items that were started, but not finished, by runs before @p epoch.
   ItemRecords resolutionsBefore(const BatchState& batch, std::uint64_t epoch) const;
-  /// Resolves starts of an earlier run that became durable around a change of owner or run.
+  /// Resolves starts of earlier runs that became durable during a change of owner or run.
   void resolveStaleItems(BatchState& batch);
 
   CoreContext& context_;
--- a/src/batch/run_table.h
+++ b/src/batch/run_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The runs that are assigned to this node.
+/// The runs assigned to this node.
 #pragma once
 
 #include "batch/batch_run.h"
@@ -11,38 +11,39 @@
 
 namespace shedshed {
 
-/// Finds runs, and knows whether a run may start items. All parts of the runner share one table.
-/// Core thread only; pointers are valid until the run is forgotten.
+/// Looks up runs, and decides whether a run may start items. All parts of the runner share one
+/// table. Core thread only. Pointers are valid until the run is removed.
 class RunTable {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   RunTable(CoreContext& context, const OwnerLocator& locator)
       : context_(context), locator_(locator) {}
 
-  /// Names this process from now on: a restart gets another incarnation, which the owner fences.
+  /// Sets the incarnation of this process. After a restart it differs, so that the owner ends the
+  /// runs of the previous process.
   void setIncarnation(std::uint64_t incarnation) { incarnation_ = incarnation; }
-  /// From now on no run may start items.
+  /// Stops all runs from starting items.
   void drain() { draining_ = true; }
   bool draining() const { return draining_; }
 
   BatchRun& add(const RunKey& key) { return runs_[key]; }
-  /// Returns the run, or null if it is not known.
+  /// Returns the run, or null if it does not exist.
   BatchRun* find(const RunKey& key);
-  /// Forgets a run that has ended, once all that ran is acknowledged.
+  /// Removes the run if it has ended and all of its results have been acknowledged.
   void removeIfDone(const RunKey& key);
-  /// True if this run or a newer one of the same batch is known.
+  /// True if the table has this run or a newer one of the same batch.
   bool hasRunOrNewer(const RunKey& key) const;
 
-  /// True while the lease holds and nothing forbids starts: not draining, cancelled or ended.
+  /// True while the run's lease is valid and it is not cancelled, ended or draining.
   bool mayStart(const BatchRun& run) const;
-  /// The name of the run in messages of this process.
+  /// The id of the run in messages of this process.
   RunId idOf(const RunKey& key) const { return RunId{key.first, key.second, incarnation_}; }
-  /// The node that is believed to own the batch; empty if none is known.
+  /// The presumed owner of the batch; empty if none is known.
   NodeId ownerOf(const BatchRun& run) const;
 
   std::map<RunKey, BatchRun>& runs() { return runs_; }
   const std::map<RunKey, BatchRun>& runs() const { return runs_; }
-  /// Keys of all runs, for loops in which runs may be forgotten.
+  /// Returns the keys of all runs, for loops in which runs may be removed.
   std::vector<RunKey> keys() const;
 
  private:
--- a/tests/batch/batch_fleet.h
+++ b/tests/batch/batch_fleet.h
@@ -1,5 +1,5 @@
 /// @file
-/// Two stores and two data nodes with fake slots and engines, for the tests of batches.
+/// Test fixture for batches: two stores and two data nodes with fake slots and engines.
 #pragma once
 
 #include "batch/batch_client_core.h"
@@ -59,7 +59,7 @@
   std::map<std::string, RegisterValue> values;
 };
 
-/// Grants at once while fewer than `capacity` grants are out.
+/// Grants immediately while fewer than `capacity` grants are held.
 class FakeSlots : public SlotClient {
  public:
   explicit FakeSlots(Harness& harness) : harness_(harness) {}
@@ -82,7 +82,7 @@
   }
   void release(std::uint64_t grantId) override { held.erase(grantId); }
   std::size_t capacity = 1000;
-  std::set<std::string> fullPoolKeys;  ///< Keys of pools that refuse always.
+  std::set<std::string> fullPoolKeys;  ///< Keys of pools that reject every request.
   std::set<std::uint64_t> held;
   std::vector<std::pair<Time, SlotRequest>> requests;
 
@@ -91,7 +91,7 @@
   std::uint64_t lastGrant_ = 0;
 };
 
-/// Counts the runs of each body; answers at once unless `holdAnswers`.
+/// Counts the runs of each body. Answers immediately unless `holdAnswers` is set.
 class FakeEngines : public EngineRunner {
  public:
   explicit FakeEngines(Harness& harness) : harness_(harness) {}
@@ -136,7 +136,8 @@
   int answers_ = 0;
 };
 
-/// The slots as one process sees them: a dead process hears nothing and holds nothing.
+/// The slot client of one process. Its destruction models a crash: grants are released and pending
+/// requests are not called back.
 class ProcessSlots : public SlotClient {
  public:
   explicit ProcessSlots(FakeSlots& slots) : slots_(slots) {}
@@ -172,7 +173,7 @@
   std::set<std::uint64_t> grants_;
 };
 
-/// The engines as one process sees them: a dead process hears no answer.
+/// The engine client of one process. Its destruction models a crash: answers are dropped.
 class ProcessEngines : public EngineRunner {
  public:
   explicit ProcessEngines(FakeEngines& engines) : engines_(engines) {}
@@ -191,13 +192,14 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// Options under which a test runs.
+/// Options of a `BatchFleet`.
 struct BatchFleetOptions {
   BatchOwnerOptions owner;
   BatchClientOptions client;
   BatchRunnerOptions runner;
 };
 
+/// The nodes of the fixture. Store `s1` owns all partitions at first.
 class BatchFleet {
  public:
   struct DataNode {
@@ -240,7 +242,7 @@
     BatchOwnerCore core;
   };
 
-  /// Starts a data node, or starts it again as a new process.
+  /// Starts a data node, or restarts it as a new process.
   void startData(const std::string& name) {
     auto& clientContext = harness.context(name, ServiceId::BatchClient);
     auto& runnerContext = harness.context(name, ServiceId::BatchRunner);
@@ -250,7 +252,7 @@
     data[name]->client.start();
     data[name]->runner.start();
   }
-  /// Drops everything from and to @p node.
+  /// Drops all messages from and to @p node.
   void isolate(const std::string& node) { isolatedNodes.insert(node); }
   void installFilter() {
     harness.filter = [this](const Harness::Envelope& envelope) {
@@ -259,7 +261,9 @@
     };
   }
   FakePartitionStore& table() { return stores[owner]->table; }
-  /// The other store takes over.
+  /// The other store takes over. If @p unacknowledgedSurvive, outstanding writes of the previous
+  /// owner are found by its successor. If not @p notifyPrevious, the previous owner does not learn
+  /// of it.
   void failover(bool unacknowledgedSurvive, bool notifyPrevious = true) {
     FakePartitionStore& previous = table();
     owner = owner == "s1" ? "s2" : "s1";
@@ -329,7 +333,7 @@
     }
     BOOST_REQUIRE(answer.has_value());
   }
-  /// The data node that runs @p id: the one whose runner spoke last for it.
+  /// Returns the data node to which batch @p id is assigned.
   std::string runnerOf(const std::string& id) {
     const auto& rows = table().rows[partitionOf(TableKind::Batches, id)];
     const auto row = rows.find(runKey(id));
--- a/tests/batch/batch_reader_test.cpp
+++ b/tests/batch/batch_reader_test.cpp
@@ -1,4 +1,4 @@
-/// Items with names: results in the order of completion.
+/// Batches of named items, whose results are listed in completion order.
 #include "batch_fleet.h"
 
 namespace shedshed::test {
--- a/tests/batch/batch_state_test.cpp
+++ b/tests/batch/batch_state_test.cpp
@@ -1,4 +1,4 @@
-/// States of the items of one batch in memory.
+/// In-memory state of one batch.
 #include "batch/batch_state.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/batch/batch_upload_test.cpp
+++ b/tests/batch/batch_upload_test.cpp
@@ -1,4 +1,4 @@
-/// One submission that is not committed yet.
+/// A submission that has not been committed yet.
 #include "batch/batch_upload.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/batch/batch_uploads_test.cpp
+++ b/tests/batch/batch_uploads_test.cpp
@@ -1,4 +1,4 @@
-/// Submissions, reads and retention.
+/// Submission, reading and retention of batches.
 #include "batch_fleet.h"
 
 namespace shedshed::test {
@@ -65,7 +65,7 @@
     BatchFleetOptions options;
     options.owner.safeguards.confirmNotFound = safe;
     BatchFleet fleet(options);
-    fleet.failover(false, false);  // s1 does not know that it was fenced.
+    fleet.failover(false, false);  // s1 is not notified that it was fenced.
     const std::string id = fleet.accepted(BatchFleet::batchOf(2));
     BatchQuery query;
     query.kind = static_cast<std::uint8_t>(BatchQueryKind::Status);
@@ -155,7 +155,7 @@
   fleet.harness.advance(1s);
   BOOST_REQUIRE(big->has_value());
   BOOST_TEST(((*big)->error().code == ErrorCode::StorageFull));
-  // The ring of files is full: the refusal waits until the erasure is durable.
+  // The log-structured store is full: the rejection is sent only once the erasure is durable.
   fleet.table().failWrites = ErrorCode::StorageFull;
   const auto rejected = fleet.submit(BatchFleet::batchOf(1, "b"));
   fleet.harness.settle();
@@ -167,8 +167,8 @@
   BOOST_TEST(fleet.status(id).value().itemCount == 2U);
 }
 
-// Stores took batches until their disks were full; then no partition could change its owner and
-// nothing that had been accepted could be read.
+// Guards against stores that accept batches until their disks are full: then no partition can
+// change its owner, and accepted batches cannot be read.
 BOOST_AUTO_TEST_CASE(aStoreLowOnSpaceRejectsNewBatchesAndFinishesTheOld) {
   BatchFleet fleet;
   fleet.engines.holdAnswers = true;
@@ -186,7 +186,7 @@
   BOOST_TEST(fleet.status(id).value().done == 4U);
 }
 
-// The bodies of all batches of a day stayed on the disks of all stores until they were full.
+// Guards against disks filling up with the bodies of a day's finished batches.
 BOOST_AUTO_TEST_CASE(bodiesOfAFinishedBatchAreErased) {
   BatchFleet fleet;
   const std::string id = fleet.accepted(BatchFleet::batchOf(20, "a"));
--- a/tests/batch/fake_partition_store.h
+++ b/tests/batch/fake_partition_store.h
@@ -1,6 +1,6 @@
 /// @file
-/// A partition store in memory: writes complete when the test says so, and a takeover moves the
-/// acknowledged rows to another instance, the others by choice.
+/// In-memory partition store. The test can hold back the completion of writes. A takeover copies
+/// the acknowledged rows to another instance, and the unacknowledged ones if the test asks for it.
 #pragma once
 
 #include "core_harness.h"
@@ -11,7 +11,7 @@
 
 namespace shedshed::test {
 
-/// One node's replica. Owns all partitions or none.
+/// The replica of one node, which owns all partitions or none.
 class FakePartitionStore : public PartitionStore {
  public:
   FakePartitionStore(Harness& harness, const NodeId& self) : harness_(harness), self_(self) {}
@@ -68,7 +68,7 @@
     }
   }
 
-  /// Completes the oldest outstanding write; with @p error it is not made durable.
+  /// Completes the oldest outstanding write. With @p error it fails and is not made durable.
   void completeNext(std::optional<ErrorCode> error = std::nullopt) {
     if (pending.empty()) {
       return;
@@ -86,7 +86,7 @@
     write.done(error ? Status(makeError(*error)) : okStatus());
   }
 
-  /// Makes this node the owner of all partitions, with what survived of @p previous.
+  /// Makes this node the owner of all partitions, with the rows that survived from @p previous.
   void takeOver(FakePartitionStore& previous, bool unacknowledgedSurvive) {
     rows = previous.durable;
     if (unacknowledgedSurvive) {
@@ -109,7 +109,7 @@
       listener_->ownershipGained({TableKind::Batches, index}, epoch, RecoveryKind::Complete);
     }
   }
-  /// The fenced owner learns of it.
+  /// Notifies the fenced owner of its loss of ownership.
   void loseOwnership() {
     believesOwner = false;
     while (!pending.empty()) {
--- a/tests/batch/item_admission_test.cpp
+++ b/tests/batch/item_admission_test.cpp
@@ -1,4 +1,4 @@
-/// The window of one model's items.
+/// Admission window and share of a run's items of one model.
 #include "batch/item_admission.h"
 
 #include <boost/test/unit_test.hpp>
@@ -11,7 +11,7 @@
 
 constexpr std::uint32_t kMaxRequests = 16;
 
-/// Asks and is granted while the window admits, up to @p most.
+/// Requests slots, all of which are granted, while the window permits it, up to @p limit.
 std::uint32_t acquireSlots(ItemAdmission& admission, Time now, std::uint32_t limit) {
   std::uint32_t granted = 0;
   while (granted < limit && admission.mayRequest(now)) {
--- a/tests/batch/retrying_writer_test.cpp
+++ b/tests/batch/retrying_writer_test.cpp
@@ -1,4 +1,4 @@
-/// Writes that are repeated until they are durable.
+/// Writes that are retried until they are durable.
 #include "batch/retrying_writer.h"
 #include "fake_partition_store.h"
 
@@ -9,7 +9,7 @@
 
 const PartitionId kPartition{TableKind::Batches, 1};
 
-/// A writer of an owned partition, over a store whose writes complete when the test says so.
+/// A writer of an owned partition. The test completes the writes of the store.
 struct WriterFixture {
   WriterFixture() {
     store.holdWrites = true;
