--- a/src/batch/batch_state.cpp
+++ b/src/batch/batch_state.cpp
@@ -124,7 +124,7 @@
   }
 }
 
-std::vector<std::uint64_t> BatchState::dropRanksBehindGap() {
+std::vector<std::uint64_t> BatchState::dropRanksAfterGap() {
   advanceListed();
   std::vector<std::uint64_t> dropped;
   for (auto entry = ranks_.upper_bound(listed_); entry != ranks_.end();) {
--- a/src/batch/batch_state.h
+++ b/src/batch/batch_state.h
@@ -67,7 +67,7 @@
   /// After a takeover: removes the ranks after a gap and returns the positions of their items.
   /// These results cannot have been read: a result becomes readable only when a majority has it,
   /// and writes complete in order.
-  std::vector<std::uint64_t> dropRanksBehindGap();
+  std::vector<std::uint64_t> dropRanksAfterGap();
 
   /// Returns the index of the chunk that holds @p position.
   std::uint64_t chunkOf(std::uint64_t position) const;
--- a/src/batch/batch_table.cpp
+++ b/src/batch/batch_table.cpp
@@ -75,7 +75,7 @@
                    }
                    return true;
                  });
-  batch.unranked = batch.dropRanksBehindGap();
+  batch.unranked = batch.dropRanksAfterGap();
 }
 
 OwnedBatches* BatchTable::owned(const std::string& batchId) {
--- a/tests/batch/batch_state_test.cpp
+++ b/tests/batch/batch_state_test.cpp
@@ -60,11 +60,11 @@
   BOOST_TEST(batch.allFinal());
 }
 
-BOOST_AUTO_TEST_CASE(ranksBehindAGapAreDroppedAndAssignedAgain) {
+BOOST_AUTO_TEST_CASE(ranksAfterAGapAreDroppedAndReassigned) {
   BatchState batch = batchOf(3);
   batch.apply(2, recordOf(ItemState::Done, 1));
   batch.apply(0, recordOf(ItemState::Done, 3));
-  const std::vector<std::uint64_t> dropped = batch.dropRanksBehindGap();
+  const std::vector<std::uint64_t> dropped = batch.dropRanksAfterGap();
   BOOST_TEST(dropped == std::vector<std::uint64_t>{0}, boost::test_tools::per_element());
   BOOST_TEST(batch.listed() == 1U);
   BOOST_TEST(batch.positionAt(0) == 2U);
