--- a/src/batch/batch_reader.cpp
+++ b/src/batch/batch_reader.cpp
@@ -19,7 +19,7 @@
   const PartitionId partition = partitionOfBatch(batch.id());
   const auto row = store_.get(partition, itemKey(batch.id(), position));
   if (!row) {
-    // Only an item that was cancelled before it started has a final state without a row.
+    // An item has a final state without a row only if it was cancelled before it started.
     return batch.cancelled();
   }
   Result<ItemRecord> record = decodeRecord<ItemRecord>(*row);
@@ -42,7 +42,7 @@
 
 ResultPage BatchReader::resultPage(const BatchState& batch, std::uint64_t from,
                                    std::uint32_t limit) const {
-  // In the order of completion a slow item delays no other's result.
+  // In completion order, a slow item does not delay the results of others.
   const bool byCompletion = batch.listsByCompletion();
   const std::uint64_t end = byCompletion ? batch.listed() : batch.meta().itemCount;
   ResultPage page;
@@ -75,7 +75,7 @@
   const PartitionId partition = partitionOfBatch(batch.id());
   const std::uint32_t bound = std::min(limit, maxPageItems_);
   std::uint64_t bytes = 0;
-  std::uint64_t loaded = batch.meta().chunkPositions.size();
+  std::uint64_t loadedChunk = batch.meta().chunkPositions.size();
   BodyChunk chunk;
   for (std::uint64_t position = from; position < batch.meta().itemCount; ++position) {
     if (items.size() >= bound || bytes >= maxPageBytes_) {
@@ -86,14 +86,14 @@
       continue;
     }
     const std::uint64_t index = batch.chunkOf(position);
-    if (index != loaded) {
+    if (index != loadedChunk) {
       const auto row = store_.get(partition, bodyKey(batch.id(), index));
       Result<BodyChunk> decoded = decodeRecord<BodyChunk>(row.value_or(std::string()));
       if (!decoded) {
         break;
       }
       chunk = std::move(decoded).value();
-      loaded = index;
+      loadedChunk = index;
     }
     const std::uint64_t offset = position - batch.meta().chunkPositions[index];
     items.push_back({position, state, chunk.items.at(offset)});
--- a/src/batch/batch_table.cpp
+++ b/src/batch/batch_table.cpp
@@ -71,11 +71,11 @@
                    const ItemRecord& item = record.value();
                    batch.apply(position, item);
                    if (item.state == ItemState::Started && item.runEpoch == batch.run.epoch) {
-                     batch.runnerProcess = item.incarnation;
+                     batch.runnerIncarnation = item.incarnation;
                    }
                    return true;
                  });
-  batch.unranked = batch.dropRanksBehindGap();
+  batch.unranked = batch.dropRanksAfterGap();
 }
 
 OwnedBatches* BatchTable::owned(const std::string& batchId) {
--- a/src/batch/batch_uploads.cpp
+++ b/src/batch/batch_uploads.cpp
@@ -5,7 +5,7 @@
 namespace shedshed {
 namespace {
 
-/// Names the chunk that the sender is to send next.
+/// Tells the sender which chunk to send next.
 BatchReply nextChunkReply(std::uint64_t request, std::uint64_t nextChunk) {
   BatchReply reply;
   reply.request = request;
@@ -21,7 +21,7 @@
     return;
   }
   Partition& partition = partitions_[partitionOfBatch(chunk.batchId)];
-  if (answeredAtOnce(from, chunk, partition)) {
+  if (answerWithoutUpload(from, chunk, partition)) {
     return;
   }
   BatchUpload* upload = uploadFor(from, chunk, partition);
@@ -37,7 +37,7 @@
     responder_.reply(from, nextChunkReply(chunk.request, upload->durableChunks));
     return;
   }
-  if (!admits(partition, chunk, *upload)) {
+  if (!hasSpaceFor(partition, chunk, *upload)) {
     rejectPermanently(from, requestIdOf(chunk), ErrorCode::StorageFull, partition);
     abandonUpload(chunk.batchId, partition);
     return;
@@ -51,8 +51,8 @@
   }
 }
 
-bool BatchUploads::answeredAtOnce(const NodeId& from, const SubmitChunk& chunk,
-                                  const Partition& partition) {
+bool BatchUploads::answerWithoutUpload(const NodeId& from, const SubmitChunk& chunk,
+                                       const Partition& partition) {
   if (BatchState* batch = table_.find(chunk.batchId)) {
     answerCommitted(from, chunk, *batch, true);
     return true;
@@ -63,7 +63,7 @@
     return true;
   }
   if (retention_.isPending(chunk.batchId)) {
-    // Rows of an earlier batch or submission under this id are still being erased.
+    // Rows of an earlier batch or submission with this id are still being erased.
     responder_.reject(from, requestIdOf(chunk), ErrorCode::NotReady);
     return true;
   }
@@ -73,7 +73,7 @@
 void BatchUploads::answerCommitted(const NodeId& from, const SubmitChunk& chunk, BatchState& batch,
                                    bool resent) {
   if (!batch.committed && options_.safeguards.acceptAfterMajority) {
-    // The commit is in flight: its outcome decides the answer to this resend.
+    // The commit is in flight; its outcome determines the reply to this resend.
     batch.commitWaiters.push_back([this, from, chunk, resent] {
       if (BatchState* committedBatch = table_.find(chunk.batchId)) {
         answerCommitted(from, chunk, *committedBatch, resent);
@@ -81,7 +81,7 @@
     });
     return;
   }
-  if (!sameContent(batch.meta(), chunk)) {
+  if (!hasSameContent(batch.meta(), chunk)) {
     responder_.reject(from, requestIdOf(chunk), ErrorCode::AlreadyExists);
     return;
   }
@@ -96,9 +96,9 @@
                                      Partition& partition) {
   const auto found = partition.uploads.find(chunk.batchId);
   if (found != partition.uploads.end()) {
-    if (!sameContent(found->second.meta(), chunk)) {
-      // Another submission under the same client key has not committed yet: neither is rejected
-      // permanently before one of them has.
+    if (!hasSameContent(found->second.meta(), chunk)) {
+      // Another submission with the same client key has not committed yet. Neither is rejected
+      // permanently until one of them has committed.
       responder_.reject(from, requestIdOf(chunk), ErrorCode::NotReady);
       return nullptr;
     }
@@ -117,8 +117,8 @@
               .first->second;
 }
 
-bool BatchUploads::admits(const Partition& partition, const SubmitChunk& chunk,
-                          const BatchUpload& upload) const {
+bool BatchUploads::hasSpaceFor(const Partition& partition, const SubmitChunk& chunk,
+                               const BatchUpload& upload) const {
   std::uint64_t bytes = table_.owned(chunk.batchId)->bodyBytes + upload.meta().bodyBytes;
   for (const auto& other : partition.uploads) {
     bytes += &other.second == &upload ? 0 : other.second.meta().bodyBytes;
@@ -132,7 +132,7 @@
   const std::uint64_t index = chunk.chunk;
   upload.append(chunk, context_.now());
   std::vector<TableEntry> entries;
-  // The marker covers this chunk before the chunk can exist, so that no row is ever orphaned.
+  // The upload marker is written atomically with the chunk it covers, so that no row is orphaned.
   entries.push_back({uploadKey(chunk.batchId), encodeRecord(PendingDeletionRecord{index + 1, 0})});
   entries.push_back(
       {bodyKey(chunk.batchId, index), encodeRecord(BodyChunk{std::move(chunk.items)})});
--- a/tests/batch/batch_world.h
+++ b/tests/batch/batch_fleet.h
@@ -1,5 +1,5 @@
 /// @file
-/// Two stores and two data nodes with fake slots and engines, for the tests of batches.
+/// Test fixture for batches: two stores and two data nodes with fake slots and engines.
 #pragma once
 
 #include "batch/batch_client_core.h"
@@ -59,14 +59,15 @@
   std::map<std::string, RegisterValue> values;
 };
 
-/// Grants at once while fewer than `capacity` grants are out.
+/// Grants immediately while fewer than `capacity` grants are held.
 class FakeSlots : public SlotClient {
  public:
   explicit FakeSlots(Harness& harness) : harness_(harness) {}
   void acquire(SlotRequest request, std::function<void(Result<SlotGrant>)> done) override {
     const bool fullPool =
-        std::any_of(request.limits.begin(), request.limits.end(),
-                    [this](const SlotLimit& limit) { return fullKeys.count(limit.pool.key) != 0; });
+        std::any_of(request.limits.begin(), request.limits.end(), [this](const SlotLimit& limit) {
+          return fullPoolKeys.count(limit.pool.key) != 0;
+        });
     requests.push_back({harness_.now, std::move(request)});
     harness_.deferred.push_back([this, fullPool, done = std::move(done)] {
       if (fullPool || held.size() >= capacity) {
@@ -81,7 +82,7 @@
   }
   void release(std::uint64_t grantId) override { held.erase(grantId); }
   std::size_t capacity = 1000;
-  std::set<std::string> fullKeys;  ///< Keys of pools that refuse always.
+  std::set<std::string> fullPoolKeys;  ///< Keys of pools that reject every request.
   std::set<std::uint64_t> held;
   std::vector<std::pair<Time, SlotRequest>> requests;
 
@@ -90,24 +91,24 @@
   std::uint64_t lastGrant_ = 0;
 };
 
-/// Counts the runs of each body; answers at once unless `hold`.
+/// Counts the runs of each body. Answers immediately unless `holdAnswers` is set.
 class FakeEngines : public EngineRunner {
  public:
   explicit FakeEngines(Harness& harness) : harness_(harness) {}
   void run(EngineCall call, std::function<void(Result<EngineAnswer>)> done) override {
     ++runs[call.body];
     lastRun = harness_.now;
-    open.push_back({std::move(call), std::move(done)});
-    if (!hold) {
+    openCalls.push_back({std::move(call), std::move(done)});
+    if (!holdAnswers) {
       harness_.deferred.push_back([this] { answerNext(); });
     }
   }
   void answerNext() {
-    if (open.empty()) {
+    if (openCalls.empty()) {
       return;
     }
-    auto [call, done] = std::move(open.front());
-    open.pop_front();
+    auto [call, done] = std::move(openCalls.front());
+    openCalls.pop_front();
     if (fail) {
       if (fail->ran == Ran::No) {
         --runs[call.body];
@@ -117,25 +118,26 @@
     }
     done(EngineAnswer{200, "answer " + std::to_string(++answers_) + " to " + call.body});
   }
-  int mostRuns() const {
-    int most = 0;
+  int maxRuns() const {
+    int maximum = 0;
     for (const auto& entry : runs) {
-      most = std::max(most, entry.second);
+      maximum = std::max(maximum, entry.second);
     }
-    return most;
+    return maximum;
   }
-  bool hold = false;
+  bool holdAnswers = false;
   std::optional<Error> fail;
   std::map<std::string, int> runs;
   Time lastRun{};
-  std::deque<std::pair<EngineCall, std::function<void(Result<EngineAnswer>)>>> open;
+  std::deque<std::pair<EngineCall, std::function<void(Result<EngineAnswer>)>>> openCalls;
 
  private:
   Harness& harness_;
   int answers_ = 0;
 };
 
-/// The slots as one process sees them: a dead process hears nothing and holds nothing.
+/// The slot client of one process. Its destruction models a crash: grants are released and pending
+/// requests are not called back.
 class ProcessSlots : public SlotClient {
  public:
   explicit ProcessSlots(FakeSlots& slots) : slots_(slots) {}
@@ -171,7 +173,7 @@
   std::set<std::uint64_t> grants_;
 };
 
-/// The engines as one process sees them: a dead process hears no answer.
+/// The engine client of one process. Its destruction models a crash: answers are dropped.
 class ProcessEngines : public EngineRunner {
  public:
   explicit ProcessEngines(FakeEngines& engines) : engines_(engines) {}
@@ -190,21 +192,22 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// Options under which a test runs.
-struct WorldOptions {
+/// Options of a `BatchFleet`.
+struct BatchFleetOptions {
   BatchOwnerOptions owner;
   BatchClientOptions client;
   BatchRunnerOptions runner;
 };
 
-class World {
+/// The nodes of the fixture. Store `s1` owns all partitions at first.
+class BatchFleet {
  public:
-  struct Data {
-    Data(World& world, HarnessContext& clientContext, HarnessContext& runnerContext)
-        : locator(world.directory, world.configuration), slots(world.slots), engines(world.engines),
-          client(clientContext, locator, world.options.client),
-          runner(runnerContext, locator, slots, engines, world.configuration,
-                 world.options.runner) {}
+  struct DataNode {
+    DataNode(BatchFleet& fleet, HarnessContext& clientContext, HarnessContext& runnerContext)
+        : locator(fleet.directory, fleet.configuration), slots(fleet.slots), engines(fleet.engines),
+          client(clientContext, locator, fleet.options.client),
+          runner(runnerContext, locator, slots, engines, fleet.configuration,
+                 fleet.options.runner) {}
     OwnerLocator locator;
     ProcessSlots slots;
     ProcessEngines engines;
@@ -212,7 +215,7 @@
     BatchRunnerCore runner;
   };
 
-  explicit World(WorldOptions worldOptions = {}) : options(std::move(worldOptions)) {
+  explicit BatchFleet(BatchFleetOptions fleetOptions = {}) : options(std::move(fleetOptions)) {
     for (const std::string name : {"s1", "s2"}) {
       directory.set(name, NodeRole::Store, NodeState::Alive);
       auto& context = harness.context(name, ServiceId::BatchOwner);
@@ -232,50 +235,53 @@
   }
 
   struct StoreNode {
-    StoreNode(World& world, const std::string& name, HarnessContext& context)
-        : table(world.harness, NodeId{name}),
-          core(context, table, world.configuration, world.directory, world.options.owner) {}
+    StoreNode(BatchFleet& fleet, const std::string& name, HarnessContext& context)
+        : table(fleet.harness, NodeId{name}),
+          core(context, table, fleet.configuration, fleet.directory, fleet.options.owner) {}
     FakePartitionStore table;
     BatchOwnerCore core;
   };
 
-  /// Starts a data node, or starts it again as a new process.
+  /// Starts a data node, or restarts it as a new process.
   void startData(const std::string& name) {
     auto& clientContext = harness.context(name, ServiceId::BatchClient);
     auto& runnerContext = harness.context(name, ServiceId::BatchRunner);
-    data[name] = std::make_unique<Data>(*this, clientContext, runnerContext);
+    data[name] = std::make_unique<DataNode>(*this, clientContext, runnerContext);
     harness.attach(clientContext, data[name]->client);
     harness.attach(runnerContext, data[name]->runner);
     data[name]->client.start();
     data[name]->runner.start();
   }
-  /// Drops everything from and to @p node.
-  void cut(const std::string& node) { cutNodes.insert(node); }
+  /// Drops all messages from and to @p node.
+  void isolate(const std::string& node) { isolatedNodes.insert(node); }
   void installFilter() {
     harness.filter = [this](const Harness::Envelope& envelope) {
-      return cutNodes.count(envelope.from.address) == 0 && cutNodes.count(envelope.to.address) == 0;
+      return isolatedNodes.count(envelope.from.address) == 0 &&
+             isolatedNodes.count(envelope.to.address) == 0;
     };
   }
   FakePartitionStore& table() { return stores[owner]->table; }
-  /// The other store takes over.
-  void failover(bool unacknowledgedSurvive, bool previousLearns = true) {
+  /// The other store takes over. If @p unacknowledgedSurvive, outstanding writes of the previous
+  /// owner are found by its successor. If not @p notifyPrevious, the previous owner does not learn
+  /// of it.
+  void failover(bool unacknowledgedSurvive, bool notifyPrevious = true) {
     FakePartitionStore& previous = table();
     owner = owner == "s1" ? "s2" : "s1";
-    const bool hold = previous.holdWrites;
+    const bool holdWrites = previous.holdWrites;
     previous.holdWrites = false;
-    table().holdWrites = hold;
+    table().holdWrites = holdWrites;
     table().takeOver(previous, unacknowledgedSurvive);
-    if (previousLearns) {
+    if (notifyPrevious) {
       previous.loseOwnership();
     }
   }
   /// A batch of @p count items.
   static BatchSubmission batchOf(std::size_t count, const std::string& clientKey = "",
-                                 bool repeatable = false, const std::string& tag = "item") {
+                                 bool idempotent = false, const std::string& tag = "item") {
     BatchSubmission submission;
     submission.tenant = "acme";
     submission.clientKey = clientKey;
-    submission.idempotentItems = repeatable;
+    submission.idempotentItems = idempotent;
     for (std::size_t index = 0; index < count; ++index) {
       submission.items.push_back("{\"model\":\"m\",\"n\":\"" + tag + std::to_string(index) + "\"}");
     }
@@ -327,22 +333,22 @@
     }
     BOOST_REQUIRE(answer.has_value());
   }
-  /// The data node that runs @p id: the one whose runner spoke last for it.
+  /// Returns the data node to which batch @p id is assigned.
   std::string runnerOf(const std::string& id) {
     const auto& rows = table().rows[partitionOf(TableKind::Batches, id)];
     const auto row = rows.find(runKey(id));
     return row == rows.end() ? "" : decodeRecord<RunRecord>(row->second).value().runner;
   }
 
-  WorldOptions options;
+  BatchFleetOptions options;
   Harness harness;
   FakeDirectory directory;
   FakeConfiguration configuration;
   FakeSlots slots{harness};
   FakeEngines engines{harness};
   std::map<std::string, std::unique_ptr<StoreNode>> stores;
-  std::map<std::string, std::unique_ptr<Data>> data;
-  std::set<std::string> cutNodes;
+  std::map<std::string, std::unique_ptr<DataNode>> data;
+  std::set<std::string> isolatedNodes;
   std::string owner;
 };
 
