--- a/src/register/acceptor.cpp
+++ b/src/register/acceptor.cpp
@@ -70,8 +70,9 @@
 }
 
 bool Acceptor::isStale(const std::string& name, std::uint64_t membersVersion) const {
-  const std::uint64_t allowed = name == kMembersRegister ? membersVersion + 1 : membersVersion;
-  return this->membersVersion() > allowed;
+  const std::uint64_t newestAllowed =
+      name == kMembersRegister ? membersVersion + 1 : membersVersion;
+  return this->membersVersion() > newestAllowed;
 }
 
 void Acceptor::prepare(const NodeId& from, const PrepareRequest& request) {
@@ -87,17 +88,17 @@
   if (isStale(request.registerName, request.membersVersion)) {
     reply.verdict = AcceptorVerdict::StaleMembers;
   } else if (request.ballot < target->promised()) {
-    reply.verdict = AcceptorVerdict::Outranked;
+    reply.verdict = AcceptorVerdict::BallotTooLow;
   } else {
     target->promise(request.ballot, outbox_);
-    addPromise(*target, request, reply);
+    fillPromise(*target, request, reply);
   }
   reply.promised = target->promised();
   outbox_.send(from, reply);
 }
 
-void Acceptor::addPromise(const AcceptorRegister& target, const PrepareRequest& request,
-                          PrepareReply& reply) const {
+void Acceptor::fillPromise(const AcceptorRegister& target, const PrepareRequest& request,
+                           PrepareReply& reply) const {
   reply.accepted = target.accepted();
   reply.firstLoggedVersion = target.log().firstVersion();
   if (const auto version = target.log().versionOf(request.keyDigest)) {
@@ -131,7 +132,7 @@
     return AcceptorVerdict::StaleMembers;
   }
   if (request.state.ballot < target.promised()) {
-    return AcceptorVerdict::Outranked;
+    return AcceptorVerdict::BallotTooLow;
   }
   const bool isRepeated = target.accepted().ballot == request.state.ballot;
   if (isRepeated || target.accept(request.state, outbox_)) {
@@ -202,8 +203,8 @@
   const AcceptedState initial = initialMembersState(request.members);
   const MemberList::Member self{context_.self(), options_.storeId};
   const bool isMember = isListed(request.members.acceptors, self);
-  const bool isFresh = membersVersion() == 0 && initialMembersHash() == 0;
-  if (isFresh && isMember) {
+  const bool isEmpty = membersVersion() == 0 && initialMembersHash() == 0;
+  if (isEmpty && isMember) {
     registers_.at(kMembersRegister).acceptInitial(initial, outbox_);
     context_.logEvent(TraceEvent("AcceptorFormed").field("store_id", options_.storeId));
   }
--- a/src/register/acceptor.h
+++ b/src/register/acceptor.h
@@ -70,8 +70,8 @@
   /// True if a proposer that goes by @p membersVersion must be rejected for register @p name.
   bool isStale(const std::string& name, std::uint64_t membersVersion) const;
   /// Fills @p reply to a prepare that has been granted by @p target.
-  void addPromise(const AcceptorRegister& target, const PrepareRequest& request,
-                  PrepareReply& reply) const;
+  void fillPromise(const AcceptorRegister& target, const PrepareRequest& request,
+                   PrepareReply& reply) const;
   /// Accepts the state of @p request unless a check forbids it.
   AcceptorVerdict decideAccept(AcceptorRegister& target, const AcceptRequest& request);
 
--- a/src/register/acceptor_register.cpp
+++ b/src/register/acceptor_register.cpp
@@ -95,7 +95,7 @@
   const std::uint64_t base = state.version - 1;
   if (log_.chainAt(base) != state.baseChain && fetch_ &&
       fetch_->log().chainAt(base) == state.baseChain) {
-    log_ = fetch_->takeInPlaceOf(log_);
+    log_ = fetch_->takeReplacing(log_);
     fetch_.reset();
   }
   if (log_.chainAt(base) != state.baseChain) {
--- a/src/register/applied_change_log.cpp
+++ b/src/register/applied_change_log.cpp
@@ -47,7 +47,7 @@
     }
     if (first) {
       const std::uint64_t index = std::stoull(key.substr(prefix.size()));
-      log.restartAfter(index * kBlockEntries, block.value().chainBefore);
+      log.resetTo(index * kBlockEntries, block.value().chainBefore);
       first = false;
     }
     if (block.value().chainBefore != log.chain()) {
@@ -65,21 +65,21 @@
 }
 
 Digest AppliedChangeLog::chain() const {
-  return rows_.empty() ? chainBefore_ : rows_.back().chain;
+  return entries_.empty() ? chainBefore_ : entries_.back().chain;
 }
 
 std::optional<Digest> AppliedChangeLog::chainAt(std::uint64_t version) const {
-  if (version < before_ || version > this->version()) {
+  if (version < baseVersion_ || version > this->version()) {
     return std::nullopt;
   }
-  return version == before_ ? chainBefore_ : rows_[version - before_ - 1].chain;
+  return version == baseVersion_ ? chainBefore_ : entries_[version - baseVersion_ - 1].chain;
 }
 
 const AppliedChange* AppliedChangeLog::at(std::uint64_t version) const {
-  if (version <= before_ || version > this->version()) {
+  if (version <= baseVersion_ || version > this->version()) {
     return nullptr;
   }
-  return &rows_[version - before_ - 1].entry;
+  return &entries_[version - baseVersion_ - 1].entry;
 }
 
 std::optional<std::uint64_t> AppliedChangeLog::versionOf(const Digest& keyDigest) const {
@@ -91,10 +91,10 @@
 }
 
 void AppliedChangeLog::append(const AppliedChange& entry) {
-  rows_.push_back({entry, nextChain(chain(), entry)});
+  entries_.push_back({entry, nextChain(chain(), entry)});
   versionByKey_[entry.keyDigest] = version();
   changedBlocks_.insert(blockOf(version()));
-  if (rows_.size() >= kCapacity + kBlockEntries) {
+  if (entries_.size() >= kCapacity + kBlockEntries) {
     evictOldest();
   }
 }
@@ -102,24 +102,24 @@
 void AppliedChangeLog::evictOldest() {
   changedBlocks_.insert(blockOf(firstVersion()));
   for (std::uint64_t count = 0; count < kBlockEntries; ++count) {
-    versionByKey_.erase(rows_.front().entry.keyDigest);
-    chainBefore_ = rows_.front().chain;
-    rows_.pop_front();
-    ++before_;
+    versionByKey_.erase(entries_.front().entry.keyDigest);
+    chainBefore_ = entries_.front().chain;
+    entries_.pop_front();
+    ++baseVersion_;
   }
 }
 
 void AppliedChangeLog::truncate(std::uint64_t version) {
-  while (this->version() > version && !rows_.empty()) {
+  while (this->version() > version && !entries_.empty()) {
     changedBlocks_.insert(blockOf(this->version()));
-    versionByKey_.erase(rows_.back().entry.keyDigest);
-    rows_.pop_back();
+    versionByKey_.erase(entries_.back().entry.keyDigest);
+    entries_.pop_back();
   }
 }
 
-void AppliedChangeLog::restartAfter(std::uint64_t version, const Digest& chain) {
-  truncate(before_);
-  before_ = version;
+void AppliedChangeLog::resetTo(std::uint64_t version, const Digest& chain) {
+  truncate(baseVersion_);
+  baseVersion_ = version;
   chainBefore_ = chain;
 }
 
@@ -136,9 +136,9 @@
   return entries;
 }
 
-void AppliedChangeLog::supersede(const AppliedChangeLog& other) {
+void AppliedChangeLog::markBlocksChanged(const AppliedChangeLog& other) {
   for (const AppliedChangeLog* log : {static_cast<const AppliedChangeLog*>(this), &other}) {
-    if (log->rows_.empty()) {
+    if (log->entries_.empty()) {
       continue;
     }
     for (std::uint64_t block = blockOf(log->firstVersion()); block <= blockOf(log->version());
--- a/src/register/applied_change_log.h
+++ b/src/register/applied_change_log.h
@@ -73,10 +73,10 @@
                                        std::uint64_t version);
 
   /// The version of the newest entry.
-  std::uint64_t version() const { return before_ + rows_.size(); }
+  std::uint64_t version() const { return baseVersion_ + entries_.size(); }
 
   /// The oldest version that is still listed; `version() + 1` if none is.
-  std::uint64_t firstVersion() const { return before_ + 1; }
+  std::uint64_t firstVersion() const { return baseVersion_ + 1; }
 
   /// The chain after the newest entry.
   Digest chain() const;
@@ -97,28 +97,28 @@
   void truncate(std::uint64_t version);
 
   /// Forgets everything and continues after @p version, a multiple of `kBlockEntries`.
-  void restartAfter(std::uint64_t version, const Digest& chain);
+  void resetTo(std::uint64_t version, const Digest& chain);
 
   /// Returns at most @p limit entries from @p from on.
   std::vector<AppliedChange> slice(std::uint64_t from, std::uint64_t upTo, std::size_t limit) const;
 
   /// Marks every block that either log holds as changed, before this one replaces @p other.
-  void supersede(const AppliedChangeLog& other);
+  void markBlocksChanged(const AppliedChangeLog& other);
 
   /// Returns the record changes since the last call.
   std::vector<Mutation> takeMutations(const std::string& prefix);
 
  private:
-  struct Row {
+  struct ChainedEntry {
     AppliedChange entry;
     Digest chain;
   };
   static std::uint64_t blockOf(std::uint64_t version) { return (version - 1) / kBlockEntries; }
   void evictOldest();
 
-  std::uint64_t before_ = 0;  ///< Version before the oldest row; a multiple of kBlockEntries.
+  std::uint64_t baseVersion_ = 0;  ///< Version before the oldest row; a multiple of kBlockEntries.
   Digest chainBefore_;
-  std::deque<Row> rows_;
+  std::deque<ChainedEntry> entries_;
   std::map<Digest, std::uint64_t> versionByKey_;
   std::set<std::uint64_t> changedBlocks_;
 };
--- a/src/register/change_log_fetch.cpp
+++ b/src/register/change_log_fetch.cpp
@@ -7,8 +7,8 @@
 ChangeLogFetch::ChangeLogFetch(const AppliedChangeLog& local, std::uint64_t upToVersion)
     : upToVersion_(upToVersion), log_(local) {
   // The newest local entry may be of a state that was never committed: fetch it again too.
-  const std::uint64_t common = std::min(local.version(), upToVersion);
-  log_.truncate(common == 0 ? 0 : common - 1);
+  const std::uint64_t commonVersion = std::min(local.version(), upToVersion);
+  log_.truncate(commonVersion == 0 ? 0 : commonVersion - 1);
 }
 
 ChangeLogRequest ChangeLogFetch::nextRequest(const std::string& registerName) const {
@@ -19,13 +19,13 @@
   const bool skipsEvicted =
       chunk.fromVersion > log_.version() + 1 && chunk.fromVersion == chunk.firstVersion;
   if (skipsEvicted) {
-    log_.restartAfter(chunk.fromVersion - 1, chunk.chainBefore);
+    log_.resetTo(chunk.fromVersion - 1, chunk.chainBefore);
   }
   if (chunk.fromVersion != log_.version() + 1) {
     return false;
   }
   if (chunk.chainBefore != log_.chain()) {
-    log_.restartAfter(0, Digest{});
+    log_.resetTo(0, Digest{});
   } else {
     for (const AppliedChange& entry : chunk.entries) {
       log_.append(entry);
@@ -35,8 +35,8 @@
   return progressed && log_.version() < upToVersion_;
 }
 
-AppliedChangeLog ChangeLogFetch::takeInPlaceOf(const AppliedChangeLog& replaced) {
-  log_.supersede(replaced);
+AppliedChangeLog ChangeLogFetch::takeReplacing(const AppliedChangeLog& replaced) {
+  log_.markBlocksChanged(replaced);
   return std::move(log_);
 }
 
--- a/src/register/change_log_fetch.h
+++ b/src/register/change_log_fetch.h
@@ -30,7 +30,7 @@
   const AppliedChangeLog& log() const { return log_; }
 
   /// The completed log, to replace @p replaced. Nothing else may be called after it.
-  AppliedChangeLog takeInPlaceOf(const AppliedChangeLog& replaced);
+  AppliedChangeLog takeReplacing(const AppliedChangeLog& replaced);
 
  private:
   const std::uint64_t upToVersion_;
--- a/src/register/configuration_core.cpp
+++ b/src/register/configuration_core.cpp
@@ -29,9 +29,9 @@
       [this](const std::string& name, const RegisterValue& value) { values_.adopt(name, value); });
   if (isControl_) {
     registers_.setAcceptedListener([this] {
-      if (!afterAcceptTimerRuns_) {
-        afterAcceptTimerRuns_ = true;
-        context_.startTimer(kAfterAcceptTimer, kProofAfterAccept);
+      if (!afterAcceptTimerActive_) {
+        afterAcceptTimerActive_ = true;
+        context_.startTimer(kAfterAcceptTimer, kProofDelayAfterAccept);
       }
     });
     // It may be the one that was missing for a majority when this node started.
@@ -62,29 +62,30 @@
   if (isControl_) {
     proveByQuorum();
   }
-  const bool proofIsOld = proof_.neverProved() || proof_.age() > kOldProof;
-  const bool firstPullIsOpen = proof_.neverProved() && context_.now() - pullSentAt_ < kPullTimeout;
-  if ((!isControl_ || proofIsOld) && !firstPullIsOpen) {
+  const bool proofIsStale = proof_.neverProved() || proof_.age() > kStaleProofAge;
+  const bool firstPullInFlight =
+      proof_.neverProved() && context_.now() - pullSentAt_ < kPullTimeout;
+  if ((!isControl_ || proofIsStale) && !firstPullInFlight) {
     pull();
   }
 }
 
 void ConfigurationCore::proveAfterAccept() {
-  if (readIsOpen_ && context_.now() - readSentAt_ < kPullTimeout) {
-    context_.startTimer(kAfterAcceptTimer, kProofAfterAccept);
+  if (readInFlight_ && context_.now() - readSentAt_ < kPullTimeout) {
+    context_.startTimer(kAfterAcceptTimer, kProofDelayAfterAccept);
     return;
   }
-  afterAcceptTimerRuns_ = false;
+  afterAcceptTimerActive_ = false;
   proveByQuorum();
 }
 
 void ConfigurationCore::proveByQuorum() {
   const Time sentAt = context_.now();
   readSentAt_ = sentAt;
-  readIsOpen_ = true;
+  readInFlight_ = true;
   registers_.proveCurrent(values_.versions(),
                           [this, sentAt](Result<std::vector<NamedValue>> proof) {
-                            readIsOpen_ = readIsOpen_ && sentAt != readSentAt_;
+                            readInFlight_ = readInFlight_ && sentAt != readSentAt_;
                             if (!proof) {
                               context_.counters().add("configuration_proof_failures_total");
                               return;
@@ -123,7 +124,7 @@
   }
   context_.stopTimer(kPullTimer);
   const Duration age = std::chrono::milliseconds(reply.ageMilliseconds);
-  if (!reply.proved || age > kOldProof) {
+  if (!reply.proved || age > kStaleProofAge) {
     source_.advance();
   }
   const Time moment = pullSentAt_ - age;
--- a/src/register/configuration_core.h
+++ b/src/register/configuration_core.h
@@ -18,7 +18,7 @@
 /// Interval of a control node's quorum reads.
 inline constexpr Duration kProofInterval = std::chrono::milliseconds(500);
 /// Delay of the additional quorum read after this node's acceptor took part in a change.
-inline constexpr Duration kProofAfterAccept = std::chrono::milliseconds(50);
+inline constexpr Duration kProofDelayAfterAccept = std::chrono::milliseconds(50);
 /// Interval of a data node's pulls.
 inline constexpr Duration kPullInterval = std::chrono::milliseconds(500);
 /// Delay after a pull that brought no proof, before the first proof. Until then a node serves
@@ -27,7 +27,7 @@
 /// Time after which a pull is sent to the next control node.
 inline constexpr Duration kPullTimeout = std::chrono::milliseconds(200);
 /// Age of a proof above which a node looks for one at another control node.
-inline constexpr Duration kOldProof = std::chrono::milliseconds(1500);
+inline constexpr Duration kStaleProofAge = std::chrono::milliseconds(1500);
 
 /// Where a node finds the configuration.
 struct ConfigurationOptions {
@@ -77,9 +77,9 @@
   Time startedAt_{};
   std::uint64_t pullId_ = 0;  ///< Id of the newest pull; replies to older ones are ignored.
   Time pullSentAt_{};
-  bool afterAcceptTimerRuns_ = false;
+  bool afterAcceptTimerActive_ = false;
   Time readSentAt_{};  ///< When the newest quorum read was sent.
-  bool readIsOpen_ = false;
+  bool readInFlight_ = false;
 };
 
 }  // namespace shedshed
--- a/src/register/configuration_values.cpp
+++ b/src/register/configuration_values.cpp
@@ -32,15 +32,15 @@
 }
 
 void ConfigurationValues::adopt(const std::string& registerName, const RegisterValue& value) {
-  RegisterValue& inForce = values_[registerName];
-  if (value.version <= inForce.version) {
+  RegisterValue& currentValue = values_[registerName];
+  if (value.version <= currentValue.version) {
     return;
   }
-  if (keepsHistory_ && inForce.version != 0) {
-    histories_[registerName].add(inForce, value);
+  if (keepsHistory_ && currentValue.version != 0) {
+    histories_[registerName].add(currentValue, value);
   }
   needsCompleteValue_.erase(registerName);
-  inForce = value;
+  currentValue = value;
   context_.counters().add("configuration_adopted_total");
   context_.counters().set("configuration_value_bytes_" + registerName,
                           static_cast<double>(value.value.size()));
--- a/src/register/fleet_bootstrap.cpp
+++ b/src/register/fleet_bootstrap.cpp
@@ -8,21 +8,22 @@
 
 constexpr TimerId kCheckTimer = 1;
 
-/// Returns up to @p most of the candidates, each time the first one of a zone that has given the
-/// fewest.
-std::vector<NodeId> takeFromZonesInTurn(std::vector<const NodeInfo*> candidates, std::size_t most) {
-  std::vector<NodeId> taken;
-  std::map<std::string, std::size_t> takenFrom;
-  while (taken.size() < most && !candidates.empty()) {
-    const auto next = std::min_element(candidates.begin(), candidates.end(),
-                                       [&](const auto* left, const auto* right) {
-                                         return takenFrom[left->zone] < takenFrom[right->zone];
-                                       });
-    ++takenFrom[(*next)->zone];
-    taken.push_back((*next)->id);
+/// Returns up to @p maxCount of the candidates, each time the first one of a zone that has given
+/// the fewest.
+std::vector<NodeId> selectAcrossZones(std::vector<const NodeInfo*> candidates,
+                                      std::size_t maxCount) {
+  std::vector<NodeId> selected;
+  std::map<std::string, std::size_t> selectedPerZone;
+  while (selected.size() < maxCount && !candidates.empty()) {
+    const auto next = std::min_element(
+        candidates.begin(), candidates.end(), [&](const auto* left, const auto* right) {
+          return selectedPerZone[left->zone] < selectedPerZone[right->zone];
+        });
+    ++selectedPerZone[(*next)->zone];
+    selected.push_back((*next)->id);
     candidates.erase(next);
   }
-  return taken;
+  return selected;
 }
 
 }  // namespace
@@ -37,8 +38,8 @@
 
 void FleetBootstrapCore::start() {
   startedAt_ = context_.now();
-  settledSince_ = startedAt_;
-  context_.startTimer(kCheckTimer, options_.check);
+  unchangedSince_ = startedAt_;
+  context_.startTimer(kCheckTimer, options_.checkInterval);
 }
 
 void FleetBootstrapCore::receive(const NodeId&, const Message&) {}
@@ -47,7 +48,7 @@
   if (isFormed()) {
     return;
   }
-  context_.startTimer(kCheckTimer, options_.check);
+  context_.startTimer(kCheckTimer, options_.checkInterval);
   if (!forming_ && mayForm()) {
     form();
   }
@@ -60,13 +61,15 @@
   if (stores != stores_ || acceptors != acceptors_) {
     stores_ = std::move(stores);
     acceptors_ = std::move(acceptors);
-    settledSince_ = context_.now();
+    unchangedSince_ = context_.now();
   }
-  const bool patient = context_.now() - startedAt_ < options_.patience;
-  const bool mine = context_.self() == seeds_.front() || !patient;
-  const bool settled = context_.now() - settledSince_ >= options_.settle && !stores_.empty();
-  const bool enough = acceptors_.size() >= membersNeeded(options_.toleratedLosses) || !patient;
-  return mine && settled && enough && seedsAreLive(*nodes);
+  const bool isBeforeFallback = context_.now() - startedAt_ < options_.fallbackDelay;
+  const bool isResponsible = context_.self() == seeds_.front() || !isBeforeFallback;
+  const bool isStable =
+      context_.now() - unchangedSince_ >= options_.stabilityPeriod && !stores_.empty();
+  const bool hasEnoughAcceptors =
+      acceptors_.size() >= membersNeeded(options_.toleratedLosses) || !isBeforeFallback;
+  return isResponsible && isStable && hasEnoughAcceptors && seedsAreLive(*nodes);
 }
 
 bool FleetBootstrapCore::seedsAreLive(const NodeTable& nodes) const {
@@ -86,7 +89,7 @@
   std::stable_partition(candidates.begin(), candidates.end(), [this](const NodeInfo* node) {
     return std::binary_search(seeds_.begin(), seeds_.end(), node->id);
   });
-  return takeFromZonesInTurn(std::move(candidates), kMostAcceptors);
+  return selectAcrossZones(std::move(candidates), kMaxAcceptors);
 }
 
 std::vector<NodeId> FleetBootstrapCore::chooseStores(const NodeTable& nodes) const {
@@ -94,8 +97,8 @@
   for (const NodeId& id : nodes.live(NodeRole::Store)) {
     stores.push_back(nodes.find(id));
   }
-  const std::size_t all = stores.size();
-  return takeFromZonesInTurn(std::move(stores), all);
+  const std::size_t storeCount = stores.size();
+  return selectAcrossZones(std::move(stores), storeCount);
 }
 
 void FleetBootstrapCore::form() {
--- a/src/register/fleet_bootstrap.h
+++ b/src/register/fleet_bootstrap.h
@@ -12,16 +12,18 @@
 
 /// Times of `FleetBootstrapCore`.
 struct FleetBootstrapOptions {
-  Duration check = std::chrono::milliseconds(200);    ///< Interval of the checks of the directory.
-  Duration settle = std::chrono::milliseconds(1200);  ///< The set of stores was the same for this.
+  Duration checkInterval =
+      std::chrono::milliseconds(200);  ///< Interval of the checks of the directory.
+  Duration stabilityPeriod =
+      std::chrono::milliseconds(1200);  ///< The set of stores was the same for this.
   /// A node that isn't the first of the seeds forms the fleet only after this time.
-  Duration patience = std::chrono::seconds(6);
+  Duration fallbackDelay = std::chrono::seconds(6);
   /// Disks that may be lost at once without the loss of anything acknowledged.
   std::uint32_t toleratedLosses = 1;
 };
 
 /// Most acceptors of the registers; further register nodes with a disk are standbys for a lost one.
-inline constexpr std::size_t kMostAcceptors = 9;
+inline constexpr std::size_t kMaxAcceptors = 9;
 
 /// Acceptors or replicas of which a majority is left when @p toleratedLosses are gone.
 constexpr std::size_t membersNeeded(std::size_t toleratedLosses) {
@@ -33,8 +35,9 @@
 ///
 /// Acceptors: an acknowledged change survives the loss of `toleratedLosses` disks only if a
 /// majority is larger than that, which takes `membersNeeded` acceptors. The seeds alone may be
-/// fewer, so the other register nodes are acceptors too, up to `kMostAcceptors`. A fleet that has
-/// fewer than needed waits for them for `patience` and is then formed with a warning in the log.
+/// fewer, so the other register nodes are acceptors too, up to `kMaxAcceptors`. A fleet that has
+/// fewer than needed waits for them for `fallbackDelay` and is then formed with a warning in the
+/// log.
 ///
 /// Safety: `FleetFormation` writes nothing unless every machine of the list is empty or holds the
 /// same list. A machine that lost its disk does not get the flag of a first start, and its new
@@ -65,7 +68,7 @@
   std::vector<NodeId> seeds_;
   const FleetBootstrapOptions options_;
   Time startedAt_{};
-  Time settledSince_{};
+  Time unchangedSince_{};
   std::vector<NodeId> acceptors_;
   std::vector<NodeId> stores_;
   bool forming_ = false;
--- a/src/register/fleet_formation.cpp
+++ b/src/register/fleet_formation.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-void sortAndUnify(std::vector<NodeId>& ids) {
+void sortAndDeduplicate(std::vector<NodeId>& ids) {
   std::sort(ids.begin(), ids.end());
   ids.erase(std::unique(ids.begin(), ids.end()), ids.end());
 }
 
 /// Keeps the order, which decides which stores hold a partition together.
-void dropRepeated(std::vector<NodeId>& ids) {
+void removeDuplicates(std::vector<NodeId>& ids) {
   std::set<NodeId> seen;
   ids.erase(std::remove_if(ids.begin(), ids.end(),
                            [&seen](const NodeId& id) { return !seen.insert(id).second; }),
@@ -28,8 +28,8 @@
                                MembershipDone done)
     : MembershipOperation(host, id, std::move(done)), acceptors_(std::move(acceptors)),
       stores_(std::move(stores)), replicas_(replicas) {
-  sortAndUnify(acceptors_);
-  dropRepeated(stores_);
+  sortAndDeduplicate(acceptors_);
+  removeDuplicates(stores_);
 }
 
 void FleetFormation::start() {
@@ -90,10 +90,10 @@
   list.acceptors = membersOf(acceptors_);
   list.stores = membersOf(stores_);
   list.replicas = replicas_;
-  const std::uint64_t content = initialMembersState(list).entry.contentHash;
+  const std::uint64_t expectedHash = initialMembersState(list).entry.contentHash;
   for (const auto& identity : identities_) {
-    const std::uint64_t other = identity.second.initialMembersHash;
-    if (other != 0 && other != content) {
+    const std::uint64_t reportedHash = identity.second.initialMembersHash;
+    if (reportedHash != 0 && reportedHash != expectedHash) {
       finish(makeError(ErrorCode::AlreadyExists,
                        identity.first.address + ": is formed with other members or disks"));
       return;
--- a/src/register/member_absences.cpp
+++ b/src/register/member_absences.cpp
@@ -18,7 +18,7 @@
     }
     absence.wasLive = absence.wasLive || (node != nullptr && !dead);
     if (node != nullptr && !dead) {
-      absence.announcedLeaving = node->state == NodeState::Draining;
+      absence.announcedShutdown = node->state == NodeState::Draining;
     }
   }
 }
@@ -34,11 +34,11 @@
 
 bool MemberAbsences::hasDeparted(const NodeId& member, Time now) const {
   const auto found = absences_.find(member);
-  return found != absences_.end() && found->second.isDead && found->second.announcedLeaving &&
+  return found != absences_.end() && found->second.isDead && found->second.announcedShutdown &&
          now - found->second.unreachableSince >= timeouts_.departedTimeout;
 }
 
-void MemberAbsences::restart(const NodeId& member, Time now) {
+void MemberAbsences::restartTimeout(const NodeId& member, Time now) {
   absences_[member].unreachableSince = now;
 }
 
--- a/src/register/member_absences.h
+++ b/src/register/member_absences.h
@@ -38,14 +38,14 @@
   bool hasDeparted(const NodeId& member, Time now) const;
 
   /// Restarts the time-outs of @p member at @p now, since another node sees it alive.
-  void restart(const NodeId& member, Time now);
+  void restartTimeout(const NodeId& member, Time now);
 
  private:
   struct Absence {
     bool wasLive = false;
     bool isDead = false;
-    bool announcedLeaving = false;  ///< In its present incarnation, or in the one that ended.
-    Time unreachableSince{};        ///< Last change of `isDead`, or the first observation.
+    bool announcedShutdown = false;  ///< In its present incarnation, or in the one that ended.
+    Time unreachableSince{};         ///< Last change of `isDead`, or the first observation.
   };
 
   const AbsenceTimeouts timeouts_;
--- a/src/register/member_replacement.cpp
+++ b/src/register/member_replacement.cpp
@@ -106,10 +106,10 @@
 
 std::optional<Error> MemberReplacement::validate() const {
   if (isMemberNow_) {
-    const bool isAnother = !isAddition() && newId_ != oldId_ && isListed(list_, *oldId_);
-    return isAnother ? std::make_optional(makeError(ErrorCode::AlreadyExists,
-                                                    newId_.address + ": is another member"))
-                     : std::nullopt;
+    const bool isOtherMember = !isAddition() && newId_ != oldId_ && isListed(list_, *oldId_);
+    return isOtherMember ? std::make_optional(makeError(ErrorCode::AlreadyExists,
+                                                        newId_.address + ": is another member"))
+                         : std::nullopt;
   }
   if (!isAddition() && !isListed(list_, *oldId_)) {
     return makeError(ErrorCode::NotFound, oldId_->address + ": is no member");
--- a/src/register/membership_join_core.cpp
+++ b/src/register/membership_join_core.cpp
@@ -20,7 +20,7 @@
       absences_(options.timeouts), reachability_(context) {}
 
 void MembershipJoinCore::start() {
-  context_.startTimer(kCheckTimer, options_.check);
+  context_.startTimer(kCheckTimer, options_.checkInterval);
 }
 
 void MembershipJoinCore::receive(const NodeId& from, const Message& message) {
@@ -37,7 +37,7 @@
 }
 
 void MembershipJoinCore::timerExpired(TimerId) {
-  context_.startTimer(kCheckTimer, options_.check);
+  context_.startTimer(kCheckTimer, options_.checkInterval);
   check();
 }
 
@@ -101,7 +101,7 @@
     return true;
   case ReachabilityQuorum::Verdict::Alive:
     context_.counters().add("members_suspected_wrongly_total");
-    absences_.restart(id, context_.now());
+    absences_.restartTimeout(id, context_.now());
     reachability_.reset();
     return false;
   case ReachabilityQuorum::Verdict::Undecided:
--- a/src/register/membership_join_core.h
+++ b/src/register/membership_join_core.h
@@ -17,7 +17,8 @@
 
 /// Options of `MembershipJoinCore`.
 struct MembershipJoinOptions {
-  Duration check = std::chrono::milliseconds(250);  ///< Interval of the checks of the directory.
+  Duration checkInterval =
+      std::chrono::milliseconds(250);  ///< Interval of the checks of the directory.
   AbsenceTimeouts timeouts;
   /// Fewer acceptors than this cannot keep what was acknowledged through the tolerated losses.
   std::size_t acceptorsNeeded = 0;
--- a/src/register/membership_operation.cpp
+++ b/src/register/membership_operation.cpp
@@ -8,7 +8,7 @@
 }
 
 void MembershipOperation::startResendTimer() {
-  host_.startTimer(id_, OperationTimer::Resend, kRoundResend);
+  host_.startTimer(id_, OperationTimer::Resend, kResendInterval);
 }
 
 void MembershipOperation::timerExpired(OperationTimer timer) {
--- a/src/register/proposal.cpp
+++ b/src/register/proposal.cpp
@@ -48,7 +48,7 @@
 }
 
 void Proposal::sendRequests() {
-  host_.startTimer(id_, OperationTimer::Resend, kRoundResend);
+  host_.startTimer(id_, OperationTimer::Resend, kResendInterval);
   if (phase_ == Phase::Preparing) {
     sendPrepares();
   } else {
@@ -89,9 +89,9 @@
   phase_ = Phase::BackingOff;
   host_.stopTimer(id_, OperationTimer::Round);
   host_.stopTimer(id_, OperationTimer::Resend);
-  std::uniform_int_distribution<std::int64_t> pause(kMinBackoff.count(), maxBackoff_.count());
+  std::uniform_int_distribution<std::int64_t> delay(kMinBackoff.count(), maxBackoff_.count());
   maxBackoff_ = std::min(maxBackoff_ * 2, kMaxBackoff);
-  host_.startTimer(id_, OperationTimer::Delay, Duration(pause(host_.context().random())));
+  host_.startTimer(id_, OperationTimer::Delay, Duration(delay(host_.context().random())));
 }
 
 bool Proposal::handleRejection(const NodeId& from, AcceptorVerdict verdict,
@@ -99,7 +99,7 @@
   if (verdict == AcceptorVerdict::Granted) {
     return false;
   }
-  if (verdict == AcceptorVerdict::Outranked) {
+  if (verdict == AcceptorVerdict::BallotTooLow) {
     host_.observeBallot(promised);
   }
   rejections_.insert(from);
@@ -140,13 +140,13 @@
   }
   newest_ = newest.promise;
   changeLogSource_ = newest.acceptor;
-  decide(committed);
+  commitOrPropose(committed);
 }
 
 void Proposal::startAgreementGrace() {
   if (!graceTimerStarted_) {
     graceTimerStarted_ = true;
-    host_.startTimer(id_, OperationTimer::Delay, kAgreementGrace);
+    host_.startTimer(id_, OperationTimer::Delay, kAgreementGracePeriod);
   }
 }
 
@@ -159,18 +159,18 @@
   return agreeing >= majorityOf(members_.list.acceptors.size()) && !isNextList;
 }
 
-void Proposal::decide(bool committed) {
+void Proposal::commitOrPropose(bool committed) {
   host_.stopTimer(id_, OperationTimer::Delay);
   const bool trusted = committed || !host_.safeguards().finishBeforeAnswer;
   const bool mustCommit = !trusted || (!change_ && (spec_.recommit || spec_.joiningMember));
   if (mustCommit) {
-    AcceptedState same = newest_.accepted;
-    same.ballot = ballot_;
-    startAccepts(Phase::Committing, std::move(same));
+    AcceptedState recommitted = newest_.accepted;
+    recommitted.ballot = ballot_;
+    startAccepts(Phase::Committing, std::move(recommitted));
     return;
   }
   host_.committed(spec_.registerName, {newest_.accepted.version, newest_.accepted.value});
-  if (change_ && change_->judge(newest_) == ProposedChange::Verdict::Proposable) {
+  if (change_ && change_->evaluate(newest_) == ProposedChange::Verdict::Proposable) {
     startAccepts(Phase::Proposing, change_->nextState(newest_.accepted, ballot_));
     return;
   }
@@ -184,7 +184,7 @@
     finish(outcome);
     return;
   }
-  switch (change_->judge(newest_)) {
+  switch (change_->evaluate(newest_)) {
   case ProposedChange::Verdict::Proposable:
     beginRound();
     return;
--- a/src/register/proposal.h
+++ b/src/register/proposal.h
@@ -68,7 +68,7 @@
   void evaluatePromises();
   void startAgreementGrace();
   bool isCommitted(const AcceptedState& newest, std::size_t agreeing) const;
-  void decide(bool committed);
+  void commitOrPropose(bool committed);
   /// Reports the outcome against `newest_`, which is committed, or begins the round that proposes.
   void conclude();
   void startAccepts(Phase phase, AcceptedState state);
--- a/src/register/proposed_change.cpp
+++ b/src/register/proposed_change.cpp
@@ -20,7 +20,7 @@
     : request_(std::move(request)), keyDigest_(digestOf(request_.idempotencyKey)),
       contentHash_(hashOfContent(request_)) {}
 
-ProposedChange::Verdict ProposedChange::judge(const PrepareReply& newest) const {
+ProposedChange::Verdict ProposedChange::evaluate(const PrepareReply& newest) const {
   if (newest.appliedVersion != 0) {
     return newest.appliedContentHash == contentHash_ ? Verdict::Applied : Verdict::KeyReused;
   }
--- a/src/register/proposed_change.h
+++ b/src/register/proposed_change.h
@@ -23,7 +23,7 @@
 
   /// Judges the change against @p newest, whose accepted state must be committed: a verdict on an
   /// uncommitted state could be refuted by another proposer's accept.
-  Verdict judge(const PrepareReply& newest) const;
+  Verdict evaluate(const PrepareReply& newest) const;
 
   /// The state that this change makes of the committed state @p base at @p ballot.
   AcceptedState nextState(const AcceptedState& base, const Ballot& ballot) const;
--- a/src/register/pull_source.cpp
+++ b/src/register/pull_source.cpp
@@ -10,12 +10,12 @@
 
 /// Pulls after which a node returns to its preferred control node, so that load spreads again after
 /// a failure.
-constexpr std::uint32_t kPullsBetweenPreferences = 20;
+constexpr std::uint32_t kPullsBetweenFailbacks = 20;
 
 }  // namespace
 
 std::optional<NodeId> PullSource::choose() {
-  if (pulls_++ % kPullsBetweenPreferences == 0 || !current_) {
+  if (pulls_++ % kPullsBetweenFailbacks == 0 || !current_) {
     current_.reset();
     advance();
   }
--- a/src/register/register_messages.h
+++ b/src/register/register_messages.h
@@ -22,7 +22,7 @@
 /// How an acceptor replied. The numeric values travel on the wire.
 enum class AcceptorVerdict : std::uint8_t {
   Granted = 1,           ///< Promised, or accepted and synced.
-  Outranked = 2,         ///< A higher ballot was promised.
+  BallotTooLow = 2,      ///< A higher ballot was promised.
   StaleMembers = 3,      ///< The proposer's member list has been replaced.
   ChangeLogMissing = 4,  ///< The acceptor is fetching applied changes; send the accept again.
 };
--- a/src/register/register_options.h
+++ b/src/register/register_options.h
@@ -32,9 +32,9 @@
 /// Time after which one pair of quorum rounds is abandoned and a new ballot is started.
 inline constexpr Duration kRoundTimeout = std::chrono::milliseconds(500);
 /// Interval at which a round's request is sent again to acceptors that have not replied.
-inline constexpr Duration kRoundResend = std::chrono::milliseconds(60);
+inline constexpr Duration kResendInterval = std::chrono::milliseconds(60);
 /// Time that a majority which does not agree waits for the other acceptors' promises.
-inline constexpr Duration kAgreementGrace = std::chrono::milliseconds(30);
+inline constexpr Duration kAgreementGracePeriod = std::chrono::milliseconds(30);
 /// Shortest and longest backoff before the second round; the longest doubles up to `kMaxBackoff`.
 inline constexpr Duration kMinBackoff = std::chrono::milliseconds(5);
 inline constexpr Duration kInitialMaxBackoff = std::chrono::milliseconds(30);
--- a/src/register/retirements.cpp
+++ b/src/register/retirements.cpp
@@ -8,12 +8,12 @@
 namespace shedshed {
 namespace {
 
-RetirementList listOf(const RegisterValue& value) {
+RetirementList decodeList(const RegisterValue& value) {
   Result<RetirementList> list = decodeRecord<RetirementList>(value.value);
   return list ? std::move(list.value()) : RetirementList{};
 }
 
-std::vector<Retirement>::iterator findName(RetirementList& list, const std::string& name) {
+std::vector<Retirement>::iterator findByName(RetirementList& list, const std::string& name) {
   return std::find_if(list.entries.begin(), list.entries.end(),
                       [&](const Retirement& entry) { return entry.name == name; });
 }
@@ -25,7 +25,7 @@
     : registers_(registers), directory_(directory) {
   configuration.subscribe(kRetirementsRegister, [this](const RegisterValue& value) {
     value_ = value;
-    list_ = listOf(value);
+    list_ = decodeList(value);
   });
   configuration.subscribe(kMembersRegister, [this](const RegisterValue& value) {
     const Result<MemberList> members = decodeRecord<MemberList>(value.value);
@@ -35,11 +35,11 @@
   });
 }
 
-std::vector<Retirement> Retirements::open() const {
-  std::vector<Retirement> open;
-  std::copy_if(list_.entries.begin(), list_.entries.end(), std::back_inserter(open),
+std::vector<Retirement> Retirements::pending() const {
+  std::vector<Retirement> pending;
+  std::copy_if(list_.entries.begin(), list_.entries.end(), std::back_inserter(pending),
                [](const Retirement& entry) { return !entry.completed; });
-  return open;
+  return pending;
 }
 
 std::vector<NodeId> Retirements::nodes() const {
@@ -62,19 +62,21 @@
     if (node.name == name) {
       target = &node;
     }
-    const bool leaves = std::any_of(list.entries.begin(), list.entries.end(),
-                                    [&](const Retirement& entry) { return entry.node == node.id; });
-    const bool isStandby = node.state != NodeState::Dead && !isListed(stores_, node.id) && !leaves;
+    const bool isRetiring =
+        std::any_of(list.entries.begin(), list.entries.end(),
+                    [&](const Retirement& entry) { return entry.node == node.id; });
+    const bool isStandby =
+        node.state != NodeState::Dead && !isListed(stores_, node.id) && !isRetiring;
     standbys += isStandby && node.name != name ? 1 : 0;
   }
   if (target == nullptr) {
     return makeError(ErrorCode::NotFound, "no store is named " + name);
   }
   const bool member = isListed(stores_, target->id);
-  const auto waiting = static_cast<std::size_t>(
+  const auto pendingCount = static_cast<std::size_t>(
       std::count_if(list.entries.begin(), list.entries.end(),
                     [](const Retirement& entry) { return !entry.completed; }));
-  if (member && standbys <= waiting) {
+  if (member && standbys <= pendingCount) {
     return makeError(ErrorCode::StoreUnavailable, "no other store could take its place");
   }
   list.entries.push_back({target->id, name, {}, !member});
@@ -99,8 +101,8 @@
       done(read.error());
       return;
     }
-    RetirementList list = listOf(read.value());
-    if (findName(list, name) != list.entries.end()) {
+    RetirementList list = decodeList(read.value());
+    if (findByName(list, name) != list.entries.end()) {
       done(okStatus());
       return;
     }
@@ -118,8 +120,8 @@
       done(read.error());
       return;
     }
-    RetirementList list = listOf(read.value());
-    const auto found = findName(list, name);
+    RetirementList list = decodeList(read.value());
+    const auto found = findByName(list, name);
     if (found == list.entries.end()) {
       done(makeError(ErrorCode::NotFound, "no retirement of " + name));
       return;
@@ -130,7 +132,7 @@
 
 void Retirements::update(const Retirement& entry) {
   RetirementList list = list_;
-  const auto found = findName(list, entry.name);
+  const auto found = findByName(list, entry.name);
   if (found == list.entries.end()) {
     return;
   }
--- a/src/register/retirements.h
+++ b/src/register/retirements.h
@@ -46,7 +46,7 @@
   void isCompleted(const std::string& name, std::function<void(Result<bool>)> done);
 
   /// The retirements in force on this node that are not completed.
-  std::vector<Retirement> open() const;
+  std::vector<Retirement> pending() const;
 
   /// The nodes of all retirements, completed ones included.
   std::vector<NodeId> nodes() const;
--- a/src/register/successor_core.cpp
+++ b/src/register/successor_core.cpp
@@ -26,14 +26,14 @@
 
 void SuccessorCore::timerExpired(TimerId) {
   context_.startTimer(kCheckTimer, kCheckInterval);
-  for (const Retirement& entry : retirements_.open()) {
-    follow(entry);
+  for (const Retirement& entry : retirements_.pending()) {
+    advance(entry);
   }
 }
 
 std::vector<NodeId> SuccessorCore::replaceableMembers() const {
   std::vector<NodeId> members;
-  for (const Retirement& entry : retirements_.open()) {
+  for (const Retirement& entry : retirements_.pending()) {
     if (entry.successor == context_.self()) {
       members.push_back(entry.node);
     }
@@ -46,22 +46,23 @@
 }
 
 bool SuccessorCore::isFirstStandby() const {
-  const std::vector<NodeId> leaving = retirements_.nodes();
+  const std::vector<NodeId> retiring = retirements_.nodes();
   for (const NodeId& id : directory_.table()->live(NodeRole::Store)) {
-    const bool leaves = std::find(leaving.begin(), leaving.end(), id) != leaving.end();
-    if (!isMember(id) && !leaves) {
+    const bool isRetiring = std::find(retiring.begin(), retiring.end(), id) != retiring.end();
+    if (!isMember(id) && !isRetiring) {
       return id == context_.self();
     }
   }
   return false;
 }
 
-void SuccessorCore::follow(const Retirement& entry) {
+void SuccessorCore::advance(const Retirement& entry) {
   Retirement next = entry;
-  const NodeInfo* named = directory_.table()->find(entry.successor);
-  const bool lost = !isMember(entry.successor) && isMember(entry.node) &&
-                    (named == nullptr || named->state == NodeState::Dead);
-  if ((entry.successor.empty() || lost) && isFirstStandby() && replicas_.isCaughtUp()) {
+  const NodeInfo* successorNode = directory_.table()->find(entry.successor);
+  const bool isSuccessorLost =
+      !isMember(entry.successor) && isMember(entry.node) &&
+      (successorNode == nullptr || successorNode->state == NodeState::Dead);
+  if ((entry.successor.empty() || isSuccessorLost) && isFirstStandby() && replicas_.isCaughtUp()) {
     next.successor = context_.self();
     retirements_.update(next);
     return;
--- a/src/register/successor_core.h
+++ b/src/register/successor_core.h
@@ -30,7 +30,7 @@
  private:
   bool isMember(const NodeId& id) const;
   bool isFirstStandby() const;
-  void follow(const Retirement& entry);
+  void advance(const Retirement& entry);
 
   CoreContext& context_;
   const RegisterCore& registers_;
--- a/src/register/value_history.cpp
+++ b/src/register/value_history.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Estimated encoded size of a patch beside its middle, bytes.
-constexpr std::size_t kPatchBytes = 40;
+/// Estimated encoded size of a patch beside its replacement, bytes.
+constexpr std::size_t kPatchOverheadBytes = 40;
 
 }  // namespace
 
@@ -17,30 +17,30 @@
   const std::string& from = base.value;
   const std::string& to = next.value;
   const std::size_t shorter = std::min(from.size(), to.size());
-  const auto before = std::mismatch(from.begin(), from.begin() + shorter, to.begin()).first;
-  const std::size_t keptBefore = static_cast<std::size_t>(before - from.begin());
-  const auto most = static_cast<std::ptrdiff_t>(shorter - keptBefore);
-  const auto after = std::mismatch(from.rbegin(), from.rbegin() + most, to.rbegin()).first;
-  const std::size_t keptAfter = static_cast<std::size_t>(after - from.rbegin());
+  const auto prefixEnd = std::mismatch(from.begin(), from.begin() + shorter, to.begin()).first;
+  const std::size_t prefixBytes = static_cast<std::size_t>(prefixEnd - from.begin());
+  const auto maxSuffix = static_cast<std::ptrdiff_t>(shorter - prefixBytes);
+  const auto suffixEnd = std::mismatch(from.rbegin(), from.rbegin() + maxSuffix, to.rbegin()).first;
+  const std::size_t suffixBytes = static_cast<std::size_t>(suffixEnd - from.rbegin());
   return {base.version,
           next.version,
-          keptBefore,
-          keptAfter,
-          to.substr(keptBefore, to.size() - keptBefore - keptAfter),
+          prefixBytes,
+          suffixBytes,
+          to.substr(prefixBytes, to.size() - prefixBytes - suffixBytes),
           hash64(to)};
 }
 
 std::optional<RegisterValue> applyPatch(const RegisterValue& base, const ValuePatch& patch) {
   const std::size_t size = base.value.size();
-  const bool fits = patch.baseVersion == base.version && patch.keptBefore <= size &&
-                    patch.keptAfter <= size - patch.keptBefore;
+  const bool fits = patch.baseVersion == base.version && patch.prefixBytes <= size &&
+                    patch.suffixBytes <= size - patch.prefixBytes;
   if (!fits) {
     return std::nullopt;
   }
   RegisterValue next;
   next.version = patch.version;
-  next.value = base.value.substr(0, patch.keptBefore) + patch.middle +
-               base.value.substr(size - patch.keptAfter);
+  next.value = base.value.substr(0, patch.prefixBytes) + patch.replacement +
+               base.value.substr(size - patch.suffixBytes);
   if (hash64(next.value) != patch.resultHash) {
     return std::nullopt;
   }
@@ -58,7 +58,7 @@
 }
 
 std::optional<std::vector<ValuePatch>> ValueHistory::since(std::uint64_t version,
-                                                           std::size_t wholeBytes) const {
+                                                           std::size_t fullValueBytes) const {
   const auto first =
       std::find_if(patches_.begin(), patches_.end(),
                    [version](const ValuePatch& patch) { return patch.baseVersion == version; });
@@ -67,9 +67,9 @@
   }
   std::size_t bytes = 0;
   for (auto patch = first; patch != patches_.end(); ++patch) {
-    bytes += patch->middle.size() + kPatchBytes;
+    bytes += patch->replacement.size() + kPatchOverheadBytes;
   }
-  if (bytes >= wholeBytes) {
+  if (bytes >= fullValueBytes) {
     return std::nullopt;
   }
   return std::vector<ValuePatch>(first, patches_.end());
--- a/src/register/value_history.h
+++ b/src/register/value_history.h
@@ -20,11 +20,11 @@
 struct ValuePatch {
   std::uint64_t baseVersion = 0;
   std::uint64_t version = 0;
-  std::uint64_t keptBefore = 0;  ///< Bytes kept from the beginning of the base value.
-  std::uint64_t keptAfter = 0;   ///< Bytes kept from its end.
-  std::string middle;
+  std::uint64_t prefixBytes = 0;  ///< Bytes kept from the beginning of the base value.
+  std::uint64_t suffixBytes = 0;  ///< Bytes kept from its end.
+  std::string replacement;
   std::uint64_t resultHash = 0;  ///< XXH3 of the complete new value.
-  MSGPACK_DEFINE(baseVersion, version, keptBefore, keptAfter, middle, resultHash);
+  MSGPACK_DEFINE(baseVersion, version, prefixBytes, suffixBytes, replacement, resultHash);
 };
 
 /// Returns the patch from @p base to @p next.
@@ -44,8 +44,9 @@
   void add(const RegisterValue& base, const RegisterValue& next);
 
   /// Returns the patches that lead from @p version to the newest value, or nullopt if that version
-  /// is not remembered or if they are together not smaller than @p wholeBytes.
-  std::optional<std::vector<ValuePatch>> since(std::uint64_t version, std::size_t wholeBytes) const;
+  /// is not remembered or if they are together not smaller than @p fullValueBytes.
+  std::optional<std::vector<ValuePatch>> since(std::uint64_t version,
+                                               std::size_t fullValueBytes) const;
 
  private:
   std::deque<ValuePatch> patches_;
--- a/tests/compatibility/message_format_test.cpp
+++ b/tests/compatibility/message_format_test.cpp
@@ -233,7 +233,7 @@
   BOOST_TEST(number(SlotOutcome::Overcommitted) == 5);
   BOOST_TEST(number(SlotOutcome::Released) == 6);
   BOOST_TEST(number(AcceptorVerdict::Granted) == 1);
-  BOOST_TEST(number(AcceptorVerdict::Outranked) == 2);
+  BOOST_TEST(number(AcceptorVerdict::BallotTooLow) == 2);
   BOOST_TEST(number(AcceptorVerdict::StaleMembers) == 3);
   BOOST_TEST(number(AcceptorVerdict::ChangeLogMissing) == 4);
   BOOST_TEST(number(TableKind::Slots) == 1);
--- a/tests/register/configuration_core_test.cpp
+++ b/tests/register/configuration_core_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Time until all nodes have @p version in force; at most ten seconds.
-Duration timeUntilInForce(RegisterFleet& fleet, std::uint64_t version) {
+Duration timeUntilAdopted(RegisterFleet& fleet, std::uint64_t version) {
   const Time begin = fleet.harness.now;
   const auto everywhere = [&] {
     for (const auto& node : fleet.nodes) {
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_SUITE(configuration_core)
 
-BOOST_AUTO_TEST_CASE(a_new_setting_is_in_force_everywhere_within_two_seconds) {
+BOOST_AUTO_TEST_CASE(a_new_setting_is_adopted_everywhere_within_two_seconds) {
   RegisterFleet fleet(6, 30);
   BOOST_REQUIRE(fleet.form());
   fleet.harness.advance(std::chrono::seconds(2));
@@ -42,7 +42,7 @@
   for (std::uint64_t version = 1; version <= 20; ++version) {
     fleet.dropRate = version % 2 == 0 ? 0.02 : 0;
     BOOST_REQUIRE(fleet.change("d1", version - 1, std::to_string(version), "v"));
-    longest = std::max(longest, timeUntilInForce(fleet, version));
+    longest = std::max(longest, timeUntilAdopted(fleet, version));
   }
   BOOST_TEST_MESSAGE("longest time until in force, ms: " << toMilliseconds(longest));
   BOOST_TEST(toMilliseconds(longest) < 2000);
@@ -54,12 +54,12 @@
   BOOST_REQUIRE(fleet.form());
   std::string value(500000, 'x');
   BOOST_REQUIRE(fleet.change("d1", 0, "whole", value));
-  timeUntilInForce(fleet, 1);
+  timeUntilAdopted(fleet, 1);
   fleet.configurationBytes = 0;
   for (std::uint64_t version = 2; version <= 11; ++version) {
     value.replace(version * 1000, version % 3, std::to_string(version));
     BOOST_REQUIRE(fleet.change("d1", version - 1, std::to_string(version), value));
-    BOOST_TEST(toMilliseconds(timeUntilInForce(fleet, version)) < 2000);
+    BOOST_TEST(toMilliseconds(timeUntilAdopted(fleet, version)) < 2000);
   }
   BOOST_TEST((fleet.configuration("d4").current(kSettingsRegister).value == value));
   BOOST_TEST_MESSAGE("payload bytes of 10 changes, 4 data nodes: " << fleet.configurationBytes);
@@ -79,15 +79,15 @@
   RegisterFleet fleet(6, 1);
   BOOST_REQUIRE(fleet.form());
   BOOST_REQUIRE(fleet.change("a1", 0, "o1", std::string(1000, 'a')));
-  timeUntilInForce(fleet, 1);
+  timeUntilAdopted(fleet, 1);
   // A control node that answers the next pull with a patch of another value.
   std::size_t forged = 0;
-  const auto real = fleet.harness.filter;
+  const auto originalFilter = fleet.harness.filter;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
-    const bool answer = envelope.to.address == "d1" && envelope.message.kind == PullReply::kKind &&
-                        envelope.message.service == ServiceId::Configuration;
-    const auto decoded =
-        answer ? decodeRecord<PullReply>(envelope.message.payload) : Result<PullReply>(PullReply{});
+    const bool isReply = envelope.to.address == "d1" && envelope.message.kind == PullReply::kKind &&
+                         envelope.message.service == ServiceId::Configuration;
+    const auto decoded = isReply ? decodeRecord<PullReply>(envelope.message.payload)
+                                 : Result<PullReply>(PullReply{});
     if (decoded && !decoded.value().patches.empty()) {
       ++forged;
       PullReply wrong = decoded.value();
@@ -95,10 +95,10 @@
       fleet.configuration("d1").receive(envelope.from, encodeMessage(wrong));
       return false;
     }
-    return real(envelope);
+    return originalFilter(envelope);
   };
   BOOST_REQUIRE(fleet.change("a1", 1, "o2", std::string(1000, 'a') + "b"));
-  BOOST_TEST(toMilliseconds(timeUntilInForce(fleet, 2)) < 2000);
+  BOOST_TEST(toMilliseconds(timeUntilAdopted(fleet, 2)) < 2000);
   BOOST_TEST(forged == 1U);
   BOOST_TEST(fleet.configuration("d1").current(kSettingsRegister).value.size() == 1001U);
 }
@@ -158,7 +158,7 @@
   for (std::uint64_t base = 0; base < 9000; ++base) {
     BOOST_REQUIRE(fleet.change("d1", base, "order-" + std::to_string(base), "value"));
   }
-  for (const auto& entry : fleet.largest) {
+  for (const auto& entry : fleet.maxMessageBytes) {
     BOOST_TEST_MESSAGE("register message kind " << entry.first << ": " << entry.second
                                                 << " bytes at most");
     BOOST_TEST((entry.first == FormRequest::kKind || entry.second < 400));
@@ -166,7 +166,7 @@
   fleet.isolated = {"a1", "a2"};
   BOOST_REQUIRE(fleet.change("d2", 9000, "with-a6", "value"));
   BOOST_TEST(fleet.change("d2", 17, "order-17", "value").value().version == 18U);
-  BOOST_TEST_MESSAGE("largest change log chunk: " << fleet.largest[ChangeLogChunk::kKind]);
+  BOOST_TEST_MESSAGE("largest change log chunk: " << fleet.maxMessageBytes[ChangeLogChunk::kKind]);
   fleet.crash("a6");
   fleet.start("a6");
   BOOST_TEST(fleet.change("d1", 8123, "order-8123", "value").value().version == 8124U);
--- a/tests/register/fleet_bootstrap_test.cpp
+++ b/tests/register/fleet_bootstrap_test.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-struct BootFleet {
-  BootFleet() {
+struct BootstrapFixture {
+  BootstrapFixture() {
     for (const char* id : {"a1", "a2", "a3", "s1"}) {
       add(id);
     }
@@ -33,7 +33,7 @@
     registers.erase(id);
     cores.erase(id);
   }
-  void boot(const std::string& id, FleetBootstrapOptions options = {}) {
+  void startBootstrap(const std::string& id, FleetBootstrapOptions options = {}) {
     HarnessContext& context = harness.context(id, ServiceId::Bootstrap);
     cores[id] = std::make_unique<FleetBootstrapCore>(
         context, *registers[id], directory,
@@ -51,9 +51,10 @@
 
 BOOST_AUTO_TEST_SUITE(fleet_bootstrap)
 
-BOOST_FIXTURE_TEST_CASE(the_first_acceptor_forms_once_the_stores_have_settled, BootFleet) {
+BOOST_FIXTURE_TEST_CASE(the_first_acceptor_forms_the_fleet_once_the_stores_are_stable,
+                        BootstrapFixture) {
   for (const char* id : {"a1", "a2", "a3"}) {
-    boot(id);
+    startBootstrap(id);
   }
   harness.advance(std::chrono::milliseconds(1000));
   BOOST_TEST(registers["a1"]->knownMembers().version == 0U);
@@ -64,8 +65,9 @@
   BOOST_TEST(members.list.stores.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(another_acceptor_forms_if_the_first_one_does_not, BootFleet) {
-  boot("a2");
+BOOST_FIXTURE_TEST_CASE(another_acceptor_forms_the_fleet_if_the_first_one_does_not,
+                        BootstrapFixture) {
+  startBootstrap("a2");
   harness.advance(std::chrono::seconds(5));
   BOOST_TEST(registers["a2"]->knownMembers().version == 0U);
   harness.advance(std::chrono::seconds(3));
@@ -74,11 +76,12 @@
 
 // Acceptors were the three seeds alone: with two disks lost no majority was left, and with it the
 // configuration.
-BOOST_FIXTURE_TEST_CASE(the_configuration_outlives_the_loss_of_two_disks_of_eight, BootFleet) {
+BOOST_FIXTURE_TEST_CASE(the_configuration_outlives_the_loss_of_two_disks_of_eight,
+                        BootstrapFixture) {
   for (const char* id : {"a4", "a5", "a6", "a7", "a8"}) {
     add(id);
   }
-  boot("a1");
+  startBootstrap("a1");
   harness.advance(std::chrono::seconds(3));
   bool acknowledged = false;
   registers["a1"]->change({kSettingsRegister, 0, "order", "value", {}},
@@ -96,17 +99,18 @@
   BOOST_TEST(found == "value");
 }
 
-BOOST_FIXTURE_TEST_CASE(a_register_node_without_a_disk_is_no_acceptor, BootFleet) {
+BOOST_FIXTURE_TEST_CASE(a_register_node_without_a_disk_is_no_acceptor, BootstrapFixture) {
   add("b1", "");
-  boot("a1");
+  startBootstrap("a1");
   harness.advance(std::chrono::seconds(3));
   BOOST_TEST(registers["a1"]->knownMembers().list.acceptors.size() == 3U);
 }
 
-BOOST_FIXTURE_TEST_CASE(too_few_acceptors_delay_the_formation_and_are_then_reported, BootFleet) {
+BOOST_FIXTURE_TEST_CASE(too_few_acceptors_delay_the_formation_and_are_then_reported,
+                        BootstrapFixture) {
   FleetBootstrapOptions options;
   options.toleratedLosses = 2;
-  boot("a1", options);
+  startBootstrap("a1", options);
   harness.advance(std::chrono::seconds(5));
   BOOST_TEST(registers["a1"]->knownMembers().version == 0U);
   harness.advance(std::chrono::seconds(3));
@@ -114,7 +118,7 @@
   BOOST_TEST(harness.counters.values["fleet_members_missing"] == 4);
 }
 
-BOOST_FIXTURE_TEST_CASE(neighbouring_stores_lie_in_different_zones, BootFleet) {
+BOOST_FIXTURE_TEST_CASE(neighbouring_stores_lie_in_different_zones, BootstrapFixture) {
   for (const char* id : {"s2", "s3", "s4", "s5", "s6"}) {
     add(id);
   }
@@ -124,7 +128,7 @@
   for (const char* id : {"s5", "s6"}) {
     directory.setZone(id, "west");
   }
-  boot("a1");
+  startBootstrap("a1");
   harness.advance(std::chrono::seconds(3));
   std::string order;
   for (const MemberList::Member& member : registers["a1"]->knownMembers().list.stores) {
--- a/tests/register/membership_join_core_test.cpp
+++ b/tests/register/membership_join_core_test.cpp
@@ -33,7 +33,7 @@
     }
   }
   /// The machine's process ends, and all others confirm it dead.
-  void end(const std::string& id) {
+  void crashAndConfirmDead(const std::string& id) {
     fleet.crash(id);
     cores.erase(id);
     fleet.harness.context(id, ServiceId::MembershipJoin);
@@ -125,7 +125,7 @@
   directory.set("a1", NodeRole::Register, NodeState::Draining);
   fleet.harness.advance(seconds(4));
   BOOST_TEST(isMember("a1"));
-  end("a1");
+  crashAndConfirmDead("a1");
   fleet.harness.advance(seconds(3));
   BOOST_TEST(isMember("a4"));
   BOOST_TEST(!isMember("a1"));
@@ -175,7 +175,7 @@
   }
   fleet.harness.advance(milliseconds(500));
   for (const char* id : {"a1", "a3"}) {
-    end(id);
+    crashAndConfirmDead(id);
   }
   fleet.harness.advance(seconds(6));
   BOOST_TEST(isMember("a6"));
@@ -223,7 +223,7 @@
   for (const char* id : {"a4", "a5"}) {
     fleet.harness.context(id, ServiceId::MembershipJoin);
   }
-  end("a3");
+  crashAndConfirmDead("a3");
   fleet.harness.advance(seconds(20));
   BOOST_TEST(!isMember("a6"));
   for (const char* id : {"a4", "a5"}) {
--- a/tests/register/proposed_change_test.cpp
+++ b/tests/register/proposed_change_test.cpp
@@ -23,9 +23,9 @@
 
 BOOST_AUTO_TEST_CASE(a_change_of_the_committed_version_is_proposable) {
   const ProposedChange change(requestOn(4, "value"));
-  BOOST_TEST((change.judge(promiseAt(4)) == ProposedChange::Verdict::Proposable));
-  BOOST_TEST((change.judge(promiseAt(5)) == ProposedChange::Verdict::Conflict));
-  BOOST_TEST((change.judge(promiseAt(3)) == ProposedChange::Verdict::Conflict));
+  BOOST_TEST((change.evaluate(promiseAt(4)) == ProposedChange::Verdict::Proposable));
+  BOOST_TEST((change.evaluate(promiseAt(5)) == ProposedChange::Verdict::Conflict));
+  BOOST_TEST((change.evaluate(promiseAt(3)) == ProposedChange::Verdict::Conflict));
 }
 
 BOOST_AUTO_TEST_CASE(an_applied_key_is_recognised_by_its_content) {
@@ -33,18 +33,18 @@
   PrepareReply promise = promiseAt(9);
   promise.appliedVersion = 5;
   promise.appliedContentHash = change.nextState({}, {}).entry.contentHash;
-  BOOST_TEST((change.judge(promise) == ProposedChange::Verdict::Applied));
+  BOOST_TEST((change.evaluate(promise) == ProposedChange::Verdict::Applied));
   const ProposedChange other(requestOn(4, "other"));
-  BOOST_TEST((other.judge(promise) == ProposedChange::Verdict::KeyReused));
+  BOOST_TEST((other.evaluate(promise) == ProposedChange::Verdict::KeyReused));
 }
 
 BOOST_AUTO_TEST_CASE(the_outcome_of_a_change_older_than_the_log_is_unknown) {
   const ProposedChange change(requestOn(4, "value"));
   PrepareReply promise = promiseAt(100);
   promise.firstLoggedVersion = 6;
-  BOOST_TEST((change.judge(promise) == ProposedChange::Verdict::Unknown));
+  BOOST_TEST((change.evaluate(promise) == ProposedChange::Verdict::Unknown));
   promise.firstLoggedVersion = 5;
-  BOOST_TEST((change.judge(promise) == ProposedChange::Verdict::Conflict));
+  BOOST_TEST((change.evaluate(promise) == ProposedChange::Verdict::Conflict));
 }
 
 BOOST_AUTO_TEST_CASE(the_next_state_continues_the_chain_of_its_base) {
--- a/tests/register/register_core_random_test.cpp
+++ b/tests/register/register_core_random_test.cpp
@@ -15,14 +15,14 @@
   std::string idempotencyKey;
   std::uint64_t base = 0;
   std::optional<Result<ChangeOutcome>> outcome;
-  bool isLost = false;  ///< Its node crashed before it answered.
+  bool nodeCrashed = false;  ///< Its node crashed before it answered.
 };
 
 struct Read {
   std::string via;
   std::uint64_t acknowledgedBefore = 0;
   std::optional<Result<RegisterValue>> value;
-  bool isLost = false;
+  bool nodeCrashed = false;
 };
 
 class RandomRun {
@@ -37,12 +37,12 @@
   std::string run() {
     for (int step = 0; step < 9000; ++step) {
       fleet_.randomStep();
-      const std::uint64_t dice = fleet_.harness.random() % 1000;
-      if (dice < 8 && attempts_.size() < 40) {
+      const std::uint64_t draw = fleet_.harness.random() % 1000;
+      if (draw < 8 && attempts_.size() < 40) {
         startChange();
-      } else if (dice < 12) {
+      } else if (draw < 12) {
         startRead();
-      } else if (dice < 14) {
+      } else if (draw < 14) {
         crashOrRestart(fleet_.harness.random() % 8 == 0);
       }
     }
@@ -113,10 +113,10 @@
 
   void crash(const std::string& name) {
     for (auto& attempt : attempts_) {
-      attempt->isLost = attempt->isLost || (attempt->via == name && !attempt->outcome);
+      attempt->nodeCrashed = attempt->nodeCrashed || (attempt->via == name && !attempt->outcome);
     }
     for (auto& read : reads_) {
-      read->isLost = read->isLost || (read->via == name && !read->value);
+      read->nodeCrashed = read->nodeCrashed || (read->via == name && !read->value);
     }
     fleet_.crash(name);
   }
@@ -128,12 +128,12 @@
       }
     }
     for (auto& attempt : attempts_) {
-      if (!attempt->isLost) {
+      if (!attempt->nodeCrashed) {
         (void)fleet_.await(attempt->outcome);
       }
     }
     for (auto& read : reads_) {
-      if (!read->isLost) {
+      if (!read->nodeCrashed) {
         (void)fleet_.await(read->value);
       }
     }
@@ -164,7 +164,7 @@
     if (tookEffect && !history.emplace(again.value().version, attempt.idempotencyKey).second) {
       return "two changes produced one version";
     }
-    if (attempt.isLost) {
+    if (attempt.nodeCrashed) {
       return {};
     }
     if (*attempt.outcome) {
@@ -180,7 +180,7 @@
 
   std::string checkReads(const std::map<std::uint64_t, std::string>& history) {
     for (const auto& read : reads_) {
-      if (read->isLost || !read->value || !*read->value) {
+      if (read->nodeCrashed || !read->value || !*read->value) {
         continue;
       }
       const RegisterValue& value = read->value->value();
@@ -202,7 +202,7 @@
 };
 
 /// Returns how many of @p seeds runs find a violation.
-int violationsIn(int seeds, RegisterSafeguards safeguards) {
+int countViolations(int seeds, RegisterSafeguards safeguards) {
   int violations = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
     const std::string violation = RandomRun(static_cast<std::uint64_t>(seed), safeguards).run();
@@ -218,14 +218,14 @@
 
 BOOST_AUTO_TEST_SUITE(register_random_runs)
 
-BOOST_AUTO_TEST_CASE(random_runs_keep_the_rules) {
-  BOOST_TEST(violationsIn(120, {}) == 0);
+BOOST_AUTO_TEST_CASE(random_runs_preserve_register_semantics) {
+  BOOST_TEST(countViolations(120, {}) == 0);
 }
 
 BOOST_AUTO_TEST_CASE(random_runs_detect_verdicts_on_uncommitted_states) {
   RegisterSafeguards safeguards;
   safeguards.finishBeforeAnswer = false;
-  BOOST_TEST(violationsIn(60, safeguards) > 0);
+  BOOST_TEST(countViolations(60, safeguards) > 0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/register/register_core_test.cpp
+++ b/tests/register/register_core_test.cpp
@@ -23,7 +23,7 @@
 }
 
 /// Makes @p count changes on top of @p base, each by another node.
-std::uint64_t changeManyTimes(RegisterFleet& fleet, std::uint64_t base, int count) {
+std::uint64_t applyChanges(RegisterFleet& fleet, std::uint64_t base, int count) {
   for (int number = 0; number < count; ++number) {
     const std::string via = "d" + std::to_string(number % 2 + 1);
     const Outcome outcome =
@@ -43,7 +43,7 @@
     RegisterFleet fleet(6, 2);
     BOOST_REQUIRE(fleet.form());
     fleet.harness.random.seed(seed);
-    fleet.lossRate = 0;
+    fleet.stepLossRate = 0;
     std::vector<Outcome> outcomes;
     for (const char* via : {"d1", "a2"}) {
       fleet.registers(via).change({kSettingsRegister, 0, via, via, {}},
@@ -65,16 +65,16 @@
   BOOST_REQUIRE(fleet.form());
   // After the accepts have left, nothing reaches the proposer any more: the change takes effect
   // and nobody can say so.
-  const auto passes = fleet.harness.filter;
-  bool isDeaf = false;
+  const auto originalFilter = fleet.harness.filter;
+  bool repliesBlocked = false;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
-    isDeaf = isDeaf || (envelope.message.service == ServiceId::Register &&
-                        envelope.message.kind == AcceptRequest::kKind);
-    return passes(envelope) && !(isDeaf && envelope.to.address == "d1");
+    repliesBlocked = repliesBlocked || (envelope.message.service == ServiceId::Register &&
+                                        envelope.message.kind == AcceptRequest::kKind);
+    return originalFilter(envelope) && !(repliesBlocked && envelope.to.address == "d1");
   };
   BOOST_TEST((errorOf(fleet.change("d1", 0, "first", "v1")) == ErrorCode::OutcomeUnknown));
-  fleet.harness.filter = passes;
-  changeManyTimes(fleet, 1, 300);
+  fleet.harness.filter = originalFilter;
+  applyChanges(fleet, 1, 300);
   const Outcome again = fleet.change("d2", 0, "first", "v1");
   BOOST_REQUIRE(again);
   BOOST_TEST(again.value().version == 1U);
@@ -88,7 +88,7 @@
 BOOST_AUTO_TEST_CASE(without_a_majority_no_outcome_is_reported) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
-  changeManyTimes(fleet, 0, 1);
+  applyChanges(fleet, 0, 1);
   fleet.isolated = {"a1", "a2", "a3", "d1"};
   BOOST_TEST((errorOf(fleet.change("d1", 1, "x", "x")) == ErrorCode::NoQuorum));
   BOOST_TEST((fleet.read("a1").error().code == ErrorCode::NoQuorum));
@@ -111,7 +111,7 @@
 BOOST_AUTO_TEST_CASE(restart_of_all_reads_back_the_newest_version) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
-  const std::uint64_t newest = changeManyTimes(fleet, 0, 400);
+  const std::uint64_t newest = applyChanges(fleet, 0, 400);
   for (auto& node : fleet.nodes) {
     fleet.crash(node.first);
   }
@@ -164,7 +164,7 @@
 BOOST_AUTO_TEST_CASE(an_acceptor_with_corrupt_records_does_not_reply) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
-  changeManyTimes(fleet, 0, 3);
+  applyChanges(fleet, 0, 3);
   fleet.crash("a1");
   fleet.harness.records["a1"].rows["register/settings/accepted"] = "\xc1";
   fleet.start("a1");
@@ -178,7 +178,7 @@
   RegisterFleet fleet(6, 2, safeguards);
   BOOST_REQUIRE(fleet.form());
   fleet.isolated = {"a5", "a6"};
-  changeManyTimes(fleet, 0, 1);
+  applyChanges(fleet, 0, 1);
   fleet.isolated = {"a1", "a2"};
   for (const char* emptied : {"a3", "a4"}) {
     fleet.emptyDisk(emptied);
@@ -210,7 +210,7 @@
   fleet.isolated.clear();
   BOOST_REQUIRE(fleet.form("a3"));
   BOOST_REQUIRE(fleet.form("a5"));
-  changeManyTimes(fleet, 0, 2);
+  applyChanges(fleet, 0, 2);
   const auto all = fleet.acceptorIds;
   fleet.acceptorIds = {all[0], all[1], all[2]};
   BOOST_TEST((fleet.form().error().code == ErrorCode::AlreadyExists));
@@ -227,7 +227,7 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     RegisterFleet fleet(6, 2);
     BOOST_REQUIRE(fleet.form());
-    std::uint64_t version = changeManyTimes(fleet, 0, 100);
+    std::uint64_t version = applyChanges(fleet, 0, 100);
     fleet.harness.random.seed(seed);
     for (int number = 1; number <= 6; ++number) {
       const std::string old = "a" + std::to_string(number);
@@ -263,7 +263,7 @@
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
   fleet.isolated = {"a5", "a6"};
-  const std::uint64_t version = changeManyTimes(fleet, 0, 70);
+  const std::uint64_t version = applyChanges(fleet, 0, 70);
   fleet.isolated.clear();
   fleet.emptyDisk("a1");
   fleet.addControl("b1");
--- a/tests/register/register_fleet.h
+++ b/tests/register/register_fleet.h
@@ -135,7 +135,7 @@
       return;
     }
     const std::size_t index = chance(0.5) ? 0 : harness.random() % harness.queue.size();
-    if (chance(lossRate)) {
+    if (chance(stepLossRate)) {
       harness.queue.erase(harness.queue.begin() + static_cast<std::ptrdiff_t>(index));
       return;
     }
@@ -146,18 +146,19 @@
   std::map<std::string, Node> nodes;
   std::vector<NodeId> acceptorIds;
   std::set<std::string> isolated;  ///< Nodes in a network partition of their own.
-  double lossRate = 0.1;
+  double stepLossRate = 0.1;
   double syncRate = 0.3;  ///< Probability that a random step syncs a waiting record.
   double duplicationRate = 0.1;
-  double dropRate = 0;                           ///< Loss in `harness.settle`.
-  std::map<std::uint16_t, std::size_t> largest;  ///< Bytes of the largest register message by kind.
+  double dropRate = 0;  ///< Loss in `harness.settle`.
+  std::map<std::uint16_t, std::size_t>
+      maxMessageBytes;  ///< Bytes of the largest register message by kind.
   std::size_t configurationBytes = 0;
 
  private:
   bool passes(const Harness::Envelope& envelope) {
     const std::size_t size = envelope.message.payload.size();
     if (envelope.message.service == ServiceId::Register) {
-      std::size_t& most = largest[envelope.message.kind];
+      std::size_t& most = maxMessageBytes[envelope.message.kind];
       most = std::max(most, size);
     } else {
       configurationBytes += size;
