--- a/src/register/accept_set.h
+++ b/src/register/accept_set.h
@@ -10,14 +10,14 @@
 
 namespace shedshed {
 
-/// Accepts by acceptor, with the store id that each gave.
+/// Accept replies by acceptor, with the store id that each reported.
 class AcceptSet {
  public:
   void add(const NodeId& from, const std::string& storeId) { storeIds_[from] = storeId; }
   void clear() { storeIds_.clear(); }
   bool contains(const NodeId& acceptor) const { return storeIds_.count(acceptor) != 0; }
 
-  /// True if a majority of @p voters has accepted, each with the disk that is listed.
+  /// True if a majority of @p voters has accepted, each with its listed store id.
   bool isMajorityOf(const std::vector<MemberList::Member>& voters,
                     const RegisterSafeguards& safeguards) const;
 
--- a/src/register/acceptor_register.h
+++ b/src/register/acceptor_register.h
@@ -1,5 +1,5 @@
 /// @file
-/// What an acceptor keeps of one register, and its records.
+/// The durable state of one register on an acceptor.
 #pragma once
 
 #include "register/applied_change_log.h"
@@ -13,8 +13,8 @@
 namespace shedshed {
 
 /// The promised ballot, the accepted state and the applied-change log up to that state. Each change
-/// is requested to be synced as one step before the method returns; replies that are sent through
-/// the same outbox leave only after it.
+/// is persisted as one atomic step, requested before the method returns; replies sent through the
+/// same outbox leave only after it is synced.
 class AcceptorRegister {
  public:
   explicit AcceptorRegister(std::string name) : name_(std::move(name)) {}
@@ -30,16 +30,16 @@
   void promise(const Ballot& ballot, SyncedOutbox& outbox);
 
   /// Accepts @p state, whose ballot must not be below the promised one.
-  /// @return false if the log does not reach the version before: it has to be fetched first
+  /// @return false if the log does not reach the preceding version and must be fetched first
   bool accept(const AcceptedState& state, SyncedOutbox& outbox);
 
   /// Accepts the first state of a new fleet. The register must be empty.
   void acceptInitial(const AcceptedState& state, SyncedOutbox& outbox);
 
-  /// Begins to fetch the log up to @p upToVersion, or continues. @return the request to send
+  /// Starts or continues fetching the log up to @p upToVersion. @return the request to send
   ChangeLogRequest fetchLog(std::uint64_t upToVersion);
 
-  /// Takes a fetched chunk. @return the next request to send, if any
+  /// Adds a fetched chunk. @return the next request to send, if any
   std::optional<ChangeLogRequest> addLogChunk(const ChangeLogChunk& chunk);
 
  private:
@@ -50,7 +50,7 @@
   Ballot promised_;
   AcceptedState accepted_;
   AppliedChangeLog log_;
-  std::optional<ChangeLogFetch> fetch_;  ///< A log that is being completed; never durable.
+  std::optional<ChangeLogFetch> fetch_;  ///< Log fetch in progress; not durable.
 };
 
 }  // namespace shedshed
--- a/src/register/applied_change_log.h
+++ b/src/register/applied_change_log.h
@@ -1,11 +1,11 @@
 /// @file
-/// The applied-change log of a register: which change request produced which version. A resent
-/// request is recognised by it and gets the outcome of the first one.
+/// The applied-change log of a register: maps each version to the change request that produced it.
+/// It identifies a resent request, which gets the outcome of the first one.
 ///
 /// Each version of a register was produced by exactly one change request, so the log is a sequence
-/// with one entry a version. It is never sent completely in the quorum rounds: a running digest
-/// (`chain`) names the complete sequence up to a version, and two ledgers with the same chain at
-/// the same version are equal. An accept carries one entry and the chain before it.
+/// with one entry a version. The quorum rounds never carry the complete log: a hash chain (`chain`)
+/// identifies the sequence up to a version, so two logs with the same chain at the same version are
+/// equal. An accept carries one entry and the chain before it.
 #pragma once
 
 #include "kernel/core.h"
@@ -53,17 +53,18 @@
 /// Returns the chain after @p entry, given the chain before it.
 Digest nextChain(const Digest& chain, const AppliedChange& entry);
 
-/// A block of entries as it is kept in one durable record.
+/// A block of entries, stored as one durable record.
 struct AppliedChangeBlock {
   Digest chainBefore;
   std::vector<AppliedChange> entries;
   MSGPACK_DEFINE(chainBefore, entries);
 };
 
-/// The newest entries of a register and the chain at each of them. Bounded: the oldest leave.
+/// The newest entries of a register and the chain at each of them. Bounded: the oldest entries are
+/// evicted.
 class AppliedChangeLog {
  public:
-  /// Entries kept at least: several days of thousands of changes.
+  /// Minimum number of retained entries: several days of thousands of changes.
   static constexpr std::size_t kCapacity = 50000;
   /// Entries in one durable record; a change rewrites one record of at most about 2 KB.
   static constexpr std::uint64_t kBlockEntries = 64;
@@ -75,13 +76,13 @@
   /// The version of the newest entry.
   std::uint64_t version() const { return baseVersion_ + entries_.size(); }
 
-  /// The oldest version that is still listed; `version() + 1` if none is.
+  /// The oldest version in the log; `version() + 1` if it is empty.
   std::uint64_t firstVersion() const { return baseVersion_ + 1; }
 
   /// The chain after the newest entry.
   Digest chain() const;
 
-  /// The chain after the entry of @p version, or nullopt if that is no longer or not yet known.
+  /// The chain after the entry of @p version, or nullopt if it is evicted or not yet known.
   std::optional<Digest> chainAt(std::uint64_t version) const;
 
   /// The entry of @p version, or nullptr.
@@ -96,7 +97,8 @@
   /// Removes the entries above @p version, which must be at least `firstVersion() - 1`.
   void truncate(std::uint64_t version);
 
-  /// Forgets everything and continues after @p version, a multiple of `kBlockEntries`.
+  /// Clears the log; the next entry is that of @p version + 1. @p version must be a multiple of
+  /// `kBlockEntries`.
   void resetTo(std::uint64_t version, const Digest& chain);
 
   /// Returns at most @p limit entries from @p from on.
@@ -115,8 +117,9 @@
   };
   static std::uint64_t blockOf(std::uint64_t version) { return (version - 1) / kBlockEntries; }
   void evictOldest();
+  /// Version before the oldest entry; a multiple of kBlockEntries.
 
-  std::uint64_t baseVersion_ = 0;  ///< Version before the oldest row; a multiple of kBlockEntries.
+  std::uint64_t baseVersion_ = 0;
   Digest chainBefore_;
   std::deque<ChainedEntry> entries_;
   std::map<Digest, std::uint64_t> versionByKey_;
--- a/src/register/change_log_fetch.cpp
+++ b/src/register/change_log_fetch.cpp
@@ -6,7 +6,7 @@
 
 ChangeLogFetch::ChangeLogFetch(const AppliedChangeLog& local, std::uint64_t upToVersion)
     : upToVersion_(upToVersion), log_(local) {
-  // The newest local entry may be of a state that was never committed: fetch it again too.
+  // The newest local entry may belong to a state that was never committed, so fetch it again.
   const std::uint64_t commonVersion = std::min(local.version(), upToVersion);
   log_.truncate(commonVersion == 0 ? 0 : commonVersion - 1);
 }
--- a/src/register/change_log_fetch.h
+++ b/src/register/change_log_fetch.h
@@ -1,5 +1,5 @@
 /// @file
-/// Completes an applied-change log from that of another acceptor.
+/// Fetches the missing part of an applied-change log from another acceptor.
 #pragma once
 
 #include "register/applied_change_log.h"
@@ -10,12 +10,12 @@
 
 namespace shedshed {
 
-/// A copy of a log that is extended chunk by chunk. The acceptor's own log stays as it is until the
-/// copy has the chain that an accept names, so a crash or a wrong chunk on the way changes nothing
-/// durable.
+/// A copy of a log that is extended chunk by chunk. The acceptor's own log is unchanged until the
+/// copy has the chain that an accept names, so a crash or a wrong chunk during the fetch affects no
+/// durable state.
 class ChangeLogFetch {
  public:
-  /// Begins with a copy of @p local, to be completed up to @p upToVersion.
+  /// Starts from a copy of @p local and fetches up to @p upToVersion.
   ChangeLogFetch(const AppliedChangeLog& local, std::uint64_t upToVersion);
 
   std::uint64_t upToVersion() const { return upToVersion_; }
@@ -29,7 +29,7 @@
 
   const AppliedChangeLog& log() const { return log_; }
 
-  /// The completed log, to replace @p replaced. Nothing else may be called after it.
+  /// The completed log, to replace @p replaced. The object must not be used afterwards.
   AppliedChangeLog takeReplacing(const AppliedChangeLog& replaced);
 
  private:
--- a/src/register/configuration_core.cpp
+++ b/src/register/configuration_core.cpp
@@ -34,7 +34,7 @@
         context_.startTimer(kAfterAcceptTimer, kProofDelayAfterAccept);
       }
     });
-    // It may be the one that was missing for a majority when this node started.
+    // The new reader may be the node that was missing for a majority when this node started.
     registers_.setNewReaderListener([this] {
       if (proof_.neverProved()) {
         proveByQuorum();
--- a/src/register/configuration_core.h
+++ b/src/register/configuration_core.h
@@ -21,29 +21,28 @@
 inline constexpr Duration kProofDelayAfterAccept = std::chrono::milliseconds(50);
 /// Interval of a data node's pulls.
 inline constexpr Duration kPullInterval = std::chrono::milliseconds(500);
-/// Delay after a pull that brought no proof, before the first proof. Until then a node serves
-/// nothing, and after the loss of all processes no node has one.
+/// Delay before the next pull if a pull returned no proof and the node never had one. Without a
+/// proof a node serves no calls, and after the loss of all processes no node has one.
 inline constexpr Duration kFirstProofInterval = std::chrono::milliseconds(100);
-/// Time after which a pull is sent to the next control node.
+/// Time without a reply after which a pull is sent to the next control node.
 inline constexpr Duration kPullTimeout = std::chrono::milliseconds(200);
-/// Age of a proof above which a node looks for one at another control node.
+/// Age of a proof above which a node pulls from another control node.
 inline constexpr Duration kStaleProofAge = std::chrono::milliseconds(1500);
 
-/// Where a node finds the configuration.
+/// Sources of a node's configuration.
 struct ConfigurationOptions {
   std::vector<NodeId> seeds;  ///< Internal addresses of other processes, asked first.
-  bool isControl = false;     ///< Proves itself by quorum reads and replies to pulls.
+  bool isControl = false;     ///< Obtains proofs by quorum reads and replies to pulls.
 };
 
-/// Core of `ServiceId::Configuration`. Core thread only, but for `freshUntil`.
+/// Core of `ServiceId::Configuration`. Core thread only, except `freshUntil`.
 ///
-/// A proof is a moment on this node's clock at which all adopted values were current. A quorum
-/// read proves the moment at which it was sent. A reply to a pull proves the moment at which the
-/// pull was sent, less the age that the replier gives for its own proof: the reply was made
-/// after the pull was sent, so the proof is at most that much older. Proofs from before this
-/// process started do not count: a restarted node could otherwise adopt values older than those it
-/// had before. A node that is cut off gets no proof, whatever it can still reach that is cut off
-/// with it, since ages only grow.
+/// A proof is a point in time on this node's clock at which all adopted values were current. A
+/// quorum read proves the time at which it was sent. A reply to a pull proves the time at which the
+/// pull was sent, less the reported age of the sender's own proof: the reply was made after the
+/// pull was sent, so the proof is at most that much older. Proofs from before this process started
+/// do not count: a restarted node could otherwise adopt values older than those it had before.
+/// Nodes isolated together cannot renew each other's proofs, since ages only grow.
 class ConfigurationCore : public Core, public ConfigurationSource {
  public:
   /// @param directory may be null; then it pulls from the members and the seeds only
@@ -61,7 +60,7 @@
 
  private:
   void proveByQuorum();
-  /// Lets an open quorum read finish, then proves what was accepted after it was sent.
+  /// Waits for a quorum read in flight, then starts another one to cover what was accepted since.
   void proveAfterAccept();
   void tick();
   void pull();
--- a/src/register/configuration_messages.h
+++ b/src/register/configuration_messages.h
@@ -1,9 +1,9 @@
 /// @file
 /// Messages of the configuration service.
 ///
-/// While nothing changes, pulls and their replies together are 66 bytes of payload a second and
-/// data node at `kPullInterval` (tests/register/configuration_core_test.cpp, where only the members
-/// register was written), before the framing of the internal protocol and TCP.
+/// While no value changes, pulls and their replies take 66 bytes of payload per second and data
+/// node at `kPullInterval` (tests/register/configuration_core_test.cpp, where only the members
+/// register was written), excluding the framing of the internal protocol and TCP.
 #pragma once
 
 #include "kernel/message.h"
@@ -17,13 +17,13 @@
 
 namespace shedshed {
 
-/// Requests from a control node the values above these versions.
+/// Requests the values newer than these versions from a control node.
 struct PullRequest {
   static constexpr ServiceId kService = ServiceId::Configuration;
   static constexpr std::uint16_t kKind = 1;
   std::uint64_t requestId = 0;
   std::map<std::string, std::uint64_t> versions;
-  /// False from a node of a release without patches: it would take the proof and miss the value.
+  /// False on releases without patches: such a node would record the proof without the value.
   bool acceptsPatches = false;
   MSGPACK_DEFINE(requestId, versions, acceptsPatches);
 };
@@ -35,7 +35,7 @@
   MSGPACK_DEFINE(registerName, patches);
 };
 
-/// Reply to `PullRequest`. A register stands in at most one of `values` and `patches`.
+/// Reply to `PullRequest`. A register appears in at most one of `values` and `patches`.
 struct PullReply {
   static constexpr ServiceId kService = ServiceId::Configuration;
   static constexpr std::uint16_t kKind = 2;
--- a/src/register/configuration_register.h
+++ b/src/register/configuration_register.h
@@ -1,5 +1,5 @@
 /// @file
-/// The compare-and-swap registers as other services see them.
+/// Interface of the compare-and-swap registers for other services.
 #pragma once
 
 #include "kernel/error.h"
@@ -15,19 +15,20 @@
 
 namespace shedshed {
 
-/// Names of the registers.
-inline constexpr const char* kSettingsRegister =
-    "settings";  ///< The operators' settings tree (JSON).
-inline constexpr const char* kEnginesRegister =
-    "engines";  ///< The platform's engine listing (JSON).
-inline constexpr const char* kRetirementsRegister = "retirements";  ///< `RetirementList`, msgpack.
-inline constexpr const char* kMembersRegister = "members";          ///< `MemberList`, msgpack.
+/// Register of the operators' settings tree (JSON).
+inline constexpr const char* kSettingsRegister = "settings";
+/// Register of the platform's engine listing (JSON).
+inline constexpr const char* kEnginesRegister = "engines";
+/// Register of the `RetirementList` (msgpack).
+inline constexpr const char* kRetirementsRegister = "retirements";
+/// Register of the `MemberList` (msgpack).
+inline constexpr const char* kMembersRegister = "members";
 
-/// Value of the members register: who votes and who stores. Changed by one member at a time.
+/// Value of the members register: the acceptors and the stores. Changed by one member at a time.
 struct MemberList {
   struct Member {
     NodeId id;
-    std::string storeId;  ///< Identity of the disk; an empty disk is another identity.
+    std::string storeId;  ///< Identity of the disk; an emptied disk gets a new one.
     MSGPACK_DEFINE(id, storeId);
   };
   std::vector<Member> acceptors;  ///< Voters of the registers.
@@ -46,15 +47,15 @@
 /// One operator's change.
 struct ChangeRequest {
   std::string registerName;
-  std::uint64_t baseVersion = 0;  ///< The version that the change builds on.
+  std::uint64_t baseVersion = 0;  ///< The version that the change is based on.
   std::string idempotencyKey;     ///< Chosen by the operator; the same on every resend.
   std::string value;              ///< The complete new value.
-  /// What the operator sent, if `value` was derived from it and from the base version (a merge
-  /// patch). A resend is compared by it; empty means that `value` is compared.
+  /// The operator's request body, if `value` was derived from it and from the base version (a merge
+  /// patch). A resend is compared by it; if it is empty, `value` is compared.
   std::string content;
 };
 
-/// Answer to a change that took effect.
+/// Result of a change that took effect.
 struct ChangeOutcome {
   std::uint64_t version = 0;  ///< The version that this change produced.
   bool repeated = false;      ///< True if the change had taken effect before this call.
@@ -80,16 +81,16 @@
                     std::function<void(Result<RegisterValue>)> done) = 0;
 };
 
-/// Register values in force on this node. Core thread only, except where said.
+/// The register values that this node has adopted. Core thread only, except where noted.
 class ConfigurationSource {
  public:
   virtual ~ConfigurationSource() = default;
 
-  /// Calls @p listener at once with the value in force, if any, and after each newer one.
+  /// Calls @p listener at once with the current value, if any, and after each newer one.
   virtual void subscribe(const std::string& registerName,
                          std::function<void(const RegisterValue&)> listener) = 0;
 
-  /// The value in force; version 0 if none.
+  /// The current value; version 0 if none.
   virtual RegisterValue current(const std::string& registerName) const = 0;
 
   /// The time until which this node is proved to have been current. New calls are rejected after
--- a/src/register/configuration_values.cpp
+++ b/src/register/configuration_values.cpp
@@ -59,7 +59,7 @@
   for (const ValuePatch& patch : named.patches) {
     std::optional<RegisterValue> next = applyPatch(value, patch);
     if (!next) {
-      // Versions are unique, so this is a fault; the complete value repairs it.
+      // Versions are unique, so a mismatch is a fault; pulling the complete value repairs it.
       context_.counters().add("configuration_patches_refused_total");
       needsCompleteValue_.insert(named.registerName);
       return false;
--- a/src/register/configuration_values.h
+++ b/src/register/configuration_values.h
@@ -1,5 +1,5 @@
 /// @file
-/// The register values in force on a node.
+/// The register values that a node has adopted.
 #pragma once
 
 #include "kernel/core.h"
@@ -21,30 +21,30 @@
  public:
   using Listener = std::function<void(const RegisterValue&)>;
 
-  /// @p keepsHistory true on control nodes, which answer pulls with patches
+  /// @p keepsHistory true on control nodes, which reply to pulls with patches
   ConfigurationValues(CoreContext& context, bool keepsHistory)
       : context_(context), keepsHistory_(keepsHistory) {}
 
-  /// Calls @p listener at once with the value in force, if any, and after each newer one.
+  /// Calls @p listener at once with the current value, if any, and after each newer one.
   void subscribe(const std::string& registerName, Listener listener);
 
-  /// The value in force; version 0 if none.
+  /// The current value; version 0 if none.
   RegisterValue current(const std::string& registerName) const;
 
-  /// Puts @p value in force and notifies the listeners, if it is newer.
+  /// Adopts @p value and notifies the listeners, if it is newer.
   void adopt(const std::string& registerName, const RegisterValue& value);
 
-  /// Applies patches to the value in force. @return false if one does not fit; then the complete
-  /// value is to be pulled
+  /// Applies patches to the current value. @return false if one does not apply; then the complete
+  /// value must be pulled
   bool adoptPatches(const NamedPatches& named);
 
-  /// The version in force of each register.
+  /// The current version of each register.
   std::map<std::string, std::uint64_t> versions() const;
 
-  /// As `versions`, without the registers whose complete value is to be pulled.
+  /// As `versions`, without the registers whose complete value must be pulled.
   std::map<std::string, std::uint64_t> versionsToPull() const;
 
-  /// Adds to @p reply what is newer than the versions in @p request.
+  /// Adds the updates above the versions in @p request to @p reply.
   void appendUpdates(const PullRequest& request, PullReply& reply) const;
 
  private:
--- a/src/register/fleet_bootstrap.cpp
+++ b/src/register/fleet_bootstrap.cpp
@@ -8,8 +8,8 @@
 
 constexpr TimerId kCheckTimer = 1;
 
-/// Returns up to @p maxCount of the candidates, each time the first one of a zone that has given
-/// the fewest.
+/// Selects up to @p maxCount candidates, each time the first one of a zone with the fewest
+/// selected.
 std::vector<NodeId> selectAcrossZones(std::vector<const NodeInfo*> candidates,
                                       std::size_t maxCount) {
   std::vector<NodeId> selected;
--- a/src/register/fleet_bootstrap.h
+++ b/src/register/fleet_bootstrap.h
@@ -1,5 +1,5 @@
 /// @file
-/// Forms a fleet by itself when all of it starts for the first time.
+/// Forms the fleet automatically when all of its machines start for the first time.
 #pragma once
 
 #include "kernel/core.h"
@@ -12,35 +12,36 @@
 
 /// Times of `FleetBootstrapCore`.
 struct FleetBootstrapOptions {
-  Duration checkInterval =
-      std::chrono::milliseconds(200);  ///< Interval of the checks of the directory.
-  Duration stabilityPeriod =
-      std::chrono::milliseconds(1200);  ///< The set of stores was the same for this.
-  /// A node that isn't the first of the seeds forms the fleet only after this time.
+  /// Interval of the checks of the directory.
+  Duration checkInterval = std::chrono::milliseconds(200);
+  /// Time for which the acceptors and the stores must be unchanged.
+  Duration stabilityPeriod = std::chrono::milliseconds(1200);
+  /// Time after which any node may form the fleet instead of the first seed, and with fewer
+  /// acceptors than needed.
   Duration fallbackDelay = std::chrono::seconds(6);
-  /// Disks that may be lost at once without the loss of anything acknowledged.
+  /// Disks that may be lost at once without loss of acknowledged data.
   std::uint32_t toleratedLosses = 1;
 };
 
-/// Most acceptors of the registers; further register nodes with a disk are standbys for a lost one.
+/// Maximum number of acceptors; further register nodes with a disk are standbys.
 inline constexpr std::size_t kMaxAcceptors = 9;
 
-/// Acceptors or replicas of which a majority is left when @p toleratedLosses are gone.
+/// Returns the number of acceptors or replicas of which a majority remains after
+/// @p toleratedLosses.
 constexpr std::size_t membersNeeded(std::size_t toleratedLosses) {
   return 2 * toleratedLosses + 1;
 }
 
-/// Forms the fleet of all register nodes with a disk and all stores that the directory shows, once,
-/// and only if the platform said that this is the first start of the entire fleet.
+/// Forms the fleet once, of the register nodes with a disk and all stores in the directory, and
+/// only if the platform declared the first start of the entire fleet.
 ///
 /// Acceptors: an acknowledged change survives the loss of `toleratedLosses` disks only if a
 /// majority is larger than that, which takes `membersNeeded` acceptors. The seeds alone may be
-/// fewer, so the other register nodes are acceptors too, up to `kMaxAcceptors`. A fleet that has
-/// fewer than needed waits for them for `fallbackDelay` and is then formed with a warning in the
-/// log.
+/// fewer, so the other register nodes are acceptors too, up to `kMaxAcceptors`. If there are fewer
+/// than needed, formation is delayed by `fallbackDelay` and then logs a warning.
 ///
 /// Safety: `FleetFormation` writes nothing unless every machine of the list is empty or holds the
-/// same list. A machine that lost its disk does not get the flag of a first start, and its new
+/// same list. A machine that lost its disk is not started with the first-start flag, and its new
 /// store id makes another list, so no second history can begin.
 class FleetBootstrapCore : public Core {
  public:
--- a/src/register/fleet_formation.cpp
+++ b/src/register/fleet_formation.cpp
@@ -13,7 +13,7 @@
   ids.erase(std::unique(ids.begin(), ids.end()), ids.end());
 }
 
-/// Keeps the order, which decides which stores hold a partition together.
+/// Keeps the order, which determines the stores that share a partition.
 void removeDuplicates(std::vector<NodeId>& ids) {
   std::set<NodeId> seen;
   ids.erase(std::remove_if(ids.begin(), ids.end(),
@@ -95,7 +95,8 @@
     const std::uint64_t reportedHash = identity.second.initialMembersHash;
     if (reportedHash != 0 && reportedHash != expectedHash) {
       finish(makeError(ErrorCode::AlreadyExists,
-                       identity.first.address + ": is formed with other members or disks"));
+                       identity.first.address +
+                           ": already belongs to a fleet with other members or disks"));
       return;
     }
   }
@@ -108,7 +109,8 @@
     return;
   }
   if (!reply.formed) {
-    finish(makeError(ErrorCode::AlreadyExists, from.address + ": is formed with other members"));
+    finish(makeError(ErrorCode::AlreadyExists,
+                     from.address + ": already belongs to a fleet with other members"));
     return;
   }
   formed_.insert(from);
@@ -120,7 +122,7 @@
 
 Error FleetFormation::deadlineError() const {
   return makeError(list_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum,
-                   "not every machine answered");
+                   "not all machines replied within the deadline");
 }
 
 }  // namespace shedshed
--- a/src/register/fleet_formation.h
+++ b/src/register/fleet_formation.h
@@ -1,5 +1,5 @@
 /// @file
-/// The explicit request that makes a fleet out of empty disks.
+/// Forms a fleet of empty disks on an explicit request.
 #pragma once
 
 #include "register/membership_operation.h"
@@ -14,8 +14,8 @@
 /// Collects the store id of every listed machine, then writes the first member list to all
 /// acceptors. Nothing is written before every machine has replied, and nothing if one of them
 /// belongs to a fleet with another first list. An emptied machine has another store id and so makes
-/// another list: machines that lost their disks cannot form a second history together with one
-/// that did not. Empty disks by themselves never form anything.
+/// another list: machines that lost their disks cannot form a second history together with one that
+/// did not. Empty disks never form a fleet without a request.
 class FleetFormation : public MembershipOperation {
  public:
   FleetFormation(OperationHost& host, OperationId id, std::vector<NodeId> acceptors,
@@ -36,7 +36,7 @@
   std::vector<NodeId> acceptors_;
   std::vector<NodeId> stores_;
   const std::uint32_t replicas_;
-  std::map<NodeId, IdentityReply> identities_;  ///< Of the machines that replied.
+  std::map<NodeId, IdentityReply> identities_;  ///< By machine that has replied.
   std::optional<MemberList> list_;              ///< Set once all identities are known.
   std::set<NodeId> formed_;                     ///< Acceptors that hold `list_`.
 };
--- a/src/register/freshness_proof.h
+++ b/src/register/freshness_proof.h
@@ -1,5 +1,5 @@
 /// @file
-/// The newest moment at which a node's configuration is proved to have been current.
+/// The newest point in time at which a node's configuration is proved to have been current.
 #pragma once
 
 #include "kernel/core.h"
@@ -8,10 +8,11 @@
 
 namespace shedshed {
 
-/// Time for which a proof lets a node accept new calls. Bounds how long a withdrawn key works.
+/// Time for which a proof allows a node to accept new calls. Bounds how long a withdrawn key stays
+/// valid.
 inline constexpr Duration kFreshnessLease = std::chrono::seconds(4);
 
-/// Core thread only, but for `freshUntil`.
+/// The newest proof and its lease. Core thread only, except `freshUntil`.
 class FreshnessProof {
  public:
   explicit FreshnessProof(CoreContext& context);
--- a/src/register/join_conditions.h
+++ b/src/register/join_conditions.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the join and the succession of a machine depend on beside the register service: the state
+/// Conditions outside the register service for the join and the succession of a machine: the state
 /// of its replicas and the retirements of other machines.
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace shedshed {
 
-/// State of the replicas that a store keeps. Core thread only.
+/// State of the replicas on a store. Core thread only.
 class ReplicaStatus {
  public:
   virtual ~ReplicaStatus() = default;
@@ -22,7 +22,7 @@
   virtual bool isReplacementComplete() const = 0;
 };
 
-/// What `MembershipJoinCore` asks of its node. Core thread only.
+/// Conditions that `MembershipJoinCore` queries from its node. Core thread only.
 class JoinConditions {
  public:
   virtual ~JoinConditions() = default;
@@ -30,10 +30,10 @@
   /// True if this machine may be counted as a member: a store only once it is caught up.
   virtual bool isCaughtUp() const = 0;
 
-  /// Members that this machine is to replace because they retire and it is their successor.
+  /// Retiring members that this machine is to replace as their successor.
   virtual std::vector<NodeId> replaceableMembers() const = 0;
 
-  /// All machines that retire or have retired; none of them joins again.
+  /// All machines that are retiring or retired; none of them joins again.
   virtual std::vector<NodeId> retiringNodes() const = 0;
 };
 
--- a/src/register/member_absences.h
+++ b/src/register/member_absences.h
@@ -1,5 +1,5 @@
 /// @file
-/// For how long each member has been dead or unseen, as far as this machine's directory tells.
+/// Tracks how long each member has been dead or unseen in this machine's directory.
 #pragma once
 
 #include "membership/directory.h"
@@ -14,13 +14,13 @@
 struct AbsenceTimeouts {
   /// A member must have been confirmed dead for this long before another machine replaces it.
   Duration deadTimeout = std::chrono::milliseconds(1200);
-  /// The same for a member that the directory never showed since this process started.
+  /// The same for a member that has never been in the directory since this process started.
   Duration unseenTimeout = std::chrono::milliseconds(3000);
   /// The same for a member that had announced its shutdown; longer than a restart takes.
   Duration departedTimeout = std::chrono::milliseconds(1700);
 };
 
-/// Follows the members in the directory. An absence is a local observation only: the member may be
+/// Tracks the members in the directory. An absence is a local observation only: the member may be
 /// alive behind a network partition, so the caller must have it confirmed by a quorum. Core thread
 /// only.
 class MemberAbsences {
@@ -34,10 +34,10 @@
   /// machine was started to replace it.
   bool isPresumedLost(const NodeId& member, Time now) const;
 
-  /// True if @p member announced its shutdown, is dead since and did not restart in time.
+  /// True if @p member announced its shutdown, is dead and did not restart in time.
   bool hasDeparted(const NodeId& member, Time now) const;
 
-  /// Restarts the time-outs of @p member at @p now, since another node sees it alive.
+  /// Restarts the time-outs of @p member at @p now, because another node sees it alive.
   void restartTimeout(const NodeId& member, Time now);
 
  private:
--- a/src/register/member_lists.h
+++ b/src/register/member_lists.h
@@ -13,10 +13,10 @@
 const MemberList::Member* findMember(const std::vector<MemberList::Member>& members,
                                      const NodeId& id);
 
-/// True if a member at @p id is listed, with whatever disk.
+/// True if a member at @p id is listed, with any disk.
 bool isListed(const std::vector<MemberList::Member>& members, const NodeId& id);
 
-/// True if @p member is listed with this very disk.
+/// True if @p member is listed with the same disk.
 bool isListed(const std::vector<MemberList::Member>& members, const MemberList::Member& member);
 
 }  // namespace shedshed
--- a/src/register/member_replacement.cpp
+++ b/src/register/member_replacement.cpp
@@ -71,7 +71,7 @@
 
 Error MemberReplacement::deadlineError() const {
   return makeError(isAnnouncing_ ? ErrorCode::OutcomeUnknown : ErrorCode::NoQuorum,
-                   newId_.address + ": does not answer");
+                   newId_.address + ": no reply within the deadline");
 }
 
 void MemberReplacement::readMembers() {
@@ -87,7 +87,7 @@
   }
   Result<MemberList> list = decodeRecord<MemberList>(read.value().value.value);
   if (!list) {
-    finish(makeError(ErrorCode::NotReady, "no fleet is formed"));
+    finish(makeError(ErrorCode::NotReady, "no fleet has been formed"));
     return;
   }
   baseVersion_ = read.value().value.version;
@@ -108,11 +108,11 @@
   if (isMemberNow_) {
     const bool isOtherMember = !isAddition() && newId_ != oldId_ && isListed(list_, *oldId_);
     return isOtherMember ? std::make_optional(makeError(ErrorCode::AlreadyExists,
-                                                        newId_.address + ": is another member"))
+                                                        newId_.address + ": is already a member"))
                          : std::nullopt;
   }
   if (!isAddition() && !isListed(list_, *oldId_)) {
-    return makeError(ErrorCode::NotFound, oldId_->address + ": is no member");
+    return makeError(ErrorCode::NotFound, oldId_->address + ": is not a member");
   }
   if ((isAddition() || newId_ != oldId_) && isListed(list_, newId_)) {
     return makeError(ErrorCode::AlreadyExists, newId_.address + ": is a member with another disk");
@@ -186,7 +186,7 @@
   ChangeRequest change;
   change.registerName = kMembersRegister;
   change.baseVersion = baseVersion_;
-  // The same key on all versions of this software: for an addition, the old address is empty.
+  // The key must be the same in all releases: for an addition, the old address is empty.
   const std::string oldAddress = oldId_ ? oldId_->address : std::string();
   change.idempotencyKey = "replace " + oldAddress + " by " + newId_.address + " " +
                           joining_.storeId + " in " + std::to_string(baseVersion_);
--- a/src/register/member_replacement.h
+++ b/src/register/member_replacement.h
@@ -12,20 +12,19 @@
 
 namespace shedshed {
 
-/// Starts a proposal; its outcome goes back to the replacement.
+/// Starts a proposal and reports its outcome to the callback.
 using RunProposal = std::function<void(ProposalSpec, std::function<void(Result<ProposalOutcome>)>)>;
 
-/// The steps of one replacement or addition, all of which may be repeated:
+/// The steps of one replacement or addition, each of which may be repeated:
 /// 1. request the store id of the joining member;
-/// 2. commit every register again under the present list, with the joining member as an additional
+/// 2. recommit every register under the current list, with the joining member as an additional
 ///    acceptor that must accept too: then it has all the data, and whatever older lists committed
-///    is on a majority of the present one;
+///    is on a majority of the current one;
 /// 3. change the members register, committed by majorities of the old and of the new list;
-/// 4. let a majority of the new list, the joining member among it, record durably that the new list
-/// is committed.
-///    Otherwise only this node would know, and without it the others could not prove it: the
-///    machines of the old list that would prove it may be gone by then;
-/// 5. commit every register again under the new list. Only now is the replacement reported done.
+/// 4. have a majority of the new list, including the joining member, record durably that the new
+///    list is committed. Otherwise only this node would know, and if it failed the others could not
+///    prove it: the machines of the old list needed for that may be gone by then;
+/// 5. recommit every register under the new list. Only then is the replacement reported as done.
 /// The old and the new id may be equal: an emptied machine that restarts at its address.
 class MemberReplacement : public MembershipOperation {
  public:
@@ -40,9 +39,10 @@
  private:
   void readMembers();
   void onMembersRead(const Result<ProposalOutcome>& read);
-  /// The reason why the change does not fit the present list, if any.
+  /// The reason why the change is not applicable to the current list, if any.
   std::optional<Error> validate() const;
-  /// True if the present list has the joining machine and a majority has acknowledged it.
+  /// True if a majority of the current list, including the joining machine if it is an acceptor,
+  /// has acknowledged the list.
   bool isAcknowledgedByMajority() const;
   void copyRegisters(std::size_t index);
   void changeMembers();
@@ -59,8 +59,8 @@
   MemberList list_;           ///< The list after the replacement.
   bool isMemberNow_ = false;  ///< The members register holds `list_`.
   bool isAnnouncing_ = false;
-  std::map<NodeId, std::string>
-      acknowledgedBy_;  ///< Store id of each acceptor that acknowledged `list_`.
+  /// Store id of each acceptor that acknowledged `list_`.
+  std::map<NodeId, std::string> acknowledgedBy_;
 };
 
 }  // namespace shedshed
--- a/src/register/membership_join_core.h
+++ b/src/register/membership_join_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// Lets a machine with a new disk become a member without an operator.
+/// Makes a machine with a new disk a member without operator action.
 #pragma once
 
 #include "kernel/core.h"
@@ -17,31 +17,31 @@
 
 /// Options of `MembershipJoinCore`.
 struct MembershipJoinOptions {
-  Duration checkInterval =
-      std::chrono::milliseconds(250);  ///< Interval of the checks of the directory.
+  /// Interval of the checks of the directory.
+  Duration checkInterval = std::chrono::milliseconds(250);
   AbsenceTimeouts timeouts;
-  /// Fewer acceptors than this cannot keep what was acknowledged through the tolerated losses.
+  /// With fewer acceptors, the tolerated losses can lose acknowledged data.
   std::size_t acceptorsNeeded = 0;
 };
 
 /// Core of `ServiceId::MembershipJoin`. Runs on every machine with a disk, as an acceptor or as a
-/// store. A machine that is no member with its present disk requests to replace
+/// store. A machine that is not a member with its current disk requests to replace
 /// - itself, if a member is listed at its address with another disk: that disk is gone;
 /// - a retiring member whose successor it is;
 /// - a member that is dead and that was never live since this process started: this machine was
 ///   started to replace it. A member that becomes unreachable later is never replaced by a standby:
-///   there may only be a network partition;
-/// - a member that announced its shutdown and is dead since: it was stopped for good. Of several
-///   standbys, the first in the order of ids replaces it.
+///   the cause may be a network partition;
+/// - a member that announced its shutdown and has been dead since: it was shut down permanently. Of
+///   several standbys, the first in the order of ids replaces it.
 /// It requests to be added as one more acceptor if the fleet was formed with fewer than it needs.
 ///
-/// This machine's directory may know less than others do. Therefore, before it replaces a member
-/// that it takes for lost or departed, a majority of the acceptors must find that member
-/// unreachable, and no node may see it alive (`ReachabilityQuorum`).
+/// This machine's directory may be incomplete. Therefore, before it replaces a member that it
+/// presumes lost or departed, a majority of the acceptors must find that member unreachable, and no
+/// node may see it alive (`ReachabilityQuorum`).
 ///
 /// Safety does not rest on these observations: a change of the members needs majorities of the old
 /// and of the new list, and a store joins only once it is caught up. Nothing here is durable; after
-/// a crash the observations start anew.
+/// a crash the observations start again.
 class MembershipJoinCore : public Core {
  public:
   enum class Kind { Acceptor, Store };
@@ -59,13 +59,13 @@
   /// A member that this machine should replace.
   struct Replacement {
     NodeId member;
-    bool needsQuorum = false;  ///< Only if the acceptors find the member unreachable as well.
+    bool needsQuorum = false;  ///< Requires a quorum that finds the member unreachable.
   };
 
   const std::vector<MemberList::Member>& members() const;
   MemberList::Member self() const { return {context_.self(), storeId_}; }
   bool isRetiring(const NodeId& id) const;
-  /// True if this machine is the first of the live machines of its kind that are no members.
+  /// True if this machine is the first live standby of its kind in the order of ids.
   bool isFirstStandby(const NodeTable& nodes) const;
   std::optional<Replacement> memberToReplace(const NodeTable& nodes) const;
   /// True once a majority of the acceptors finds @p id unreachable; sends them a request otherwise.
--- a/src/register/membership_operation.h
+++ b/src/register/membership_operation.h
@@ -1,6 +1,6 @@
 /// @file
-/// What the operations on the member list have in common: requests that are sent again until all
-/// machines have replied, a deadline, and a member list as the result.
+/// Common part of the operations on the member list: requests that are resent until all machines
+/// have replied, a deadline, and a member list as the result.
 #pragma once
 
 #include "register/operation.h"
@@ -23,9 +23,9 @@
   void report() override { done_(std::move(*result_)); }
 
  protected:
-  /// Sends the requests of the present step to the machines that have not replied.
+  /// Sends the requests of the current step to the machines that have not replied.
   virtual void sendRequests() = 0;
-  /// The failure to report if the deadline passes now.
+  /// The error to report if the deadline passes in the current step.
   virtual Error deadlineError() const = 0;
 
   /// Starts the deadline of a step and sends its requests.
--- a/src/register/operation.h
+++ b/src/register/operation.h
@@ -1,6 +1,6 @@
 /// @file
-/// Operations of the register service: what runs on this node until it is decided or its deadline
-/// passes, and what it needs of the node.
+/// Operations of the register service, which run until they are decided or their deadline passes,
+/// and the interface to their host.
 #pragma once
 
 #include "kernel/core.h"
@@ -20,11 +20,11 @@
 enum class OperationTimer : std::uint8_t {
   Deadline = 0,  ///< The operation fails.
   Round = 1,     ///< The pair of quorum rounds is abandoned.
-  Resend = 2,    ///< Requests without a reply are sent again.
+  Resend = 2,    ///< Requests without a reply are resent.
   Delay = 3,     ///< End of a backoff, or of the wait for further promises.
 };
 
-/// What an operation needs of its node.
+/// Services of the node for its operations.
 class OperationHost {
  public:
   virtual ~OperationHost() = default;
@@ -32,7 +32,7 @@
   virtual const RegisterSafeguards& safeguards() const = 0;
   /// The newest member list that is known to be committed.
   virtual const KnownMembers& members() const = 0;
-  /// A ballot above all that were seen, never used before.
+  /// Returns an unused ballot above all observed ones.
   virtual Ballot nextBallot() = 0;
   /// An acceptor has promised @p ballot.
   virtual void observeBallot(const Ballot& ballot) = 0;
--- a/src/register/promise_set.h
+++ b/src/register/promise_set.h
@@ -1,5 +1,5 @@
 /// @file
-/// The promises that a proposer has for one ballot.
+/// The promises that a proposer has received for one ballot.
 #pragma once
 
 #include "register/register_messages.h"
--- a/src/register/proposal.cpp
+++ b/src/register/proposal.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Delay before an accept is sent again to an acceptor that fetches applied changes.
+/// Delay before an accept is resent to an acceptor that fetches applied changes.
 constexpr Duration kChangeLogRetry = std::chrono::milliseconds(10);
 
 /// Moves the change out of @p spec: its value may be large.
@@ -193,15 +193,15 @@
     finish(outcome);
     return;
   case ProposedChange::Verdict::KeyReused:
-    finish(
-        makeError(ErrorCode::IdempotencyKeyReused, "the order id was applied with other content"));
+    finish(makeError(ErrorCode::IdempotencyKeyReused,
+                     "the order id was already used with other content"));
     return;
   case ProposedChange::Verdict::Conflict:
     finish(makeError(ErrorCode::VersionConflict,
                      "current version is " + std::to_string(newest_.accepted.version)));
     return;
   case ProposedChange::Verdict::Unknown:
-    finish(makeError(ErrorCode::OutcomeUnknown, "the order is older than the ledger"));
+    finish(makeError(ErrorCode::OutcomeUnknown, "the change is older than the applied-change log"));
     return;
   }
 }
--- a/src/register/proposal.h
+++ b/src/register/proposal.h
@@ -1,5 +1,5 @@
 /// @file
-/// One operation on one register: a change, or a read with a majority.
+/// One operation on one register: a change or a quorum read.
 #pragma once
 
 #include "register/accept_set.h"
@@ -15,33 +15,33 @@
 
 namespace shedshed {
 
-/// What a proposal is to do.
+/// Parameters of a proposal.
 struct ProposalSpec {
   std::string registerName;
   std::optional<ChangeRequest> change;  ///< A read if absent.
-  /// Commit the state again under the present member list, even if it is committed.
+  /// Recommit the state under the current member list, even if it is committed.
   bool recommit = false;
-  /// A machine outside the member list that must accept the state too, before `done`.
+  /// A machine outside the member list that must also accept the state.
   std::optional<MemberList::Member> joiningMember;
 };
 
-/// What a proposal came to.
+/// Result of a proposal.
 struct ProposalOutcome {
-  RegisterValue value;    ///< The committed value that it ended with.
+  RegisterValue value;    ///< The committed value at the end.
   ChangeOutcome outcome;  ///< For a change.
 };
 
 /// Runs quorum rounds until the operation is decided or its deadline passes.
 ///
 /// One round is: prepare a new ballot with a majority, take the newest accepted state, and
-/// 1. if that state is not known to be committed, commit it at this ballot before anything is said
-///    of it. Only then is it certain that no older, half-done accept (also one of this very
-///    operation) can still come into force;
-/// 2. then judge the change against the committed state: answer from its log, reject it, or go on
-///    to propose the next version at a new ballot.
+/// 1. if that state is not known to be committed, commit it at this ballot before reporting
+///    anything about it. Only then is it certain that no older, incomplete accept (including one of
+///    this operation) can still take effect;
+/// 2. then evaluate the change against the committed state: report the outcome in the log, reject
+///    it, or propose the next version, at a new ballot if step 1 used this one.
 /// A change is reported as rejected only after step 1, so a rejected change never takes effect
-/// later. Other proposers may run at any time; ballots decide between them. A crash of this node
-/// leaves at most an accept on a minority, which the next proposer finishes or overrides.
+/// later. Other proposers may run at any time; ballots order them. A crash of this node leaves at
+/// most an accept on a minority, which the next proposer completes or overrides.
 class Proposal : public Operation {
  public:
   using Done = std::function<void(Result<ProposalOutcome>)>;
@@ -63,13 +63,14 @@
   void sendPrepares();
   void sendAccepts();
   void backOff();
-  /// Counts a rejection; backs off once no majority is left. @return false if @p verdict is none.
+  /// Counts a rejection; backs off once no majority is left. @return false if @p verdict is not a
+  /// rejection
   bool handleRejection(const NodeId& from, AcceptorVerdict verdict, const Ballot& promised);
   void evaluatePromises();
   void startAgreementGrace();
   bool isCommitted(const AcceptedState& newest, std::size_t agreeing) const;
   void commitOrPropose(bool committed);
-  /// Reports the outcome against `newest_`, which is committed, or begins the round that proposes.
+  /// Reports the outcome based on `newest_`, which is committed, or begins the round that proposes.
   void conclude();
   void startAccepts(Phase phase, AcceptedState state);
   void evaluateAccepts();
@@ -88,14 +89,14 @@
 
   Phase phase_ = Phase::BackingOff;
   Ballot ballot_;
-  KnownMembers members_;  ///< The list that this round goes by.
+  KnownMembers members_;  ///< The list that this round uses.
   bool graceExpired_ = false;
   bool graceTimerStarted_ = false;
   PromiseSet promises_;
   std::set<NodeId> rejections_;
   PrepareReply newest_;
   AcceptedState proposed_;
-  NodeId changeLogSource_;                      ///< The acceptor that promised with `newest_`.
+  NodeId changeLogSource_;                      ///< The acceptor that reported `newest_`.
   std::vector<MemberList::Member> nextVoters_;  ///< Voters of a member list being committed.
   AcceptSet accepts_;
 };
--- a/src/register/proposed_change.cpp
+++ b/src/register/proposed_change.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Hashes what a request stands for. A resend has the same base version and content.
+/// Hashes the base version and the content, which are the same in a resend.
 std::uint64_t hashOfContent(const ChangeRequest& change) {
   std::string text = std::to_string(change.baseVersion);
   text.push_back('\n');
@@ -27,8 +27,8 @@
   if (newest.accepted.version == request_.baseVersion) {
     return Verdict::Proposable;
   }
-  // A change can only have produced the version after its base. If that entry has left the log,
-  // nobody can tell any more whether this change produced it.
+  // A change can only have produced the version after its base. If that entry was evicted from the
+  // log, it is unknown whether this change produced it.
   const std::uint64_t produced = request_.baseVersion + 1;
   return produced < newest.firstLoggedVersion ? Verdict::Unknown : Verdict::Conflict;
 }
--- a/src/register/pull_source.cpp
+++ b/src/register/pull_source.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Pulls after which a node returns to its preferred control node, so that load spreads again after
-/// a failure.
+/// Pulls after which a node fails back to its preferred control node, which rebalances the load
+/// after a failure.
 constexpr std::uint32_t kPullsBetweenFailbacks = 20;
 
 }  // namespace
--- a/src/register/pull_source.h
+++ b/src/register/pull_source.h
@@ -13,8 +13,8 @@
 namespace shedshed {
 
 /// Chooses among the live control nodes of the directory, or else the known acceptors, and the
-/// seeds. Each node prefers its own order of them (rendezvous hashing), so that the load spreads,
-/// and returns to the preferred one from time to time after a failure. Core thread only.
+/// seeds. Each node orders them by rendezvous hashing to spread the load, and periodically fails
+/// back to its preferred one. Core thread only.
 class PullSource {
  public:
   /// Keeps references; they must outlive it. @p directory may be null.
@@ -25,7 +25,7 @@
   /// Returns the node for the next pull, or nullopt if none is known.
   std::optional<NodeId> choose();
 
-  /// Goes on to the next node, after one that did not reply or had no recent proof.
+  /// Selects the next node, after one that did not reply or had no recent proof.
   void advance();
 
  private:
--- a/src/register/quorum.h
+++ b/src/register/quorum.h
@@ -23,7 +23,7 @@
 }
 
 /// True if a reply from @p from with @p storeId is a vote of @p member. An emptied disk has another
-/// store id: it has forgotten its promises and must not vote for the member that it was.
+/// store id: it has lost its promises and must not vote for the former member.
 bool isVoteOf(const RegisterSafeguards& safeguards, const MemberList::Member& member,
               const NodeId& from, const std::string& storeId);
 
--- a/src/register/quorum_reader.cpp
+++ b/src/register/quorum_reader.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Reads in a row without agreement after which the register is committed again. More than one,
-/// since a change that is just being made looks the same.
+/// Consecutive reads without agreement after which the register is recommitted. More than one,
+/// since a change in progress looks the same.
 constexpr int kReadsBeforeRepair = 2;
 
 }  // namespace
@@ -22,7 +22,7 @@
     done_ = nullptr;
     abandoned(makeError(ErrorCode::NoQuorum));
   }
-  requestId_ = host_.context().random()();  // Also unlike any before a restart.
+  requestId_ = host_.context().random()();  // Differs from ids before a restart.
   members_ = host_.members();
   known_ = std::move(known);
   replies_.clear();
--- a/src/register/quorum_reader.h
+++ b/src/register/quorum_reader.h
@@ -32,7 +32,7 @@
   QuorumReader(OperationHost& host, std::function<void(const std::string&)> repair)
       : host_(host), repair_(std::move(repair)) {}
 
-  /// Starts a read and abandons the one before. @p done is called with the values above the
+  /// Starts a read and abandons the previous one. @p done is called with the values above the
   /// versions in @p known, or with `NoQuorum` if the read is abandoned.
   void start(std::map<std::string, std::uint64_t> known, Done done);
 
@@ -50,7 +50,7 @@
   KnownMembers members_;
   std::map<std::string, std::uint64_t> known_;
   std::map<NodeId, ReadReply> replies_;
-  std::map<std::string, int> disagreements_;  ///< Reads in a row without agreement.
+  std::map<std::string, int> disagreements_;  ///< Consecutive reads without agreement.
 };
 
 }  // namespace shedshed
--- a/src/register/reachability_quorum.h
+++ b/src/register/reachability_quorum.h
@@ -18,7 +18,7 @@
   static constexpr std::uint16_t kKind = 1;
   std::uint64_t requestId = 0;
   NodeId member;
-  std::string storeId;  ///< Of the member, as listed.
+  std::string storeId;  ///< Store id of the member, as listed.
   MSGPACK_DEFINE(requestId, member, storeId);
 };
 
@@ -31,30 +31,30 @@
   MSGPACK_DEFINE(requestId, alive);
 };
 
-/// Time for which the replies to a request count.
+/// Time for which the replies to a request are valid.
 inline constexpr Duration kReachabilityReplyLifetime = std::chrono::seconds(1);
 
 /// One request about one member, to the member itself and to all acceptors.
 ///
-/// A node that does not know a member may know less than others do. Only what a majority of the
-/// acceptors finds counts, and nothing if any node sees the member alive. Core thread only.
+/// The directory of a single node may be incomplete, so a member counts as unreachable only if a
+/// majority of the acceptors reports it as such and no node sees it alive. Core thread only.
 class ReachabilityQuorum {
  public:
   enum class Verdict { Undecided, Unreachable, Alive };
 
   explicit ReachabilityQuorum(CoreContext& context) : context_(context) {}
 
-  /// Sends a request about @p member, or sends it again to those that have not found it unreachable
+  /// Sends a request about @p member, or resends it to the nodes that have not found it unreachable
   /// if it is the same member as before. Replies older than `kReachabilityReplyLifetime` are
   /// discarded and requested anew.
   void request(const MemberList::Member& member, const std::vector<MemberList::Member>& acceptors);
 
   void onReply(const NodeId& from, const ReachabilityReply& reply);
 
-  /// What the replies so far say about @p member.
+  /// Evaluates the replies received so far about @p member.
   Verdict verdict(const MemberList::Member& member) const;
 
-  /// Forgets the request and its replies.
+  /// Discards the request and its replies.
   void reset() { member_.reset(); }
 
  private:
--- a/src/register/register_core.cpp
+++ b/src/register/register_core.cpp
@@ -50,7 +50,7 @@
   auto acceptor = std::make_unique<Acceptor>(context_, outbox_, options_);
   const Status loaded = acceptor->load();
   if (!loaded) {
-    // An acceptor that is not sure of its past must not vote.
+    // An acceptor with corrupt records may have lost promises, so it must not vote.
     context_.counters().add("register_load_failures_total");
     context_.logEvent(
         TraceEvent("RegisterRecordsCorrupt", Severity::Error).field("error", loaded.error()));
--- a/src/register/register_core.h
+++ b/src/register/register_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// The register service of one node: proposers on every node, an acceptor on nodes with a disk.
+/// The register service of one node: a proposer on every node, an acceptor on nodes with a disk.
 #pragma once
 
 #include "kernel/core.h"
@@ -18,14 +18,14 @@
 
 namespace shedshed {
 
-/// Core of `ServiceId::Register`. Gives requests to the acceptor and replies to the proposer of
-/// this node, which share the knowledge of the committed member list. Core thread only.
+/// Core of `ServiceId::Register`. Dispatches requests to the acceptor and replies to the proposer
+/// of this node, which share the committed member list. Core thread only.
 class RegisterCore : public Core, public ConfigurationRegister {
  public:
   RegisterCore(CoreContext& context, RegisterOptions options);
   ~RegisterCore() override;
 
-  /// Learns member lists from @p source, as every node without a quorum read of its own must.
+  /// Learns member lists from @p source, which nodes that make no quorum reads depend on.
   void setConfigurationSource(ConfigurationSource& source);
 
   /// Calls @p listener for each value that an operation of this node proved to be committed.
@@ -45,7 +45,7 @@
             std::function<void(Result<RegisterValue>)> done) override;
 
   /// Proves with a majority which values are newest and returns those above the versions in
-  /// @p known. One at a time; a read that is still open is abandoned with `NoQuorum`.
+  /// @p known. One at a time; a read in progress is abandoned with `NoQuorum`.
   void proveCurrent(std::map<std::string, std::uint64_t> known, QuorumReader::Done done);
 
   /// Forms a fleet of the machines at these addresses, in which @p replicas stores hold each
--- a/src/register/register_messages.h
+++ b/src/register/register_messages.h
@@ -1,9 +1,9 @@
 /// @file
 /// Messages of the register service.
 ///
-/// Every request carries the version of the member list that the proposer goes by. An acceptor
-/// that has accepted a newer list refuses, so proposers of a replaced list cannot complete a
-/// quorum (see docs in acceptor.h).
+/// Every request carries the version of the proposer's member list. An acceptor that has accepted a
+/// newer list rejects it, so proposers of a replaced list cannot complete a quorum (see
+/// acceptor.h).
 #pragma once
 
 #include "kernel/message.h"
@@ -19,12 +19,12 @@
 
 namespace shedshed {
 
-/// How an acceptor replied. The numeric values travel on the wire.
+/// Result in an acceptor's reply. The numeric values are part of the wire format.
 enum class AcceptorVerdict : std::uint8_t {
   Granted = 1,           ///< Promised, or accepted and synced.
   BallotTooLow = 2,      ///< A higher ballot was promised.
   StaleMembers = 3,      ///< The proposer's member list has been replaced.
-  ChangeLogMissing = 4,  ///< The acceptor is fetching applied changes; send the accept again.
+  ChangeLogMissing = 4,  ///< The acceptor is fetching applied changes; resend the accept.
 };
 
 /// Phase 1: requests a promise to accept nothing below `ballot`.
@@ -59,10 +59,10 @@
   Ballot promised;
   std::uint64_t membersVersion = 0;
   AcceptedState accepted;
-  std::uint64_t appliedVersion =
-      0;  ///< Version that the change produced; 0 if it is not in the log.
+  /// Version that the change produced; 0 if it is not in the log.
+  std::uint64_t appliedVersion = 0;
   std::uint64_t appliedContentHash = 0;
-  std::uint64_t firstLoggedVersion = 1;  ///< Oldest version that the log still lists.
+  std::uint64_t firstLoggedVersion = 1;  ///< Oldest version in the log.
   MSGPACK_DEFINE(registerName, ballot, verdict, storeId, promised, membersVersion, accepted,
                  appliedVersion, appliedContentHash, firstLoggedVersion);
 };
@@ -108,7 +108,7 @@
   static constexpr std::uint16_t kKind = 6;
   std::string registerName;
   std::uint64_t fromVersion = 1;
-  std::uint64_t firstVersion = 1;  ///< Oldest version that the source lists.
+  std::uint64_t firstVersion = 1;  ///< Oldest version in the log of the source.
   Digest chainBefore;
   std::vector<AppliedChange> entries;
   MSGPACK_DEFINE(registerName, fromVersion, firstVersion, chainBefore, entries);
@@ -145,7 +145,7 @@
   MSGPACK_DEFINE(requestId, storeId, membersVersion, rows);
 };
 
-/// Requests the identity of its disk.
+/// Requests the identity of the receiver's disk.
 struct IdentityRequest {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 9;
@@ -191,7 +191,7 @@
   MSGPACK_DEFINE(requestId, members);
 };
 
-/// Reply to `MembersCommitted`, sent once the knowledge is synced.
+/// Reply to `MembersCommitted`, sent once the list is synced.
 struct MembersAcknowledged {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 14;
--- a/src/register/register_proposer.h
+++ b/src/register/register_proposer.h
@@ -19,9 +19,9 @@
 
 namespace shedshed {
 
-/// Owns the operations of this node, draws their ballots, and gives them their timers and the
-/// replies of the acceptors. Nothing of it is durable: the incarnation, drawn at each start, keeps
-/// ballots and request ids apart from those before a restart. Core thread only.
+/// Owns the operations of this node, generates their ballots, and dispatches timers and the replies
+/// of the acceptors to them. Nothing of it is durable: the random incarnation of each start
+/// distinguishes ballots and request ids from those before a restart. Core thread only.
 class RegisterProposer : private OperationHost {
  public:
   using CommittedListener = std::function<void(const std::string&, const RegisterValue&)>;
@@ -30,7 +30,7 @@
   RegisterProposer(CoreContext& context, const RegisterSafeguards& safeguards,
                    CommittedMembers& members);
 
-  /// Draws the incarnation. To be called once, before any operation.
+  /// Generates the incarnation. Must be called once, before any operation.
   void start();
 
   /// Calls @p listener for each value that an operation proved to be committed.
@@ -56,7 +56,7 @@
   void receive(const NodeId& from, const Message& message);
   void timerExpired(TimerId timer);
 
-  /// Removes the finished operations and calls back with their results. To be called after each
+  /// Removes the finished operations and calls back with their results. Must be called after each
   /// event, and not from within an operation.
   void reportFinished();
 
@@ -79,7 +79,8 @@
   bool dispatchReply(const NodeId& from, const Message& message,
                      void (Operation::*handler)(const NodeId&, const Reply&));
   bool reportOneFinished();
-  /// Reads a register whose acceptors disagree, which commits it again. One read at a time.
+  /// Reads a register whose acceptors disagree, which recommits it. One read per register at a
+  /// time.
   void repair(const std::string& registerName);
 
   CoreContext& context_;
--- a/src/register/retirements.cpp
+++ b/src/register/retirements.cpp
@@ -50,7 +50,7 @@
   return nodes;
 }
 
-/// A machine that is no member counts towards no majority: its retirement is complete at once.
+// A machine that is not a member counts towards no majority: its retirement completes at once.
 Status Retirements::addEntry(const std::string& name, RetirementList& list) const {
   const std::shared_ptr<const NodeTable> table = directory_.table();
   const NodeInfo* target = nullptr;
@@ -77,7 +77,7 @@
       std::count_if(list.entries.begin(), list.entries.end(),
                     [](const Retirement& entry) { return !entry.completed; }));
   if (member && standbys <= pendingCount) {
-    return makeError(ErrorCode::StoreUnavailable, "no other store could take its place");
+    return makeError(ErrorCode::StoreUnavailable, "no other store can replace it");
   }
   list.entries.push_back({target->id, name, {}, !member});
   return okStatus();
--- a/src/register/retirements.h
+++ b/src/register/retirements.h
@@ -1,5 +1,5 @@
 /// @file
-/// Members that are to be emptied and taken away, and how far that is.
+/// Retirement of members: requests and progress.
 #pragma once
 
 #include "membership/directory.h"
@@ -15,8 +15,8 @@
 /// One member that is to leave the fleet.
 struct Retirement {
   NodeId node;
-  std::string name;        ///< Name that the operator knows the machine by.
-  NodeId successor;        ///< Replaces it; empty while none has offered itself.
+  std::string name;        ///< Name of the machine for operators.
+  NodeId successor;        ///< Replaces the member; empty until a standby offers itself.
   bool completed = false;  ///< The successor is caught up and counts towards all majorities.
   MSGPACK_DEFINE(node, name, successor, completed);
 };
@@ -27,8 +27,8 @@
   MSGPACK_DEFINE(entries);
 };
 
-/// Begins and follows retirements. The state is a register, so that any node serves
-/// the requests and a repeated request finds the first one. Core thread only.
+/// Starts and tracks retirements. The state is a register, so that any node can serve the requests
+/// and a repeated request finds the first one. Core thread only.
 class Retirements {
  public:
   /// Keeps references; they must outlive it.
@@ -45,13 +45,13 @@
   /// Tells whether the retirement of @p name is completed. Fails with `NotFound` or `NoQuorum`.
   void isCompleted(const std::string& name, std::function<void(Result<bool>)> done);
 
-  /// The retirements in force on this node that are not completed.
+  /// The retirements known to this node that are not completed.
   std::vector<Retirement> pending() const;
 
   /// The nodes of all retirements, completed ones included.
   std::vector<NodeId> nodes() const;
 
-  /// Changes the entry of @p node if it still is as this node knows it.
+  /// Proposes the changed @p entry; it has no effect if the list has changed in the meantime.
   void update(const Retirement& entry);
 
  private:
--- a/src/register/successor_core.h
+++ b/src/register/successor_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// The machine that replaces a retiring store.
+/// Replaces a retiring store.
 #pragma once
 
 #include "kernel/core.h"
@@ -13,7 +13,7 @@
 
 /// Core of `ServiceId::Succession`. Runs on every store. The first standby that is caught up offers
 /// itself as the successor of a retiring store; once it has replaced that member and counts towards
-/// all majorities, it marks the retirement as completed: the next loss then loses nothing.
+/// all majorities, it marks the retirement as completed: another loss then loses no data.
 class SuccessorCore : public Core {
  public:
   /// Keeps references; they must outlive the core.
--- a/src/register/synced_outbox.cpp
+++ b/src/register/synced_outbox.cpp
@@ -18,7 +18,7 @@
     failed_ = true;
     pending_.clear();
     context_.counters().add("register_sync_failures_total");
-    // What was synced is unknown now, so the acceptor replies to nothing until it is restarted.
+    // It is unknown which records are synced, so the acceptor sends no replies until a restart.
     context_.logEvent(
         TraceEvent("AcceptorSyncFailed", Severity::Error).field("error", status.error()));
     return;
--- a/src/register/synced_outbox.h
+++ b/src/register/synced_outbox.h
@@ -11,8 +11,8 @@
 namespace shedshed {
 
 /// Persists records and sends messages in the order of the calls. A message leaves once every
-/// record change that was requested before it is synced, so nobody ever learns of a promise or an
-/// accepted state that a crash could take back. After a failed sync nothing leaves any more.
+/// record change that was requested before it is synced, so no node learns of a promise or an
+/// accepted state that a crash could revert. After a failed sync no message is sent.
 class SyncedOutbox {
  public:
   /// @param waitForSync false only in mutation tests
--- a/src/register/value_history.cpp
+++ b/src/register/value_history.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Estimated encoded size of a patch beside its replacement, bytes.
+/// Estimated encoded size of a patch without its replacement, in bytes.
 constexpr std::size_t kPatchOverheadBytes = 40;
 
 }  // namespace
--- a/src/register/value_history.h
+++ b/src/register/value_history.h
@@ -1,6 +1,6 @@
 /// @file
-/// Differences between successive values of a register, so that a change costs the bytes that it
-/// changed and not the complete value at every node.
+/// Patches between successive values of a register, so that a change sends the changed bytes and
+/// not the complete value to every node.
 #pragma once
 
 #include "register/configuration_register.h"
@@ -30,21 +30,21 @@
 /// Returns the patch from @p base to @p next.
 ValuePatch makePatch(const RegisterValue& base, const RegisterValue& next);
 
-/// Applies @p patch. Returns nullopt if it does not fit @p base or does not lead to the value that
-/// its maker had; the complete value is to be requested then.
+/// Applies @p patch. Returns nullopt if it does not apply to @p base or the result has another
+/// hash; then the complete value must be requested.
 std::optional<RegisterValue> applyPatch(const RegisterValue& base, const ValuePatch& patch);
 
 /// The newest patches of one register. Each starts at the version where the one before ends.
 class ValueHistory {
  public:
-  /// Patches that are kept at most; a node pulls twice a second.
+  /// Maximum number of retained patches; a node pulls twice a second.
   static constexpr std::size_t kMaxPatches = 64;
 
-  /// Remembers the step from @p base to @p next.
+  /// Adds the patch from @p base to @p next.
   void add(const RegisterValue& base, const RegisterValue& next);
 
   /// Returns the patches that lead from @p version to the newest value, or nullopt if that version
-  /// is not remembered or if they are together not smaller than @p fullValueBytes.
+  /// is not in the history or if they are together not smaller than @p fullValueBytes.
   std::optional<std::vector<ValuePatch>> since(std::uint64_t version,
                                                std::size_t fullValueBytes) const;
 
--- a/tests/register/configuration_core_test.cpp
+++ b/tests/register/configuration_core_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Time until all nodes have @p version in force; at most ten seconds.
+/// Time until all nodes have adopted @p version; at most ten seconds.
 Duration timeUntilAdopted(RegisterFleet& fleet, std::uint64_t version) {
   const Time begin = fleet.harness.now;
   const auto everywhere = [&] {
@@ -36,7 +36,7 @@
   fleet.configurationBytes = 0;
   fleet.harness.advance(std::chrono::seconds(10));
   const double bytesPerSecond = static_cast<double>(fleet.configurationBytes) / 10 / 30;
-  BOOST_TEST_MESSAGE("payload bytes a second and data node, nothing new: " << bytesPerSecond);
+  BOOST_TEST_MESSAGE("payload bytes per second and data node without changes: " << bytesPerSecond);
   BOOST_TEST(bytesPerSecond < 200);
   Duration longest{0};
   for (std::uint64_t version = 1; version <= 20; ++version) {
@@ -44,11 +44,12 @@
     BOOST_REQUIRE(fleet.change("d1", version - 1, std::to_string(version), "v"));
     longest = std::max(longest, timeUntilAdopted(fleet, version));
   }
-  BOOST_TEST_MESSAGE("longest time until in force, ms: " << toMilliseconds(longest));
+  BOOST_TEST_MESSAGE("longest time until adopted, ms: " << toMilliseconds(longest));
   BOOST_TEST(toMilliseconds(longest) < 2000);
 }
 
-// At 2,400 tenants the settings are about 0.5 MB; 6,500 changes a day must not send them whole.
+// At 2,400 tenants the settings are about 0.5 MB; 6,500 changes a day must not send the complete
+// value.
 BOOST_AUTO_TEST_CASE(a_small_change_of_a_large_value_costs_each_node_little) {
   RegisterFleet fleet(6, 4);
   BOOST_REQUIRE(fleet.form());
@@ -80,7 +81,7 @@
   BOOST_REQUIRE(fleet.form());
   BOOST_REQUIRE(fleet.change("a1", 0, "o1", std::string(1000, 'a')));
   timeUntilAdopted(fleet, 1);
-  // A control node that answers the next pull with a patch of another value.
+  // Replaces the patch in the next pull reply by one of another value.
   std::size_t forged = 0;
   const auto originalFilter = fleet.harness.filter;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
@@ -103,7 +104,7 @@
   BOOST_TEST(fleet.configuration("d1").current(kSettingsRegister).value.size() == 1001U);
 }
 
-/// After the loss of all processes every tenth of a second without a proof refuses all calls.
+// After the loss of all processes, nodes reject all calls until they have a proof.
 BOOST_AUTO_TEST_CASE(a_fleet_that_restarts_completely_is_proved_soon) {
   int longest = 0;
   for (int wait = 0; wait <= 600; wait += 10) {
--- a/tests/register/fixed_directory.h
+++ b/tests/register/fixed_directory.h
@@ -1,5 +1,5 @@
 /// @file
-/// A directory that shows what the test says.
+/// A directory whose nodes are set by the test.
 #pragma once
 
 #include "membership/directory.h"
--- a/tests/register/fleet_bootstrap_test.cpp
+++ b/tests/register/fleet_bootstrap_test.cpp
@@ -74,8 +74,8 @@
   BOOST_TEST(registers["a2"]->knownMembers().version == 1U);
 }
 
-// Acceptors were the three seeds alone: with two disks lost no majority was left, and with it the
-// configuration.
+// Guards against a fleet whose acceptors are the three seeds only: the loss of two disks would
+// leave no majority and lose the configuration.
 BOOST_FIXTURE_TEST_CASE(the_configuration_outlives_the_loss_of_two_disks_of_eight,
                         BootstrapFixture) {
   for (const char* id : {"a4", "a5", "a6", "a7", "a8"}) {
--- a/tests/register/membership_join_core_test.cpp
+++ b/tests/register/membership_join_core_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Machines that replace lost or retiring members.
+/// Tests of machines that replace lost or retiring members.
 #include "register/membership_join_core.h"
 
 #include "fixed_directory.h"
@@ -32,7 +32,7 @@
       startJoin(id.address);
     }
   }
-  /// The machine's process ends, and all others confirm it dead.
+  /// Crashes the process of the machine; the directory lists it as dead.
   void crashAndConfirmDead(const std::string& id) {
     fleet.crash(id);
     cores.erase(id);
@@ -115,8 +115,8 @@
   BOOST_TEST(isMember("a1"));
 }
 
-// A standby that runs before its predecessor is stopped had seen it alive and never replaced it;
-// the next loss left no majority.
+// Guards against a standby that never replaces a stopped member because it has seen it alive; the
+// next loss would leave no majority.
 BOOST_FIXTURE_TEST_CASE(a_standby_replaces_a_departed_member, JoinFleet) {
   fleet.addControl("a4");
   directory.add("a4", NodeRole::Register);
@@ -147,8 +147,8 @@
   BOOST_TEST(isMember("a1"));
 }
 
-// A standby that runs for longer comes first in the order of ids but may not replace an unreachable
-// member; the new machine, which may, waited for it.
+// Guards against a new machine that waits for an older standby: the standby comes first in the
+// order of ids but may not replace an unreachable member.
 BOOST_FIXTURE_TEST_CASE(a_new_machine_does_not_wait_for_a_standby, JoinFleet) {
   fleet.addControl("a4");
   directory.add("a4", NodeRole::Register);
@@ -182,7 +182,8 @@
   BOOST_TEST(isMember("a7"));
 }
 
-// Two healthy machines that did not know each other replaced each other again and again.
+// Guards against two healthy machines that do not know each other and replace each other
+// repeatedly.
 BOOST_FIXTURE_TEST_CASE(a_member_unreachable_from_one_machine_only_is_not_replaced, JoinFleet) {
   FixedDirectory withoutMember;
   for (const char* id : {"a1", "a2", "a4"}) {
@@ -233,7 +234,7 @@
   BOOST_TEST(isMember("a6"));
 }
 
-// A fleet that was formed before its last acceptor was heard of stayed with too few of them.
+// Guards against a fleet that is formed before all acceptors are known and keeps too few of them.
 BOOST_FIXTURE_TEST_CASE(late_acceptors_are_added_until_there_are_enough, JoinFleet) {
   options.acceptorsNeeded = 5;
   for (const char* id : {"a4", "a5", "a6"}) {
@@ -246,7 +247,7 @@
   for (const char* id : {"a1", "a2", "a3", "a4", "a5"}) {
     BOOST_TEST(isMember(id));
   }
-  // Two disks may be lost now.
+  // The fleet now tolerates the loss of two disks.
   BOOST_TEST(fleet.change("a5", 0, "order", "value").has_value());
   fleet.crash("a1");
   fleet.crash("a3");
--- a/tests/register/proposed_change_test.cpp
+++ b/tests/register/proposed_change_test.cpp
@@ -10,7 +10,7 @@
   return {kSettingsRegister, baseVersion, "key", value, {}};
 }
 
-/// A promise of an acceptor whose committed state has @p version and that knows nothing of "key".
+/// A promise of an acceptor whose committed state has @p version and whose log lacks "key".
 PrepareReply promiseAt(std::uint64_t version) {
   PrepareReply promise;
   promise.accepted.version = version;
--- a/tests/register/register_core_random_test.cpp
+++ b/tests/register/register_core_random_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Random runs: racing changes and reads from all nodes under loss, repetition, reordering and
-/// power loss, checked against the rules of a compare-and-swap register.
+/// Randomized runs: concurrent changes and reads from all nodes under message loss, duplication,
+/// reordering and power loss, checked against the semantics of a compare-and-swap register.
 #include "register_fleet.h"
 
 #include <boost/test/unit_test.hpp>
@@ -15,7 +15,7 @@
   std::string idempotencyKey;
   std::uint64_t base = 0;
   std::optional<Result<ChangeOutcome>> outcome;
-  bool nodeCrashed = false;  ///< Its node crashed before it answered.
+  bool nodeCrashed = false;  ///< Its node crashed before it reported the outcome.
 };
 
 struct Read {
@@ -169,7 +169,7 @@
     }
     if (*attempt.outcome) {
       const bool same = tookEffect && again.value().version == attempt.outcome->value().version;
-      return same ? "" : "an acknowledged change is gone";
+      return same ? "" : "an acknowledged change is lost";
     }
     const ErrorCode code = attempt.outcome->error().code;
     if (code == ErrorCode::OutcomeUnknown) {
--- a/tests/register/register_core_test.cpp
+++ b/tests/register/register_core_test.cpp
@@ -13,7 +13,7 @@
   return outcome ? ErrorCode::Internal : outcome.error().code;
 }
 
-/// Describes a failure; the message of a check is built also when the check holds.
+/// Describes a failure; also called if the check passes.
 template <class T>
 std::string describe(const Result<T>& result) {
   if (result) {
@@ -22,7 +22,7 @@
   return std::string(errorTypeName(result.error().code)) + " " + result.error().detail;
 }
 
-/// Makes @p count changes on top of @p base, each by another node.
+/// Makes @p count consecutive changes from @p base, alternating between two nodes.
 std::uint64_t applyChanges(RegisterFleet& fleet, std::uint64_t base, int count) {
   for (int number = 0; number < count; ++number) {
     const std::string via = "d" + std::to_string(number % 2 + 1);
@@ -63,8 +63,8 @@
 BOOST_AUTO_TEST_CASE(a_resent_change_gets_its_first_outcome) {
   RegisterFleet fleet(6, 2);
   BOOST_REQUIRE(fleet.form());
-  // After the accepts have left, nothing reaches the proposer any more: the change takes effect
-  // and nobody can say so.
+  // Once the accepts are sent, no message reaches the proposer: the change takes effect but cannot
+  // be confirmed.
   const auto originalFilter = fleet.harness.filter;
   bool repliesBlocked = false;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
@@ -128,8 +128,8 @@
   BOOST_TEST(fleet.change("d2", 17, "bulk-17", "v18").value().version == 18U);
 }
 
-/// Delivers messages but syncs nothing, cuts the power of all nodes, and returns whether the change
-/// had been acknowledged and the version that is read afterwards.
+/// Delivers messages but syncs nothing, crashes all nodes, and returns whether the change had been
+/// acknowledged and the version that is read afterwards.
 std::pair<bool, std::uint64_t> powerLossBeforeSync(RegisterSafeguards safeguards) {
   RegisterFleet fleet(6, 2, safeguards);
   BOOST_REQUIRE(fleet.form());
@@ -172,8 +172,8 @@
   BOOST_TEST((fleet.read("a4").error().code == ErrorCode::NoQuorum));
 }
 
-/// Commits version 1 on a1..a4 only, empties a3 and a4, and cuts a1 and a2 off: none of the four
-/// that remain has it.
+/// Commits version 1 on a1..a4 only, empties a3 and a4, and isolates a1 and a2: none of the
+/// remaining four has it.
 Result<RegisterValue> readAfterLossOfDisks(RegisterSafeguards safeguards) {
   RegisterFleet fleet(6, 2, safeguards);
   BOOST_REQUIRE(fleet.form());
--- a/tests/register/register_fleet.h
+++ b/tests/register/register_fleet.h
@@ -80,7 +80,7 @@
   }
   bool isFresh(const std::string& name) { return harness.now < configuration(name).freshUntil(); }
 
-  /// Moves time until @p result is set.
+  /// Advances the time until @p result is set.
   template <class T>
   T await(std::optional<T>& result) {
     for (int step = 0; step < 20000 && !result; ++step) {
@@ -117,8 +117,8 @@
     return await(result);
   }
 
-  /// Makes one random step: delivers, drops or repeats any waiting message, syncs a record, or
-  /// lets a little time pass.
+  /// Makes one random step: delivers, drops or duplicates a queued message, syncs a record, or
+  /// advances the time.
   void randomStep() {
     const auto chance = [this](double probability) {
       return std::uniform_real_distribution<double>(0, 1)(harness.random) < probability;
@@ -147,11 +147,11 @@
   std::vector<NodeId> acceptorIds;
   std::set<std::string> isolated;  ///< Nodes in a network partition of their own.
   double stepLossRate = 0.1;
-  double syncRate = 0.3;  ///< Probability that a random step syncs a waiting record.
+  double syncRate = 0.3;  ///< Probability that a random step completes a persist request.
   double duplicationRate = 0.1;
-  double dropRate = 0;  ///< Loss in `harness.settle`.
-  std::map<std::uint16_t, std::size_t>
-      maxMessageBytes;  ///< Bytes of the largest register message by kind.
+  double dropRate = 0;  ///< Probability that a delivery is dropped.
+  /// Bytes of the largest register message by kind.
+  std::map<std::uint16_t, std::size_t> maxMessageBytes;
   std::size_t configurationBytes = 0;
 
  private:
--- a/tests/register/retirements_test.cpp
+++ b/tests/register/retirements_test.cpp
@@ -32,7 +32,7 @@
   };
   BOOST_TEST((begin(first, "unknown").error().code == ErrorCode::NotFound));
   BOOST_TEST((completed(first, "machine-s1").error().code == ErrorCode::NotFound));
-  // A store that is no member holds nothing that counts.
+  // A store that is not a member counts towards no majority, so its retirement completes at once.
   BOOST_TEST(begin(first, "machine-s1").has_value());
   BOOST_TEST(begin(second, "machine-s1").has_value());
   BOOST_TEST(completed(second, "machine-s1").value());
