--- a/src/register/acceptor.cpp
+++ b/src/register/acceptor.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Idempotency key under which the first member list stands in its applied-change log.
+/// Idempotency key of the first member list in the applied-change log.
 constexpr const char* kFormationKey = "fleet formation";
 
 }  // namespace
--- a/src/register/configuration_register.h
+++ b/src/register/configuration_register.h
@@ -72,7 +72,7 @@
   /// - `VersionConflict`: another change won; this one did not and will not take effect;
   /// - `IdempotencyKeyReused`: the idempotency key was used with other content; nothing changed;
   /// - `OutcomeUnknown`: no majority confirmed the outcome in time; resend with the same
-  /// idempotency key;
+  ///   idempotency key;
   /// - `NoQuorum`: nothing was sent that could take effect.
   virtual void change(ChangeRequest request, std::function<void(Result<ChangeOutcome>)> done) = 0;
 
--- a/src/register/fleet_bootstrap.h
+++ b/src/register/fleet_bootstrap.h
@@ -23,7 +23,8 @@
   std::uint32_t toleratedLosses = 1;
 };
 
-/// Maximum number of acceptors; further register nodes with a disk are standbys.
+/// Maximum number of acceptors; further register nodes with a disk are standbys that replace a lost
+/// acceptor.
 inline constexpr std::size_t kMaxAcceptors = 9;
 
 /// Returns the number of acceptors or replicas of which a majority remains after
--- a/src/register/member_absences.h
+++ b/src/register/member_absences.h
@@ -27,7 +27,7 @@
  public:
   explicit MemberAbsences(const AbsenceTimeouts& timeouts) : timeouts_(timeouts) {}
 
-  /// Compares @p members with the directory's @p nodes at @p now. To be called at each check.
+  /// Compares @p members with the directory's @p nodes at @p now. Must be called at each check.
   void observe(const std::vector<MemberList::Member>& members, const NodeTable& nodes, Time now);
 
   /// True if @p member was never live since this process started and its time-out has passed: this
--- a/src/register/proposal.h
+++ b/src/register/proposal.h
@@ -21,7 +21,7 @@
   std::optional<ChangeRequest> change;  ///< A read if absent.
   /// Recommit the state under the current member list, even if it is committed.
   bool recommit = false;
-  /// A machine outside the member list that must also accept the state.
+  /// A machine outside the member list that must also accept the state before the proposal ends.
   std::optional<MemberList::Member> joiningMember;
 };
 
--- a/src/register/register_core.h
+++ b/src/register/register_core.h
@@ -51,7 +51,7 @@
   /// Forms a fleet of the machines at these addresses, in which @p replicas stores hold each
   /// partition, neighbours in the order of @p stores; 0 means all. Idempotent for the same lists
   /// and disks; otherwise fails with `AlreadyExists`. `NoQuorum`: nothing was written;
-  /// `OutcomeUnknown`: send the same request again.
+  /// `OutcomeUnknown`: resend the same request.
   void formFleet(std::vector<NodeId> acceptors, std::vector<NodeId> stores, std::uint32_t replicas,
                  MembershipDone done);
 
@@ -59,7 +59,7 @@
   /// Safe to repeat after any failure.
   void replaceMember(const NodeId& oldId, const NodeId& newId, MembershipDone done);
 
-  /// Makes a machine that is no member one more acceptor. Otherwise as `replaceMember`.
+  /// Adds a machine that is not a member as an acceptor. Otherwise as `replaceMember`.
   void addAcceptor(const NodeId& newId, MembershipDone done);
 
   /// The newest member list that this node knows to be committed; version 0 if none.
--- a/src/register/register_messages.h
+++ b/src/register/register_messages.h
@@ -91,7 +91,7 @@
   MSGPACK_DEFINE(registerName, ballot, verdict, storeId, promised, membersVersion);
 };
 
-/// Asks an acceptor for the applied changes from `fromVersion` up to `upToVersion`.
+/// Requests the applied changes from `fromVersion` up to `upToVersion` from an acceptor.
 struct ChangeLogRequest {
   static constexpr ServiceId kService = ServiceId::Register;
   static constexpr std::uint16_t kKind = 5;
--- a/src/register/retirements.h
+++ b/src/register/retirements.h
@@ -42,7 +42,7 @@
   /// - `NoQuorum`, `OutcomeUnknown`, `VersionConflict`: repeat the same request.
   void begin(const std::string& name, std::function<void(Status)> done);
 
-  /// Tells whether the retirement of @p name is completed. Fails with `NotFound` or `NoQuorum`.
+  /// Reports whether the retirement of @p name is completed. Fails with `NotFound` or `NoQuorum`.
   void isCompleted(const std::string& name, std::function<void(Result<bool>)> done);
 
   /// The retirements known to this node that are not completed.
