--- a/src/register/proposed_change.cpp
+++ b/src/register/proposed_change.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Hashes what a request stands for. A resend has the same base version and content.
+/// Hashes the base version and the content, which are the same in a resend.
 std::uint64_t hashOfContent(const ChangeRequest& change) {
   std::string text = std::to_string(change.baseVersion);
   text.push_back('\n');
@@ -20,15 +20,15 @@
     : request_(std::move(request)), keyDigest_(digestOf(request_.idempotencyKey)),
       contentHash_(hashOfContent(request_)) {}
 
-ProposedChange::Verdict ProposedChange::judge(const PrepareReply& newest) const {
+ProposedChange::Verdict ProposedChange::evaluate(const PrepareReply& newest) const {
   if (newest.appliedVersion != 0) {
     return newest.appliedContentHash == contentHash_ ? Verdict::Applied : Verdict::KeyReused;
   }
   if (newest.accepted.version == request_.baseVersion) {
     return Verdict::Proposable;
   }
-  // A change can only have produced the version after its base. If that entry has left the log,
-  // nobody can tell any more whether this change produced it.
+  // A change can only have produced the version after its base. If that entry was evicted from the
+  // log, it is unknown whether this change produced it.
   const std::uint64_t produced = request_.baseVersion + 1;
   return produced < newest.firstLoggedVersion ? Verdict::Unknown : Verdict::Conflict;
 }
