--- a/src/data/data_process.h
+++ b/src/data/data_process.h
@@ -4,9 +4,9 @@
 
 #include "assembly/data_cores.h"
 #include "process/node_process.h"
-#include "serving/call_ring.h"
 #include "serving/callers_server.h"
 #include "serving/engine_calls.h"
+#include "serving/recent_call_journal.h"
 #include "serving/router.h"
 #include "serving/serving_services.h"
 
@@ -58,7 +58,7 @@
   DataCores cores_;
   Snapshot<SettingsTree> settingsTree_;
   Router router_;
-  CallRing journal_;
+  RecentCallJournal journal_;
   EngineClient engineClient_;
   HttpEngineRunner engineRunner_;
   ServingServices servingServices_;
--- a/src/gateway/call_filters.cpp
+++ b/src/gateway/call_filters.cpp
@@ -157,8 +157,8 @@
   call.call.suggestedEngine = grant.value().suggestedEngine();
   call.slots = SlotLease(services_.core, services_.slots, grant.value().grantId);
   for (const SlotGrant::Slot& slot : grant.value().slots) {
-    services_.journal->note(call.call.requestId, "slot",
-                            slot.pool.limiter + " " + std::to_string(slot.number));
+    services_.journal->record(call.call.requestId, "slot",
+                              slot.pool.limiter + " " + std::to_string(slot.number));
     if (slot.withoutSlot && slot.pool.limiter == kQuotaLimiter && !tryAcquireQuotaShare(call)) {
       call.slots.release();
       return makeError(ErrorCode::PoolFull, "this node's share of the quota is exhausted");
--- a/src/gateway/downstream_session.cpp
+++ b/src/gateway/downstream_session.cpp
@@ -214,8 +214,8 @@
   call.slots.release();
   const std::string outcome = step ? "ok" : std::string(errorTypeName(step.error().code));
   services_.counters.add("gateway_calls_" + outcome + "_total", 1);
-  services_.journal->note(call.call.requestId, "outcome",
-                          step ? outcome : outcome + ": " + step.error().detail);
+  services_.journal->record(call.call.requestId, "outcome",
+                            step ? outcome : outcome + ": " + step.error().detail);
   if (call.abort.aborted()) {
     return false;
   }
--- a/src/gateway/forwarder.cpp
+++ b/src/gateway/forwarder.cpp
@@ -133,7 +133,7 @@
   const EngineChoice& engine = choice.value();
   attemptedEngines.insert(engine.id);
   const InFlight inFlight(loadBalancer_, engine.id);
-  journal_->note(call.requestId, "engine", engine.id);
+  journal_->record(call.requestId, "engine", engine.id);
   while (true) {
     bool pooled = false;
     auto connection = acquireConnection(engine, forwarded, pooled, yield);
@@ -207,7 +207,7 @@
     loadBalancer_.onServed(engine.id, call, core_.now());
     return;
   }
-  journal_->note(call.requestId, "engine failed", engine.id + ": " + attempt.error.detail);
+  journal_->record(call.requestId, "engine failed", engine.id + ": " + attempt.error.detail);
   if (attempt.error.code != ErrorCode::Cancelled) {
     loadBalancer_.onFailed(engine.id, core_.now());
     counters_.add("gateway_engine_failures_total", 1);
--- a/src/gateway/forwarder.h
+++ b/src/gateway/forwarder.h
@@ -93,7 +93,7 @@
   CostLoadBalancer& loadBalancer_;
   ServingCounters& counters_;
   const HeaderNames& names_;
-  CallJournal* journal_ = &NoCallJournal::instance();
+  CallJournal* journal_ = &NullCallJournal::instance();
   UpstreamConnectionPool pool_;
 };
 
--- a/src/gateway/gateway_services.h
+++ b/src/gateway/gateway_services.h
@@ -33,7 +33,7 @@
   HeaderNames names;
   Time started;           ///< When the process started.
   bool draining = false;  ///< Every response closes its connection.
-  CallJournal* journal = &NoCallJournal::instance();
+  CallJournal* journal = &NullCallJournal::instance();
 };
 
 /// Returns success if the node can serve calls, otherwise the reason why it cannot.
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -7,7 +7,7 @@
 #include "gateway/gateway.h"
 #include "gateway/item_runner.h"
 #include "process/event_loop_node.h"
-#include "serving/call_ring.h"
+#include "serving/recent_call_journal.h"
 
 namespace shedshed {
 
@@ -37,7 +37,7 @@
   CostLoadBalancer loadBalancer_;
   HeaderNames names_;
   Forwarder forwarder_;
-  CallRing journal_;
+  RecentCallJournal journal_;
   GatewayServices services_;
   OpaqueItemRunner items_;
   Gateway gateway_;
--- a/src/serving/batch_calls.cpp
+++ b/src/serving/batch_calls.cpp
@@ -54,14 +54,14 @@
   return okStatus();
 }
 
-Status readNdjson(const CallContext& call, BatchSubmission& submission) {
+Status parseNdjson(const CallContext& call, BatchSubmission& submission) {
   submission.clientKey = call.request.clientKey;
   submission.idempotentItems = call.request.repeatable;
-  std::string_view rest = call.request.body;
-  while (!rest.empty()) {
-    const std::size_t end = std::min(rest.find('\n'), rest.size());
-    const std::string_view line = rest.substr(0, end);
-    rest.remove_prefix(std::min(end + 1, rest.size()));
+  std::string_view remaining = call.request.body;
+  while (!remaining.empty()) {
+    const std::size_t end = std::min(remaining.find('\n'), remaining.size());
+    const std::string_view line = remaining.substr(0, end);
+    remaining.remove_prefix(std::min(end + 1, remaining.size()));
     if (line.find_first_not_of(" \t\r") == std::string_view::npos) {
       continue;
     }
@@ -78,7 +78,7 @@
   return okStatus();
 }
 
-Status readJson(const CallContext& call, BatchSubmission& submission) {
+Status parseJson(const CallContext& call, BatchSubmission& submission) {
   const Result<JsonDocument> document = parseBodyObject(call.request.body);
   if (!document) {
     return document.error();
@@ -107,10 +107,10 @@
 }
 
 std::uint32_t pageLimit(const CallTarget& target) {
-  return target.limit == 0 ? kMaxBatchPage : std::min(target.limit, kMaxBatchPage);
+  return target.limit == 0 ? kMaxBatchPageSize : std::min(target.limit, kMaxBatchPageSize);
 }
 
-FilterStatus answerWith(CallContext& call, int status, std::string body) {
+FilterStatus setAnswer(CallContext& call, int status, std::string body) {
   call.answer.status = status;
   call.answer.body = std::move(body);
   return FilterStep::Answered;
@@ -122,7 +122,7 @@
   BatchSubmission submission;
   submission.tenant = call.tenant;
   const bool ndjson = call.request.contentType == kNdjson;
-  const Status read = ndjson ? readNdjson(call, submission) : readJson(call, submission);
+  const Status read = ndjson ? parseNdjson(call, submission) : parseJson(call, submission);
   if (!read) {
     return read.error();
   }
@@ -218,7 +218,7 @@
     return result.error();
   }
   const int status = result.value().resent ? kOkStatus : kCreatedStatus;
-  return answerWith(call, status, batchStatusJson(result.value()));
+  return setAnswer(call, status, batchStatusJson(result.value()));
 }
 
 FilterStatus BatchCallFilter::status(CallContext& call, boost::asio::yield_context yield) {
@@ -229,7 +229,7 @@
   if (!result) {
     return result.error();
   }
-  return answerWith(call, 200, batchStatusJson(result.value()));
+  return setAnswer(call, 200, batchStatusJson(result.value()));
 }
 
 FilterStatus BatchCallFilter::results(CallContext& call, boost::asio::yield_context yield) {
@@ -241,7 +241,7 @@
   if (!result) {
     return result.error();
   }
-  return answerWith(call, 200, resultPageJson(result.value()));
+  return setAnswer(call, 200, resultPageJson(result.value()));
 }
 
 FilterStatus BatchCallFilter::unfinished(CallContext& call, boost::asio::yield_context yield) {
@@ -253,7 +253,7 @@
   if (!result) {
     return result.error();
   }
-  return answerWith(call, 200, unfinishedItemsJson(result.value()));
+  return setAnswer(call, 200, unfinishedItemsJson(result.value()));
 }
 
 FilterStatus BatchCallFilter::cancel(CallContext& call, boost::asio::yield_context yield) {
@@ -264,7 +264,7 @@
   if (!result) {
     return result.error();
   }
-  return answerWith(call, 200, batchStatusJson(result.value()));
+  return setAnswer(call, 200, batchStatusJson(result.value()));
 }
 
 }  // namespace shedshed
--- a/src/serving/batch_calls.h
+++ b/src/serving/batch_calls.h
@@ -9,7 +9,7 @@
 namespace shedshed {
 
 /// Largest page of results or unfinished items.
-inline constexpr std::uint32_t kMaxBatchPage = 1000;
+inline constexpr std::uint32_t kMaxBatchPageSize = 1000;
 
 /// Longest client key, in bytes.
 inline constexpr std::size_t kMaxClientKeyBytes = 256;
--- a/src/serving/call_filters.cpp
+++ b/src/serving/call_filters.cpp
@@ -7,11 +7,11 @@
 namespace shedshed {
 namespace {
 
-Error notProvedYet() {
+Error noVerifiedConfiguration() {
   return makeError(ErrorCode::NotReady, "no configuration has been proved yet");
 }
 
-SlotRequest slotRequestOf(const CallContext& call) {
+SlotRequest makeSlotRequest(const CallContext& call) {
   SlotLimit limit;
   limit.pool = {"tenant", call.tenant};
   limit.failOpen = call.settings.failMode == FailMode::Open;
@@ -25,7 +25,7 @@
   return request;
 }
 
-std::string slotText(const SlotGrant::Slot& slot) {
+std::string describeSlot(const SlotGrant::Slot& slot) {
   const std::string pool = slot.pool.limiter + " " + slot.pool.key;
   return slot.withoutSlot ? pool + ": no store answered, fails open"
                           : pool + ": number " + std::to_string(slot.number);
@@ -42,17 +42,17 @@
   return FilterStep::Continue;
 }
 
-FilterStatus KeyFilter::apply(CallContext& call, boost::asio::yield_context) {
+FilterStatus ApiKeyFilter::apply(CallContext& call, boost::asio::yield_context) {
   const auto tree = services_.settings.read();
   if (tree == nullptr) {
-    return notProvedYet();
+    return noVerifiedConfiguration();
   }
   const auto tenant = tree->tenantOfKey(call.request.bearerKey);
   if (call.request.bearerKey.empty() || !tenant) {
     return makeError(ErrorCode::Unauthenticated, "a valid bearer key is required");
   }
   call.tenant = *tenant;
-  services_.journal->note(call.request.requestId, "key", "tenant " + call.tenant);
+  services_.journal->record(call.request.requestId, "key", "tenant " + call.tenant);
   return FilterStep::Continue;
 }
 
@@ -66,10 +66,10 @@
 FilterStatus TenantSettingsFilter::apply(CallContext& call, boost::asio::yield_context) {
   const auto tree = services_.settings.read();
   if (tree == nullptr) {
-    return notProvedYet();
+    return noVerifiedConfiguration();
   }
   const CallKind kind = call.request.target.kind;
-  call.settings = tree->effective(call.tenant, settingsRouteOf(kind));
+  call.settings = tree->effective(call.tenant, settingsRoute(kind));
   if (kind == CallKind::ChatCompletion && call.request.body.size() > call.settings.maxBodyBytes) {
     return makeError(ErrorCode::TooLarge, "the body is over max_body_bytes");
   }
@@ -86,7 +86,7 @@
 }
 
 FilterStatus SlotFilter::apply(CallContext& call, boost::asio::yield_context yield) {
-  const auto acquire = [this, request = slotRequestOf(call)](auto done) {
+  const auto acquire = [this, request = makeSlotRequest(call)](auto done) {
     services_.slots.acquire(request, done);
   };
   const auto grant = awaitCore<Result<SlotGrant>>(services_.core, yield, acquire);
@@ -94,7 +94,7 @@
     return grant.error();
   }
   for (const SlotGrant::Slot& slot : grant.value().slots) {
-    services_.journal->note(call.request.requestId, "slot", slotText(slot));
+    services_.journal->record(call.request.requestId, "slot", describeSlot(slot));
   }
   call.slot = SlotLease(services_.core, services_.slots, grant.value().grantId);
   if (call.abort.aborted()) {
@@ -128,13 +128,13 @@
 FilterChain makeChatChain(ServingServices& services) {
   FilterChain chain;
   chain.add(std::make_unique<ChatSyntaxFilter>());
-  chain.add(std::make_unique<KeyFilter>(services));
+  chain.add(std::make_unique<ApiKeyFilter>(services));
   chain.add(std::make_unique<SettingsLeaseFilter>(services));
   chain.add(std::make_unique<TenantSettingsFilter>(services));
   chain.add(std::make_unique<DrainFilter>(services));
   chain.add(std::make_unique<SlotFilter>(services));
   // The wait for a slot may be long: the key and the configuration are proved anew.
-  chain.add(std::make_unique<KeyFilter>(services));
+  chain.add(std::make_unique<ApiKeyFilter>(services));
   chain.add(std::make_unique<SettingsLeaseFilter>(services));
   chain.add(std::make_unique<ForwardFilter>(services));
   return chain;
@@ -142,7 +142,7 @@
 
 FilterChain makeBatchChain(ServingServices& services) {
   FilterChain chain;
-  chain.add(std::make_unique<KeyFilter>(services));
+  chain.add(std::make_unique<ApiKeyFilter>(services));
   chain.add(std::make_unique<SettingsLeaseFilter>(services));
   chain.add(std::make_unique<TenantSettingsFilter>(services));
   chain.add(std::make_unique<DrainFilter>(services));
--- a/src/serving/call_filters.h
+++ b/src/serving/call_filters.h
@@ -15,9 +15,9 @@
 
 /// Finds the tenant of the bearer key in the settings in force, anew for every call, so that a
 /// withdrawn key stops to work on connections that are open.
-class KeyFilter : public CallFilter {
+class ApiKeyFilter : public CallFilter {
  public:
-  explicit KeyFilter(ServingServices& services) : services_(services) {}
+  explicit ApiKeyFilter(ServingServices& services) : services_(services) {}
   FilterStatus apply(CallContext& call, boost::asio::yield_context yield) override;
 
  private:
--- a/src/serving/call_journal.h
+++ b/src/serving/call_journal.h
@@ -15,17 +15,17 @@
 
   /// Notes that @p step was taken for the call with @p requestId. @p detail never holds a body or
   /// a key.
-  virtual void note(const std::string& requestId, const char* step, std::string detail) = 0;
+  virtual void record(const std::string& requestId, const char* step, std::string detail) = 0;
 };
 
 /// Forgets everything.
-class NoCallJournal : public CallJournal {
+class NullCallJournal : public CallJournal {
  public:
-  void note(const std::string&, const char*, std::string) override {}
+  void record(const std::string&, const char*, std::string) override {}
 
   /// The one object; it has no state.
-  static NoCallJournal& instance() {
-    static NoCallJournal journal;
+  static NullCallJournal& instance() {
+    static NullCallJournal journal;
     return journal;
   }
 };
--- a/src/serving/call_target.cpp
+++ b/src/serving/call_target.cpp
@@ -6,7 +6,7 @@
 namespace shedshed {
 namespace {
 
-constexpr std::string_view kBatches = "/v1/batches";
+constexpr std::string_view kBatchesPath = "/v1/batches";
 
 struct FixedRoute {
   std::string_view method;
@@ -15,7 +15,7 @@
 };
 constexpr FixedRoute kFixedRoutes[] = {
     {"POST", "/v1/chat/completions", CallKind::ChatCompletion},
-    {"POST", kBatches, CallKind::BatchSubmit},
+    {"POST", kBatchesPath, CallKind::BatchSubmit},
     {"GET", "/healthz", CallKind::Health},
     {"GET", "/readyz", CallKind::Ready},
     {"GET", "/metrics", CallKind::Metrics},
@@ -29,7 +29,7 @@
     {"POST", "/cancel", CallKind::BatchCancel},
 };
 
-CallTarget targetOfPath(std::string_view method, std::string_view path) {
+CallTarget parsePath(std::string_view method, std::string_view path) {
   CallTarget target;
   for (const FixedRoute& route : kFixedRoutes) {
     if (route.method == method && route.path == path) {
@@ -37,11 +37,11 @@
       return target;
     }
   }
-  if (path.substr(0, kBatches.size()) != kBatches || path.size() <= kBatches.size() + 1 ||
-      path[kBatches.size()] != '/') {
+  if (path.substr(0, kBatchesPath.size()) != kBatchesPath ||
+      path.size() <= kBatchesPath.size() + 1 || path[kBatchesPath.size()] != '/') {
     return target;
   }
-  path.remove_prefix(kBatches.size() + 1);
+  path.remove_prefix(kBatchesPath.size() + 1);
   const std::size_t idEnd = std::min(path.find('/'), path.size());
   const std::string_view rest = path.substr(idEnd);
   for (const FixedRoute& route : kBatchRoutes) {
@@ -59,7 +59,7 @@
   return parsed.ec == std::errc() && parsed.ptr == text.data() + text.size();
 }
 
-bool takeParameter(std::string_view parameter, CallTarget& target) {
+bool parseQueryParameter(std::string_view parameter, CallTarget& target) {
   const std::size_t equals = parameter.find('=');
   if (equals == std::string_view::npos) {
     return false;
@@ -76,13 +76,13 @@
 
 Result<CallTarget> parseCallTarget(std::string_view method, std::string_view target) {
   const std::size_t pathEnd = std::min(target.find('?'), target.size());
-  CallTarget parsed = targetOfPath(method, target.substr(0, pathEnd));
-  const bool takesQuery =
+  CallTarget parsed = parsePath(method, target.substr(0, pathEnd));
+  const bool acceptsQuery =
       parsed.kind == CallKind::BatchResults || parsed.kind == CallKind::BatchUnfinished;
   std::string_view query = target.substr(std::min(pathEnd + 1, target.size()));
-  while (takesQuery && !query.empty()) {
+  while (acceptsQuery && !query.empty()) {
     const std::size_t end = std::min(query.find('&'), query.size());
-    if (!takeParameter(query.substr(0, end), parsed)) {
+    if (!parseQueryParameter(query.substr(0, end), parsed)) {
       return makeError(ErrorCode::InvalidArgument, "query: only from=N and limit=M are allowed");
     }
     query.remove_prefix(std::min(end + 1, query.size()));
@@ -90,7 +90,7 @@
   return parsed;
 }
 
-const char* settingsRouteOf(CallKind kind) {
+const char* settingsRoute(CallKind kind) {
   return kind == CallKind::ChatCompletion ? "/v1/chat/completions" : "/v1/batches";
 }
 
--- a/src/serving/call_target.h
+++ b/src/serving/call_target.h
@@ -14,6 +14,6 @@
 Result<CallTarget> parseCallTarget(std::string_view method, std::string_view target);
 
 /// The route under which settings are looked up.
-const char* settingsRouteOf(CallKind kind);
+const char* settingsRoute(CallKind kind);
 
 }  // namespace shedshed
--- a/src/serving/caller_connection.cpp
+++ b/src/serving/caller_connection.cpp
@@ -22,12 +22,12 @@
 using Parser = http::request_parser<http::string_body>;
 
 /// Counts something for as long as it lives.
-class Counted {
+class ScopedCount {
  public:
-  explicit Counted(std::atomic<std::size_t>& count) : count_(count) { ++count_; }
-  ~Counted() { --count_; }
-  Counted(const Counted&) = delete;
-  Counted& operator=(const Counted&) = delete;
+  explicit ScopedCount(std::atomic<std::size_t>& count) : count_(count) { ++count_; }
+  ~ScopedCount() { --count_; }
+  ScopedCount(const ScopedCount&) = delete;
+  ScopedCount& operator=(const ScopedCount&) = delete;
 
  private:
   std::atomic<std::size_t>& count_;
@@ -37,7 +37,7 @@
   return {text.data(), text.size()};
 }
 
-std::string bearerKeyOf(const Parser& parser) {
+std::string parseBearerKey(const Parser& parser) {
   const std::string_view value = toView(parser.get()[http::field::authorization]);
   if (value.substr(0, kBearer.size()) != kBearer) {
     return {};
@@ -46,14 +46,14 @@
 }
 
 /// Reads what the header says. Fails for a malformed target.
-Status readHeader(const Parser& parser, CallRequest& request) {
+Status parseHeader(const Parser& parser, CallRequest& request) {
   const auto& message = parser.get();
   const auto target = parseCallTarget(toView(message.method_string()), toView(message.target()));
   if (!target) {
     return target.error();
   }
   request.target = target.value();
-  request.bearerKey = bearerKeyOf(parser);
+  request.bearerKey = parseBearerKey(parser);
   const std::string_view type = toView(message[http::field::content_type]);
   request.contentType = std::string(type.substr(0, type.find_first_of("; ")));
   request.clientKey = std::string(message["X-Client-Key"]);
@@ -61,7 +61,7 @@
   return okStatus();
 }
 
-bool isOpenToAll(CallKind kind) {
+bool isPublicEndpoint(CallKind kind) {
   return kind == CallKind::Health || kind == CallKind::Ready || kind == CallKind::Metrics;
 }
 
@@ -85,44 +85,44 @@
 
  private:
   bool waitForFirstByte(net::yield_context yield);
-  bool readHead(net::yield_context yield);
-  bool readBody(net::yield_context yield);
+  bool readRequestHeader(net::yield_context yield);
+  bool readRequestBody(net::yield_context yield);
   /// The bound on the body, after the key has been checked: nobody else may send a large one.
   Result<std::uint64_t> bodyLimit() const;
   bool refuseBeforeBody(const Error& error, net::yield_context yield);
   bool answer(net::yield_context yield);
   /// A node that drains closes each connection with its answer: the next call goes elsewhere.
-  bool staysOpen() const { return parser_.keep_alive() && !shared_.services.draining.load(); }
-  void answerOpenCall();
-  FilterStatus filtered(net::yield_context yield);
+  bool shouldKeepAlive() const { return parser_.keep_alive() && !shared_.services.draining.load(); }
+  void answerPublicEndpoint();
+  FilterStatus applyFilters(net::yield_context yield);
   bool finish(const FilterStatus& status, net::yield_context yield);
   bool finishStream(const FilterStatus& status, net::yield_context yield);
-  void linger(net::yield_context yield);
+  void lingeringClose(net::yield_context yield);
   void observeFirstEvent();
   void count(const FilterStatus& status);
 
-  CallersShared& shared_;
+  CallersServerState& shared_;
   net::ip::tcp::socket& socket_;
   ServingStrand& strand_;
   boost::beast::flat_buffer& buffer_;
   Parser parser_;
   CallerWriter writer_;
   CallContext call_;
-  Time begun_{};
-  std::optional<Error> headError_;
-  bool unreadable_ = false;  ///< Where the call ends on the connection is not known.
+  Time startedAt_{};
+  std::optional<Error> requestError_;
+  bool framingLost_ = false;  ///< Where the call ends on the connection is not known.
 };
 
 bool CallerConnection::Exchange::serve(net::yield_context yield) {
   if (!waitForFirstByte(yield)) {
     return false;
   }
-  begun_ = shared_.services.core.now();
-  if (!readHead(yield)) {
+  startedAt_ = shared_.services.core.now();
+  if (!readRequestHeader(yield)) {
     return false;
   }
-  if (headError_) {
-    return refuseBeforeBody(*headError_, yield);
+  if (requestError_) {
+    return refuseBeforeBody(*requestError_, yield);
   }
   const Result<std::uint64_t> limit = bodyLimit();
   if (!limit) {
@@ -133,18 +133,18 @@
     return refuseBeforeBody(makeError(ErrorCode::TooLarge, "the body is over its bound"), yield);
   }
   parser_.body_limit(limit.value());
-  std::optional<Counted> upload;
+  std::optional<ScopedCount> upload;
   if (call_.request.target.kind == CallKind::BatchSubmit) {
     upload.emplace(shared_.batchUploads);
     if (shared_.batchUploads > shared_.limits.maxBatchUploads) {
       return refuseBeforeBody(makeError(ErrorCode::NotReady, "too many batches at once"), yield);
     }
   }
-  if (!readBody(yield)) {
+  if (!readRequestBody(yield)) {
     return false;
   }
-  if (headError_) {
-    return refuseBeforeBody(*headError_, yield);
+  if (requestError_) {
+    return refuseBeforeBody(*requestError_, yield);
   }
   call_.request.body = std::move(parser_.get().body());
   return answer(yield);
@@ -155,36 +155,36 @@
     return true;
   }
   SocketDeadline deadline(strand_, socket_);
-  deadline.arm(shared_.limits.idle);
+  deadline.arm(shared_.limits.idleTimeout);
   error_code failed;
   socket_.async_wait(net::ip::tcp::socket::wait_read, yield[failed]);
   return !failed;
 }
 
-bool CallerConnection::Exchange::readHead(net::yield_context yield) {
+bool CallerConnection::Exchange::readRequestHeader(net::yield_context yield) {
   SocketDeadline deadline(strand_, socket_);
   deadline.arm(shared_.limits.headerTimeout);
   error_code failed;
   http::async_read_header(socket_, buffer_, parser_, yield[failed]);
   deadline.disarm();
   if (failed == http::error::header_limit || failed == http::error::body_limit) {
-    unreadable_ = true;
-    headError_ = makeError(ErrorCode::TooLarge, "the header or the body is over its bound");
+    framingLost_ = true;
+    requestError_ = makeError(ErrorCode::TooLarge, "the header or the body is over its bound");
     return true;
   }
   const bool malformed =
       failed && failed.category() == make_error_code(http::error::bad_method).category();
   if (malformed && failed != http::error::end_of_stream && failed != http::error::partial_message) {
-    unreadable_ = true;
-    headError_ = makeError(ErrorCode::InvalidArgument, "malformed HTTP: " + failed.message());
+    framingLost_ = true;
+    requestError_ = makeError(ErrorCode::InvalidArgument, "malformed HTTP: " + failed.message());
     return true;
   }
   if (failed) {
     return false;
   }
-  const Status read = readHeader(parser_, call_.request);
+  const Status read = parseHeader(parser_, call_.request);
   if (!read) {
-    headError_ = read.error();
+    requestError_ = read.error();
   }
   return true;
 }
@@ -194,7 +194,7 @@
   if (kind == CallKind::Unknown) {
     return makeError(ErrorCode::NotFound, "no such call");
   }
-  if (isOpenToAll(kind)) {
+  if (isPublicEndpoint(kind)) {
     return std::uint64_t{0};
   }
   const auto tree = shared_.services.settings.read();
@@ -208,27 +208,27 @@
   if (kind == CallKind::BatchSubmit) {
     return shared_.limits.maxBatchBodyBytes;
   }
-  return tree->effective(*tenant, settingsRouteOf(kind)).maxBodyBytes;
+  return tree->effective(*tenant, settingsRoute(kind)).maxBodyBytes;
 }
 
-bool CallerConnection::Exchange::readBody(net::yield_context yield) {
+bool CallerConnection::Exchange::readRequestBody(net::yield_context yield) {
   if (parser_.is_done()) {
     return true;
   }
-  const bool held = parser_.get()[http::field::expect] == "100-continue";
-  if (held && !writer_.writeContinue(yield)) {
+  const bool expectsContinue = parser_.get()[http::field::expect] == "100-continue";
+  if (expectsContinue && !writer_.writeContinue(yield)) {
     return false;
   }
   const std::uint64_t size = parser_.content_length().value_or(shared_.limits.maxBatchBodyBytes);
-  const std::chrono::seconds transfer(size / shared_.limits.minBodyBytesPerSecond);
+  const std::chrono::seconds transferTime(size / shared_.limits.minBodyBytesPerSecond);
   SocketDeadline deadline(strand_, socket_);
-  deadline.arm(shared_.limits.bodyTimeout + transfer);
+  deadline.arm(shared_.limits.bodyTimeout + transferTime);
   error_code failed;
   http::async_read(socket_, buffer_, parser_, yield[failed]);
   deadline.disarm();
   if (failed == http::error::body_limit) {
-    unreadable_ = true;
-    headError_ = makeError(ErrorCode::TooLarge, "the body is over its bound");
+    framingLost_ = true;
+    requestError_ = makeError(ErrorCode::TooLarge, "the body is over its bound");
     return true;
   }
   return !failed;
@@ -242,43 +242,43 @@
   const bool small = length && *length <= kMaxDiscardedBodyBytes && !expects;
   const bool none = parser_.is_header_done() && parser_.is_done();
   bool keepAlive = false;
-  if (!unreadable_ && (small || none)) {
-    keepAlive = readBody(yield) && parser_.is_done() && parser_.keep_alive();
+  if (!framingLost_ && (small || none)) {
+    keepAlive = readRequestBody(yield) && parser_.is_done() && parser_.keep_alive();
   }
   const HttpAnswer refusal = errorAnswer(error, call_.request.requestId);
   if (!writer_.writeAnswer(refusal, keepAlive, yield)) {
     return false;
   }
   if (!keepAlive) {
-    linger(yield);
+    lingeringClose(yield);
   }
   return keepAlive;
 }
 
-void CallerConnection::Exchange::linger(net::yield_context yield) {
+void CallerConnection::Exchange::lingeringClose(net::yield_context yield) {
   error_code failed;
   socket_.shutdown(net::ip::tcp::socket::shutdown_send, failed);
   SocketDeadline deadline(strand_, socket_);
   deadline.arm(shared_.limits.lingerTimeout);
-  std::array<char, 4096> dropped;
+  std::array<char, 4096> discarded;
   while (!failed) {
-    socket_.async_read_some(net::buffer(dropped), yield[failed]);
+    socket_.async_read_some(net::buffer(discarded), yield[failed]);
   }
 }
 
 bool CallerConnection::Exchange::answer(net::yield_context yield) {
-  if (isOpenToAll(call_.request.target.kind)) {
-    answerOpenCall();
+  if (isPublicEndpoint(call_.request.target.kind)) {
+    answerPublicEndpoint();
     return writer_.writeAnswer(call_.answer, parser_.keep_alive(), yield) && parser_.keep_alive();
   }
-  const Counted active(shared_.activeCalls);
+  const ScopedCount active(shared_.activeCalls);
   writer_.onFirstEvent([this]() { observeFirstEvent(); });
-  const FilterStatus status = filtered(yield);
+  const FilterStatus status = applyFilters(yield);
   count(status);
   return finish(status, yield);
 }
 
-FilterStatus CallerConnection::Exchange::filtered(net::yield_context yield) {
+FilterStatus CallerConnection::Exchange::applyFilters(net::yield_context yield) {
   const CallerWatch watch(socket_, call_.abort, shared_.services.counters);
   const bool chat = call_.request.target.kind == CallKind::ChatCompletion;
   FilterStatus status =
@@ -301,7 +301,7 @@
       call_.answer.retryAfter = call_.settings.retryAfter;
     }
   }
-  const bool keepAlive = staysOpen();
+  const bool keepAlive = shouldKeepAlive();
   return writer_.writeAnswer(call_.answer, keepAlive, yield) && keepAlive;
 }
 
@@ -309,16 +309,16 @@
                                               net::yield_context yield) {
   shared_.services.counters.add("serving_events_total", static_cast<double>(writer_.eventCount()));
   if (status && call_.streamed) {
-    return writer_.endStream(yield) && staysOpen();
+    return writer_.endStream(yield) && shouldKeepAlive();
   }
   const Error error =
       status ? makeError(ErrorCode::ResponseTruncated, "the stream broke", Ran::Unknown)
              : status.error();
-  writer_.breakStream(error, yield);
+  writer_.failStream(error, yield);
   return false;
 }
 
-void CallerConnection::Exchange::answerOpenCall() {
+void CallerConnection::Exchange::answerPublicEndpoint() {
   switch (call_.request.target.kind) {
   case CallKind::Ready: {
     const Status ready = checkReady(shared_.services);
@@ -340,7 +340,7 @@
 }
 
 void CallerConnection::Exchange::observeFirstEvent() {
-  const Duration waited = shared_.services.core.now() - begun_;
+  const Duration waited = shared_.services.core.now() - startedAt_;
   shared_.services.counters.observe("serving_first_event_seconds",
                                     std::chrono::duration<double>(waited).count());
 }
@@ -350,11 +350,11 @@
   const std::string reason =
       status ? ""
              : ": " + status.error().detail + ", ran " + std::string(ranName(status.error().ran));
-  shared_.services.journal->note(call_.request.requestId, "outcome", outcome + reason);
+  shared_.services.journal->record(call_.request.requestId, "outcome", outcome + reason);
   shared_.services.counters.add("serving_calls_" + outcome + "_total", 1);
 }
 
-CallerConnection::CallerConnection(CallersShared& shared, net::ip::tcp::socket socket,
+CallerConnection::CallerConnection(CallersServerState& shared, net::ip::tcp::socket socket,
                                    const ServingStrand& strand)
     : shared_(shared), socket_(std::move(socket)), strand_(strand) {
   ++shared_.connections;
--- a/src/serving/caller_connection.h
+++ b/src/serving/caller_connection.h
@@ -14,7 +14,7 @@
 namespace shedshed {
 
 /// What all connections of one server share.
-struct CallersShared {
+struct CallersServerState {
   ServingServices& services;
   CallerLimits limits;
   FilterChain chatChain;
@@ -29,7 +29,7 @@
 class CallerConnection {
  public:
   /// @p socket's executor must be @p strand.
-  CallerConnection(CallersShared& shared, boost::asio::ip::tcp::socket socket,
+  CallerConnection(CallersServerState& shared, boost::asio::ip::tcp::socket socket,
                    const ServingStrand& strand);
   ~CallerConnection();
   CallerConnection(const CallerConnection&) = delete;
@@ -41,7 +41,7 @@
  private:
   class Exchange;
 
-  CallersShared& shared_;
+  CallersServerState& shared_;
   boost::asio::ip::tcp::socket socket_;
   ServingStrand strand_;
 };
--- a/src/serving/caller_limits.h
+++ b/src/serving/caller_limits.h
@@ -14,8 +14,8 @@
   std::size_t maxConnections = 10000;
   std::uint32_t maxHeaderBytes = 16U << 10U;
   std::uint64_t maxBatchBodyBytes = 256U << 20U;  ///< All items of a batch together.
-  std::size_t maxBatchUploads = 4;           ///< Batches read at once; bounds the memory they take.
-  Duration idle = std::chrono::seconds(75);  ///< Between two calls.
+  std::size_t maxBatchUploads = 4;  ///< Batches read at once; bounds the memory they take.
+  Duration idleTimeout = std::chrono::seconds(75);  ///< Between two calls.
   Duration headerTimeout =
       std::chrono::seconds(10);                     ///< From the first byte of a header to its end.
   Duration bodyTimeout = std::chrono::seconds(30);  ///< For a body, besides its transfer time.
--- a/src/serving/caller_watch.h
+++ b/src/serving/caller_watch.h
@@ -18,7 +18,7 @@
  public:
   CallerWatch(boost::asio::ip::tcp::socket& socket, CallAbort& abort, ServingCounters& counters)
       : state_(std::make_shared<State>(State{socket, abort, counters})) {
-    wait(state_);
+    waitUntilReadable(state_);
   }
   ~CallerWatch() {
     state_->active = false;
@@ -36,8 +36,8 @@
     bool active = true;
   };
 
-  static void wait(const std::shared_ptr<State>& state);
-  static void readable(const std::shared_ptr<State>& state);
+  static void waitUntilReadable(const std::shared_ptr<State>& state);
+  static void onReadable(const std::shared_ptr<State>& state);
 
   std::shared_ptr<State> state_;
 };
--- a/src/serving/caller_writer.cpp
+++ b/src/serving/caller_writer.cpp
@@ -12,7 +12,7 @@
 constexpr const char* kRequestIdHeader = "X-Request-Id";
 constexpr unsigned kHttpVersion = 11;
 
-std::string wholeSeconds(Duration duration) {
+std::string formatSeconds(Duration duration) {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(duration).count();
   return std::to_string(std::max<std::int64_t>(seconds, 1));
 }
@@ -38,7 +38,7 @@
   response.set(http::field::content_type, answer.contentType);
   response.set(kRequestIdHeader, requestId_);
   if (answer.retryAfter) {
-    response.set(http::field::retry_after, wholeSeconds(*answer.retryAfter));
+    response.set(http::field::retry_after, formatSeconds(*answer.retryAfter));
   }
   response.keep_alive(keepAlive);
   response.body() = answer.body;
@@ -56,11 +56,11 @@
 
 Status CallerWriter::onEvents(const std::vector<std::string>& events,
                               boost::asio::yield_context yield) {
-  const auto gone = [] {
+  const auto callerUnreachable = [] {
     return makeError(ErrorCode::Cancelled, "the caller cannot be reached", Ran::Unknown);
   };
   if (!streamStarted_ && !startStream(yield)) {
-    return gone();
+    return callerUnreachable();
   }
   std::string text;
   for (const std::string& event : events) {
@@ -68,7 +68,7 @@
     ++nextEvent_;
   }
   if (!writeChunk(text, yield)) {
-    return gone();
+    return callerUnreachable();
   }
   return okStatus();
 }
@@ -113,7 +113,7 @@
   return writeText("0\r\n\r\n", yield);
 }
 
-bool CallerWriter::breakStream(const Error& error, boost::asio::yield_context yield) {
+bool CallerWriter::failStream(const Error& error, boost::asio::yield_context yield) {
   return writeChunk("event: error\ndata: " + errorJson(error, requestId_) + "\n\n", yield);
 }
 
--- a/src/serving/caller_writer.h
+++ b/src/serving/caller_writer.h
@@ -45,7 +45,7 @@
   bool endStream(boost::asio::yield_context yield);
 
   /// Sends the error event. The caller must then close the connection, without the last chunk.
-  bool breakStream(const Error& error, boost::asio::yield_context yield);
+  bool failStream(const Error& error, boost::asio::yield_context yield);
 
  private:
   bool startStream(boost::asio::yield_context yield);
--- a/src/serving/callers_server.cpp
+++ b/src/serving/callers_server.cpp
@@ -12,7 +12,7 @@
 using boost::system::error_code;
 
 /// Pause after a failed accept, for example while no file descriptor is free.
-constexpr std::chrono::milliseconds kAcceptRetryPause{50};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 
 Result<net::ip::tcp::endpoint> parseListenAddress(const std::string& address) {
   const std::size_t colon = address.rfind(':');
@@ -32,8 +32,8 @@
 
 CallersServer::CallersServer(ServingServices& services, std::string address, CallerLimits limits)
     : services_(services), address_(std::move(address)),
-      shared_(
-          new CallersShared{services, limits, makeChatChain(services), makeBatchChain(services)}),
+      shared_(new CallersServerState{services, limits, makeChatChain(services),
+                                     makeBatchChain(services)}),
       strand_(services.threads.makeStrand()), acceptor_(strand_) {
   shared_->callEnded = [this]() { checkIdle(); };
 }
@@ -105,8 +105,8 @@
     if (!failed) {
       serve(std::move(socket), strand);
     } else if (acceptor_.is_open()) {
-      net::steady_timer pause(strand_, kAcceptRetryPause);
-      pause.async_wait(yield[failed]);
+      net::steady_timer retryTimer(strand_, kAcceptRetryDelay);
+      retryTimer.async_wait(yield[failed]);
     }
   }
 }
--- a/src/serving/callers_server.h
+++ b/src/serving/callers_server.h
@@ -48,7 +48,7 @@
 
   ServingServices& services_;
   std::string address_;
-  std::unique_ptr<CallersShared> shared_;
+  std::unique_ptr<CallersServerState> shared_;
   ServingStrand strand_;  ///< Of the acceptor.
   boost::asio::ip::tcp::acceptor acceptor_;
   std::mutex idleMutex_;
--- a/src/serving/chat_request.cpp
+++ b/src/serving/chat_request.cpp
@@ -20,7 +20,7 @@
   prompt.push_back('\n');
 }
 
-Result<std::string> promptOf(const JsonDocument& document) {
+Result<std::string> parsePrompt(const JsonDocument& document) {
   const cJSON* messages = jsonMember(document.root(), "messages");
   if (!cJSON_IsArray(messages) || cJSON_GetArraySize(messages) == 0) {
     return makeError(ErrorCode::InvalidArgument, "messages: a non-empty array is required");
@@ -53,7 +53,7 @@
     return makeError(ErrorCode::InvalidArgument, "stream: true or false is required");
   }
   request.stream = cJSON_IsTrue(stream) != 0;
-  const Result<std::string> prompt = promptOf(document.value());
+  const Result<std::string> prompt = parsePrompt(document.value());
   if (!prompt) {
     return prompt.error();
   }
@@ -61,7 +61,7 @@
   return request;
 }
 
-Result<std::string> withoutStreaming(std::string_view body) {
+Result<std::string> disableStreaming(std::string_view body) {
   Result<JsonDocument> document = parseBodyObject(body);
   if (!document) {
     return document.error();
--- a/src/serving/chat_request.h
+++ b/src/serving/chat_request.h
@@ -22,6 +22,6 @@
 Result<ChatRequest> parseChatRequest(std::string_view body);
 
 /// Returns @p body with `stream` set to false. Fails with `InvalidArgument`.
-Result<std::string> withoutStreaming(std::string_view body);
+Result<std::string> disableStreaming(std::string_view body);
 
 }  // namespace shedshed
--- a/src/serving/circuit_breaker.cpp
+++ b/src/serving/circuit_breaker.cpp
@@ -5,33 +5,34 @@
 namespace shedshed {
 
 bool CircuitBreaker::allows(Time now) const {
-  if (failures_ < kBreakerFailures) {
+  if (failures_ < kBreakerFailureThreshold) {
     return true;
   }
-  return now >= openUntil_ && !trialRuns_;
+  return now >= openUntil_ && !trialInFlight_;
 }
 
-void CircuitBreaker::started(Time now) {
-  if (failures_ >= kBreakerFailures && now >= openUntil_) {
-    trialRuns_ = true;
+void CircuitBreaker::onStarted(Time now) {
+  if (failures_ >= kBreakerFailureThreshold && now >= openUntil_) {
+    trialInFlight_ = true;
   }
 }
 
-void CircuitBreaker::succeeded() {
+void CircuitBreaker::onSucceeded() {
   failures_ = 0;
-  pause_ = Duration::zero();
-  trialRuns_ = false;
+  openDuration_ = Duration::zero();
+  trialInFlight_ = false;
 }
 
-void CircuitBreaker::failed(Time now) {
-  trialRuns_ = false;
+void CircuitBreaker::onFailed(Time now) {
+  trialInFlight_ = false;
   ++failures_;
-  if (failures_ < kBreakerFailures || now < openUntil_) {
+  if (failures_ < kBreakerFailureThreshold || now < openUntil_) {
     return;
   }
-  pause_ =
-      pause_ == Duration::zero() ? kBreakerFirstPause : std::min(pause_ * 2, kBreakerLongestPause);
-  openUntil_ = now + pause_;
+  openDuration_ = openDuration_ == Duration::zero()
+                      ? kBreakerInitialOpenDuration
+                      : std::min(openDuration_ * 2, kBreakerMaxOpenDuration);
+  openUntil_ = now + openDuration_;
 }
 
 }  // namespace shedshed
--- a/src/serving/circuit_breaker.h
+++ b/src/serving/circuit_breaker.h
@@ -9,13 +9,13 @@
 namespace shedshed {
 
 /// Consecutive failures that open a breaker.
-inline constexpr std::uint32_t kBreakerFailures = 3;
+inline constexpr std::uint32_t kBreakerFailureThreshold = 3;
 
 /// First pause of an open breaker; doubles with each failed trial.
-inline constexpr Duration kBreakerFirstPause = std::chrono::seconds(1);
+inline constexpr Duration kBreakerInitialOpenDuration = std::chrono::seconds(1);
 
 /// Longest pause of an open breaker.
-inline constexpr Duration kBreakerLongestPause = std::chrono::seconds(30);
+inline constexpr Duration kBreakerMaxOpenDuration = std::chrono::seconds(30);
 
 /// Circuit breaker of one engine: closed, open for a pause, then half-open for one trial call.
 class CircuitBreaker {
@@ -24,19 +24,19 @@
   bool allows(Time now) const;
 
   /// Notes that a call was sent. Past the pause it is the one trial.
-  void started(Time now);
+  void onStarted(Time now);
 
-  void succeeded();
-  void failed(Time now);
+  void onSucceeded();
+  void onFailed(Time now);
 
   /// Notes that a call ended without telling anything of the engine's health.
-  void abandoned() { trialRuns_ = false; }
+  void onInconclusive() { trialInFlight_ = false; }
 
  private:
   std::uint32_t failures_ = 0;
-  Duration pause_{0};
+  Duration openDuration_{0};
   Time openUntil_{};
-  bool trialRuns_ = false;
+  bool trialInFlight_ = false;
 };
 
 }  // namespace shedshed
--- a/src/serving/engine_answer_readers.cpp
+++ b/src/serving/engine_answer_readers.cpp
@@ -7,14 +7,14 @@
 
 constexpr int kOk = 200;
 
-Error mismatch(const char* where) {
+Error idMismatch(const char* where) {
   return makeError(ErrorCode::ResponseMismatch,
                    std::string("another request's id in the answer's ") + where, Ran::Unknown);
 }
 
 Status checkHeaderId(const EngineHttpHeader& header, const std::string& requestId) {
   if (header.requestId != requestId) {
-    return mismatch("header");
+    return idMismatch("header");
   }
   return okStatus();
 }
@@ -26,7 +26,7 @@
     return makeError(ErrorCode::EngineFailed, "the engine's answer is not JSON", Ran::Unknown);
   }
   if (textMember(document.value().root(), "id") != requestId) {
-    return mismatch("body");
+    return idMismatch("body");
   }
   return okStatus();
 }
@@ -77,32 +77,32 @@
     return makeError(ErrorCode::EngineFailed, fed.error().detail, Ran::Unknown);
   }
   std::vector<std::string> checked;
-  Status verdict = okStatus();
+  Status status = okStatus();
   for (std::string& event : events) {
-    verdict = checkEvent(event);
-    if (!verdict) {
+    status = checkEvent(event);
+    if (!status) {
       break;
     }
-    if (!ended_) {
+    if (!endEventReceived_) {
       checked.push_back(std::move(event));
     }
   }
   if (!checked.empty()) {
-    sentOn_ = true;
+    forwarded_ = true;
     const Status sent = sink_.onEvents(checked, yield);
     if (!sent) {
       return sent;
     }
   }
-  return verdict;
+  return status;
 }
 
 Status StreamAnswerReader::checkEvent(const std::string& event) {
-  if (ended_) {
+  if (endEventReceived_) {
     return makeError(ErrorCode::EngineFailed, "an event after the end of the stream", Ran::Unknown);
   }
   if (event == kEndOfStream) {
-    ended_ = true;
+    endEventReceived_ = true;
     return okStatus();
   }
   return checkBodyId(event, requestId_);
@@ -112,11 +112,11 @@
   if (refused_) {
     return refusal_.finish();
   }
-  if (!ended_ || parser_.hasPartialEvent()) {
+  if (!endEventReceived_ || parser_.hasPartialEvent()) {
     return makeError(ErrorCode::ResponseTruncated, "the stream ended without its end event",
                      Ran::Unknown);
   }
-  sentOn_ = true;
+  forwarded_ = true;
   return sink_.onEvents({kEndOfStream}, yield);
 }
 
--- a/src/serving/engine_answer_readers.h
+++ b/src/serving/engine_answer_readers.h
@@ -65,7 +65,7 @@
   WholeAnswerReader& refusal() { return refusal_; }
 
   /// True if anything may have reached the caller.
-  bool sentOn() const { return sentOn_; }
+  bool forwarded() const { return forwarded_; }
 
  private:
   Status checkEvent(const std::string& event);
@@ -75,8 +75,8 @@
   EventSink& sink_;
   SseParser parser_;
   bool refused_ = false;
-  bool ended_ = false;
-  bool sentOn_ = false;
+  bool endEventReceived_ = false;
+  bool forwarded_ = false;
 };
 
 }  // namespace shedshed
--- a/src/serving/engine_calls.cpp
+++ b/src/serving/engine_calls.cpp
@@ -33,8 +33,8 @@
     }
     health.reachable = true;
     health.draining = textMember(document.value().root(), "status") != "ready";
-    health.running = numberOf(document.value(), "running");
-    health.maxRunning = numberOf(document.value(), "max_running");
+    health.running = unsignedMember(document.value(), "running");
+    health.maxRunning = unsignedMember(document.value(), "max_running");
     return health;
   }
 
@@ -42,7 +42,7 @@
   /// Largest health answer, in bytes.
   static constexpr std::size_t kMaxHealthBytes = 16U << 10U;
 
-  static std::uint32_t numberOf(const JsonDocument& document, const char* name) {
+  static std::uint32_t unsignedMember(const JsonDocument& document, const char* name) {
     const cJSON* member = jsonMember(document.root(), name);
     if (!cJSON_IsNumber(member) || member->valueint < 0) {
       return 0;
@@ -60,15 +60,15 @@
   const ServingStrand strand = threads_.makeStrand();
   auto body = [this, strand, call = std::move(call),
                done = std::move(done)](boost::asio::yield_context yield) {
-    auto result = std::make_shared<Result<EngineAnswer>>(runNow(call, strand, yield));
+    auto result = std::make_shared<Result<EngineAnswer>>(runItem(call, strand, yield));
     core_.post([done, result]() { done(std::move(*result)); });
   };
   threads_.spawn(strand, std::move(body));
 }
 
-Result<EngineAnswer> HttpEngineRunner::runNow(const EngineCall& call, const ServingStrand& strand,
-                                              boost::asio::yield_context yield) {
-  Result<std::string> body = withoutStreaming(call.body);
+Result<EngineAnswer> HttpEngineRunner::runItem(const EngineCall& call, const ServingStrand& strand,
+                                               boost::asio::yield_context yield) {
+  Result<std::string> body = disableStreaming(call.body);
   if (!body) {
     return body.error();
   }
@@ -85,30 +85,30 @@
   if (tree != nullptr) {
     request.loadBound = tree->effective({}, kBatchRoute).routingLoadBound;
   }
-  CallAbort never;
-  return client_.run(request, nullptr, never, strand, yield);
+  CallAbort noAbort;
+  return client_.run(request, nullptr, noAbort, strand, yield);
 }
 
 void HttpEngineProbe::probe(const std::string& address, std::function<void(EngineHealth)> done) {
   const ServingStrand strand = threads_.makeStrand();
   auto body = [this, strand, address, done = std::move(done)](boost::asio::yield_context yield) {
-    const EngineHealth health = probeNow(address, strand, yield);
+    const EngineHealth health = readHealth(address, strand, yield);
     core_.post([done, health]() { done(health); });
   };
   threads_.spawn(strand, std::move(body));
 }
 
-EngineHealth HttpEngineProbe::probeNow(const std::string& address, const ServingStrand& strand,
-                                       boost::asio::yield_context yield) {
-  CallAbort never;
+EngineHealth HttpEngineProbe::readHealth(const std::string& address, const ServingStrand& strand,
+                                         boost::asio::yield_context yield) {
+  CallAbort noAbort;
   EngineConnection connection(threads_.io());
-  const Status connected = connection.connect(address, timeouts_, never, strand, yield);
+  const Status connected = connection.connect(address, timeouts_, noAbort, strand, yield);
   if (!connected) {
     return {};
   }
   HealthReader reader;
   const EngineHttpRequest request{"GET", "/health", makeRequestId(), {}};
-  const Status read = connection.exchange(request, reader, timeouts_, never, strand, yield);
+  const Status read = connection.exchange(request, reader, timeouts_, noAbort, strand, yield);
   return read ? reader.health() : EngineHealth{};
 }
 
--- a/src/serving/engine_calls.h
+++ b/src/serving/engine_calls.h
@@ -23,8 +23,8 @@
   void run(EngineCall call, std::function<void(Result<EngineAnswer>)> done) override;
 
  private:
-  Result<EngineAnswer> runNow(const EngineCall& call, const ServingStrand& strand,
-                              boost::asio::yield_context yield);
+  Result<EngineAnswer> runItem(const EngineCall& call, const ServingStrand& strand,
+                               boost::asio::yield_context yield);
 
   ServingThreads& threads_;
   CoreExecutor& core_;
@@ -47,8 +47,8 @@
   void probe(const std::string& address, std::function<void(EngineHealth)> done) override;
 
  private:
-  EngineHealth probeNow(const std::string& address, const ServingStrand& strand,
-                        boost::asio::yield_context yield);
+  EngineHealth readHealth(const std::string& address, const ServingStrand& strand,
+                          boost::asio::yield_context yield);
 
   ServingThreads& threads_;
   CoreExecutor& core_;
--- a/src/serving/engine_client.cpp
+++ b/src/serving/engine_client.cpp
@@ -8,19 +8,19 @@
 constexpr int kFirstServerError = 500;
 
 /// Ends a routed call in the router on every way out.
-class InFlight {
+class InFlightCall {
  public:
-  InFlight(Router& router, CoreExecutor& core, std::string engine)
+  InFlightCall(Router& router, CoreExecutor& core, std::string engine)
       : router_(router), core_(core), engine_(std::move(engine)) {}
-  ~InFlight() { router_.finish(engine_, verdict_, core_.now()); }
-  InFlight(const InFlight&) = delete;
-  InFlight& operator=(const InFlight&) = delete;
+  ~InFlightCall() { router_.finish(engine_, outcome_, core_.now()); }
+  InFlightCall(const InFlightCall&) = delete;
+  InFlightCall& operator=(const InFlightCall&) = delete;
 
-  void judge(const Result<EngineAnswer>& result) {
+  void setOutcome(const Result<EngineAnswer>& result) {
     if (result) {
-      verdict_ = EngineVerdict::Healthy;
+      outcome_ = ExchangeOutcome::Healthy;
     } else if (result.error().code != ErrorCode::Cancelled) {
-      verdict_ = EngineVerdict::Faulty;
+      outcome_ = ExchangeOutcome::Faulty;
     }
   }
 
@@ -28,11 +28,11 @@
   Router& router_;
   CoreExecutor& core_;
   std::string engine_;
-  EngineVerdict verdict_ = EngineVerdict::NotJudged;
+  ExchangeOutcome outcome_ = ExchangeOutcome::Inconclusive;
 };
 
 /// An engine that answers 429 or 5xx did not serve the call; whether it ran it cannot be known.
-Result<EngineAnswer> judgedAnswer(WholeAnswerReader& reader) {
+Result<EngineAnswer> toEngineAnswer(WholeAnswerReader& reader) {
   const int status = reader.status();
   if (status == kTooManyRequests || status >= kFirstServerError) {
     return makeError(ErrorCode::EngineFailed,
@@ -48,7 +48,7 @@
   EventSink* sink;
   CallAbort& abort;
   const ServingStrand& strand;
-  bool sentOn = false;  ///< Something of the answer may have reached the caller.
+  bool forwarded = false;  ///< Something of the answer may have reached the caller.
 };
 
 Result<EngineAnswer> EngineClient::run(const EngineRequest& request, EventSink* sink,
@@ -56,37 +56,37 @@
                                        boost::asio::yield_context yield) {
   Call call{request, sink, abort, strand};
   RouteQuery query{request.model, request.prompt, request.loadBound, {}};
-  std::optional<Error> last;
+  std::optional<Error> lastError;
   int runs = 0;
   for (int connects = 0; connects < kMaxConnectAttempts + runs; ++connects) {
     const auto engine = choose(query);
     if (!engine) {
-      journal_->note(request.requestId, "no engine", engine.error().detail);
-      return last ? *last : engine.error();
+      journal_->record(request.requestId, "no engine", engine.error().detail);
+      return lastError ? *lastError : engine.error();
     }
-    journal_->note(request.requestId, "engine", engine.value().engine);
+    journal_->record(request.requestId, "engine", engine.value().engine);
     query.excluded.insert(engine.value().engine);
-    InFlight inFlight(router_, core_, engine.value().engine);
+    InFlightCall inFlight(router_, core_, engine.value().engine);
     Result<EngineAnswer> result = attempt(call, engine.value(), yield);
-    inFlight.judge(result);
+    inFlight.setOutcome(result);
     if (result) {
       return result;
     }
-    journal_->note(request.requestId, "engine failed",
-                   engine.value().engine + ": " + result.error().detail + ", ran " +
-                       std::string(ranName(result.error().ran)));
+    journal_->record(request.requestId, "engine failed",
+                     engine.value().engine + ": " + result.error().detail + ", ran " +
+                         std::string(ranName(result.error().ran)));
     // Once one attempt may have run, the whole call may have.
     const bool mayHaveRun = runs > 0 || result.error().ran != Ran::No;
     runs += result.error().ran != Ran::No ? 1 : 0;
-    last = result.error();
-    last->ran = mayHaveRun ? Ran::Unknown : Ran::No;
+    lastError = result.error();
+    lastError->ran = mayHaveRun ? Ran::Unknown : Ran::No;
     const bool mayRepeat = request.repeatable && runs < kMaxRepeatableRuns;
-    if (abort.aborted() || call.sentOn || (mayHaveRun && !mayRepeat)) {
-      return *last;
+    if (abort.aborted() || call.forwarded || (mayHaveRun && !mayRepeat)) {
+      return *lastError;
     }
     counters_.add("serving_engine_retries_total", 1);
   }
-  return *last;
+  return *lastError;
 }
 
 Result<RouteChoice> EngineClient::choose(const RouteQuery& query) {
@@ -105,14 +105,14 @@
   Result<EngineAnswer> result = call.sink == nullptr ? exchangeWhole(call, *opened.value(), yield)
                                                      : exchangeStream(call, *opened.value(), yield);
   if (result) {
-    pool_.giveBack(engine.address, std::move(opened.value()), core_.now());
+    connectionPool_.release(engine.address, std::move(opened.value()), core_.now());
   }
   return result;
 }
 
 Result<std::unique_ptr<EngineConnection>>
 EngineClient::connection(Call& call, const RouteChoice& engine, boost::asio::yield_context yield) {
-  auto pooled = pool_.take(engine.address, core_.now());
+  auto pooled = connectionPool_.acquire(engine.address, core_.now());
   if (pooled != nullptr) {
     return pooled;
   }
@@ -138,7 +138,7 @@
   if (!finished) {
     return finished.error();
   }
-  return judgedAnswer(reader);
+  return toEngineAnswer(reader);
 }
 
 Result<EngineAnswer> EngineClient::exchangeStream(Call& call, EngineConnection& connection,
@@ -148,12 +148,12 @@
   const Status exchanged =
       connection.exchange(request, reader, timeouts_, call.abort, call.strand, yield);
   Status finished = exchanged ? reader.finish(yield) : exchanged;
-  call.sentOn = call.sentOn || reader.sentOn();
+  call.forwarded = call.forwarded || reader.forwarded();
   if (!finished) {
     return finished.error();
   }
   if (reader.refused()) {
-    return judgedAnswer(reader.refusal());
+    return toEngineAnswer(reader.refusal());
   }
   return EngineAnswer{200, {}};
 }
--- a/src/serving/engine_client.h
+++ b/src/serving/engine_client.h
@@ -8,7 +8,7 @@
 #include "serving/core_executor.h"
 #include "serving/engine_answer_readers.h"
 #include "serving/engine_connection.h"
-#include "serving/engine_pool.h"
+#include "serving/engine_connection_pool.h"
 #include "serving/router.h"
 #include "serving/serving_counters.h"
 
@@ -73,8 +73,8 @@
   Router& router_;
   ServingCounters& counters_;
   EngineTimeouts timeouts_;
-  CallJournal* journal_ = &NoCallJournal::instance();
-  EnginePool pool_;
+  CallJournal* journal_ = &NullCallJournal::instance();
+  EngineConnectionPool connectionPool_;
 };
 
 }  // namespace shedshed
--- a/src/serving/engine_connection.cpp
+++ b/src/serving/engine_connection.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint64_t kMaxEngineBodyBytes = 256U << 20U;
 
 /// Body bytes that are handed on at once.
-constexpr std::size_t kReadPieceBytes = 16U << 10U;
+constexpr std::size_t kReadChunkBytes = 16U << 10U;
 
 constexpr const char* kRequestIdHeader = "X-Request-Id";
 
@@ -41,7 +41,7 @@
   return net::ip::tcp::endpoint(ip, static_cast<std::uint16_t>(port));
 }
 
-http::request<http::string_body> toBeast(const EngineHttpRequest& request) {
+http::request<http::string_body> makeHttpRequest(const EngineHttpRequest& request) {
   http::request<http::string_body> message;
   message.method_string(request.method);
   message.target(request.target);
@@ -54,7 +54,7 @@
   return message;
 }
 
-EngineHttpHeader headerOf(const AnswerParser& parser) {
+EngineHttpHeader parseAnswerHeader(const AnswerParser& parser) {
   EngineHttpHeader header;
   header.status = static_cast<int>(parser.get().result_int());
   header.requestId = std::string(parser.get()[kRequestIdHeader]);
@@ -68,7 +68,7 @@
 }
 
 /// Says why an operation on the socket failed.
-Error failureOf(const error_code& failed, const SocketDeadline& deadline, const CallAbort& abort) {
+Error toError(const error_code& failed, const SocketDeadline& deadline, const CallAbort& abort) {
   if (abort.aborted()) {
     return abortedError();
   }
@@ -100,7 +100,7 @@
     socket_.set_option(net::ip::tcp::no_delay(true), failed);
   }
   if (failed || deadline.expired() || abort.aborted()) {
-    Error error = failureOf(failed, deadline, abort);
+    Error error = toError(failed, deadline, abort);
     error.ran = Ran::No;
     close();
     return error;
@@ -111,7 +111,7 @@
 Status EngineConnection::exchange(const EngineHttpRequest& request, EngineAnswerReader& reader,
                                   const EngineTimeouts& timeouts, CallAbort& abort,
                                   const ServingStrand& strand, net::yield_context yield) {
-  clean_ = false;
+  exchangeComplete_ = false;
   if (abort.aborted()) {
     Error error = abortedError();
     error.ran = Ran::No;
@@ -121,11 +121,11 @@
   SocketDeadline deadline(strand, socket_);
   error_code failed;
 
-  const auto message = toBeast(request);
+  const auto message = makeHttpRequest(request);
   deadline.arm(timeouts.firstByte);
   const std::size_t sentBytes = http::async_write(socket_, message, yield[failed]);
   if (failed) {
-    Error error = failureOf(failed, deadline, abort);
+    Error error = toError(failed, deadline, abort);
     error.ran = sentBytes == 0 ? Ran::No : Ran::Unknown;
     return error;
   }
@@ -136,34 +136,34 @@
   parser.body_limit(kMaxEngineBodyBytes);
   http::async_read_header(socket_, buffer, parser, yield[failed]);
   if (failed) {
-    return failureOf(failed, deadline, abort);
+    return toError(failed, deadline, abort);
   }
   if (!parser.is_done() && !parser.chunked() && !parser.content_length()) {
     return makeError(ErrorCode::ResponseTruncated, "the answer has no framing of its own",
                      Ran::Unknown);
   }
-  const Status header = reader.onHeader(headerOf(parser));
+  const Status header = reader.onHeader(parseAnswerHeader(parser));
   if (!header) {
     return header;
   }
 
-  std::array<char, kReadPieceBytes> piece;
-  bool bodyBegun = false;
+  std::array<char, kReadChunkBytes> chunk;
+  bool bodyStarted = false;
   while (!parser.is_done()) {
-    parser.get().body().data = piece.data();
-    parser.get().body().size = piece.size();
-    deadline.arm(bodyBegun ? timeouts.betweenEvents : timeouts.firstByte);
+    parser.get().body().data = chunk.data();
+    parser.get().body().size = chunk.size();
+    deadline.arm(bodyStarted ? timeouts.betweenEvents : timeouts.firstByte);
     http::async_read_some(socket_, buffer, parser, yield[failed]);
     if (failed == http::error::need_buffer) {
       failed = {};
     }
     if (failed) {
-      return failureOf(failed, deadline, abort);
+      return toError(failed, deadline, abort);
     }
     deadline.disarm();
-    const std::size_t size = piece.size() - parser.get().body().size;
-    bodyBegun = bodyBegun || size > 0;
-    const Status taken = reader.onBody(std::string_view(piece.data(), size), yield);
+    const std::size_t size = chunk.size() - parser.get().body().size;
+    bodyStarted = bodyStarted || size > 0;
+    const Status taken = reader.onBody(std::string_view(chunk.data(), size), yield);
     if (!taken) {
       return taken;
     }
@@ -172,22 +172,22 @@
     }
   }
   deadline.disarm();
-  clean_ = parser.keep_alive() && buffer.size() == 0 && !abort.aborted();
+  exchangeComplete_ = parser.keep_alive() && buffer.size() == 0 && !abort.aborted();
   return okStatus();
 }
 
 bool EngineConnection::reusable() {
-  return clean_ && socket_.is_open() && isQuiet();
+  return exchangeComplete_ && socket_.is_open() && hasNoUnreadInput();
 }
 
-bool EngineConnection::isQuiet() {
+bool EngineConnection::hasNoUnreadInput() {
   char byte = 0;
-  const ssize_t got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const ssize_t received = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 void EngineConnection::close() {
-  clean_ = false;
+  exchangeComplete_ = false;
   error_code ignored;
   socket_.close(ignored);
 }
--- a/src/serving/engine_connection.h
+++ b/src/serving/engine_connection.h
@@ -70,10 +70,10 @@
   void close();
 
  private:
-  bool isQuiet();
+  bool hasNoUnreadInput();
 
   boost::asio::ip::tcp::socket socket_;
-  bool clean_ = true;
+  bool exchangeComplete_ = true;
 };
 
 }  // namespace shedshed
--- a/src/serving/engine_pool.cpp
+++ b/src/serving/engine_connection_pool.cpp
@@ -1,30 +1,31 @@
-#include "serving/engine_pool.h"
+#include "serving/engine_connection_pool.h"
 
 namespace shedshed {
 
-std::unique_ptr<EngineConnection> EnginePool::take(const std::string& address, Time now) {
+std::unique_ptr<EngineConnection> EngineConnectionPool::acquire(const std::string& address,
+                                                                Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = idle_.find(address);
   if (found == idle_.end()) {
     return nullptr;
   }
-  std::unique_ptr<EngineConnection> taken;
+  std::unique_ptr<EngineConnection> connection;
   std::vector<Idle>& connections = found->second;
-  while (taken == nullptr && !connections.empty()) {
+  while (connection == nullptr && !connections.empty()) {
     Idle newest = std::move(connections.back());
     connections.pop_back();
-    if (now - newest.since <= kMaxIdleTime && newest.connection->reusable()) {
-      taken = std::move(newest.connection);
+    if (now - newest.idleSince <= kMaxIdleTime && newest.connection->reusable()) {
+      connection = std::move(newest.connection);
     }
   }
   if (connections.empty()) {
     idle_.erase(found);
   }
-  return taken;
+  return connection;
 }
 
-void EnginePool::giveBack(const std::string& address, std::unique_ptr<EngineConnection> connection,
-                          Time now) {
+void EngineConnectionPool::release(const std::string& address,
+                                   std::unique_ptr<EngineConnection> connection, Time now) {
   if (!connection->reusable()) {
     return;
   }
--- a/src/serving/engine_pool.h
+++ b/src/serving/engine_connection_pool.h
@@ -21,18 +21,18 @@
 inline constexpr Duration kMaxIdleTime = std::chrono::seconds(4);
 
 /// Keeps connections between exchanges. Any thread may call it.
-class EnginePool {
+class EngineConnectionPool {
  public:
   /// Returns a reusable connection to @p address, or null.
-  std::unique_ptr<EngineConnection> take(const std::string& address, Time now);
+  std::unique_ptr<EngineConnection> acquire(const std::string& address, Time now);
 
   /// Keeps @p connection if it may be reused; closes it otherwise.
-  void giveBack(const std::string& address, std::unique_ptr<EngineConnection> connection, Time now);
+  void release(const std::string& address, std::unique_ptr<EngineConnection> connection, Time now);
 
  private:
   struct Idle {
     std::unique_ptr<EngineConnection> connection;
-    Time since;
+    Time idleSince;
   };
   std::mutex mutex_;
   std::map<std::string, std::vector<Idle>> idle_;
--- a/src/serving/call_ring.h
+++ b/src/serving/recent_call_journal.h
@@ -15,20 +15,20 @@
 namespace shedshed {
 
 /// Calls that a node remembers.
-inline constexpr std::size_t kRememberedCalls = 4096;
+inline constexpr std::size_t kMaxRecentCalls = 4096;
 /// Steps kept of one call; later ones are counted only.
-inline constexpr std::size_t kStepsPerCall = 24;
+inline constexpr std::size_t kMaxStepsPerCall = 24;
 /// Bytes kept of one step's detail.
-inline constexpr std::size_t kStepDetailBytes = 200;
+inline constexpr std::size_t kMaxStepDetailBytes = 200;
 
 /// Keeps the notes of the last calls; the call that began first is forgotten first.
-class CallRing : public CallJournal {
+class RecentCallJournal : public CallJournal {
  public:
   /// @p now tells the monotonic time on any thread.
-  explicit CallRing(std::function<Time()> now, std::size_t capacity = kRememberedCalls)
+  explicit RecentCallJournal(std::function<Time()> now, std::size_t capacity = kMaxRecentCalls)
       : now_(std::move(now)), capacity_(capacity) {}
 
-  void note(const std::string& requestId, const char* step, std::string detail) override;
+  void record(const std::string& requestId, const char* step, std::string detail) override;
 
   /// Returns the notes of a call as JSON; nullopt if it is not remembered. Thread-safe.
   std::optional<std::string> explain(const std::string& requestId) const;
@@ -39,8 +39,8 @@
     const char* name;
     std::string detail;
   };
-  struct Notes {
-    Time begun;
+  struct CallRecord {
+    Time startedAt;
     std::vector<Step> steps;
     std::uint64_t dropped = 0;
   };
@@ -48,7 +48,7 @@
   const std::function<Time()> now_;
   const std::size_t capacity_;
   mutable std::mutex mutex_;
-  std::map<std::string, Notes> calls_;
+  std::map<std::string, CallRecord> calls_;
   std::deque<std::string> order_;  ///< Oldest first.
 };
 
--- a/src/serving/router.cpp
+++ b/src/serving/router.cpp
@@ -10,10 +10,10 @@
 const EngineInfo& rendezvousEngine(const std::vector<const EngineInfo*>& candidates,
                                    BlockHash block) {
   const std::string key = std::to_string(block);
-  const auto lighter = [&key](const EngineInfo* left, const EngineInfo* right) {
+  const auto hasLowerWeight = [&key](const EngineInfo* left, const EngineInfo* right) {
     return rendezvousWeight(key, left->id) < rendezvousWeight(key, right->id);
   };
-  return **std::max_element(candidates.begin(), candidates.end(), lighter);
+  return **std::max_element(candidates.begin(), candidates.end(), hasLowerWeight);
 }
 
 }  // namespace
@@ -30,40 +30,41 @@
   if (candidates.empty()) {
     return makeError(ErrorCode::NoEngine, "no ready engine for the model");
   }
-  const EngineInfo* warm = warmEngine(candidates, query);
+  const EngineInfo* cached = longestPrefixEngine(candidates, query);
   const EngineInfo& preferred =
-      warm != nullptr ? *warm : rendezvousEngine(candidates, query.prompt.front());
-  const EngineInfo& chosen = withinLoadBound(candidates, preferred, query.loadBound);
-  EngineUse& use = uses_[chosen.id];
-  ++use.inFlight;
-  use.breaker.started(now);
-  learn(query.prompt, chosen.id, &chosen != &preferred);
+      cached != nullptr ? *cached : rendezvousEngine(candidates, query.prompt.front());
+  const EngineInfo& chosen = applyLoadBound(candidates, preferred, query.loadBound);
+  EngineStatus& status = engineStatuses_[chosen.id];
+  ++status.inFlight;
+  status.breaker.onStarted(now);
+  recordPrompt(query.prompt, chosen.id, &chosen != &preferred);
   return RouteChoice{chosen.id, chosen.address};
 }
 
-void Router::learn(const std::vector<BlockHash>& prompt, const std::string& engine, bool spilled) {
+void Router::recordPrompt(const std::vector<BlockHash>& prompt, const std::string& engine,
+                          bool spilledOver) {
   for (const BlockHash block : prompt) {
-    if (!spilled || prefixes_.find(block) == nullptr) {
+    if (!spilledOver || prefixes_.find(block) == nullptr) {
       prefixes_.put(block, engine);
     }
   }
 }
 
-void Router::finish(const std::string& engine, EngineVerdict verdict, Time now) {
+void Router::finish(const std::string& engine, ExchangeOutcome outcome, Time now) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  EngineUse& use = uses_[engine];
-  if (use.inFlight > 0) {
-    --use.inFlight;
+  EngineStatus& status = engineStatuses_[engine];
+  if (status.inFlight > 0) {
+    --status.inFlight;
   }
-  switch (verdict) {
-  case EngineVerdict::Healthy:
-    use.breaker.succeeded();
+  switch (outcome) {
+  case ExchangeOutcome::Healthy:
+    status.breaker.onSucceeded();
     break;
-  case EngineVerdict::Faulty:
-    use.breaker.failed(now);
+  case ExchangeOutcome::Faulty:
+    status.breaker.onFailed(now);
     break;
-  case EngineVerdict::NotJudged:
-    use.breaker.abandoned();
+  case ExchangeOutcome::Inconclusive:
+    status.breaker.onInconclusive();
     break;
   }
 }
@@ -74,14 +75,15 @@
   for (const EngineInfo& engine : table.engines) {
     const bool usable = engine.model == query.model && engine.state == EngineState::Ready &&
                         query.excluded.count(engine.id) == 0;
-    if (usable && uses_[engine.id].breaker.allows(now)) {
+    if (usable && engineStatuses_[engine.id].breaker.allows(now)) {
       candidates.push_back(&engine);
     }
   }
   return candidates;
 }
 
-const EngineInfo* Router::warmEngine(const Candidates& candidates, const RouteQuery& query) {
+const EngineInfo* Router::longestPrefixEngine(const Candidates& candidates,
+                                              const RouteQuery& query) {
   for (auto block = query.prompt.rbegin(); block != query.prompt.rend(); ++block) {
     const std::string* engine = prefixes_.find(*block);
     if (engine == nullptr) {
@@ -96,22 +98,22 @@
   return nullptr;
 }
 
-std::uint32_t Router::loadOf(const EngineInfo& engine) {
-  return uses_[engine.id].inFlight + engine.running;
+std::uint32_t Router::engineLoad(const EngineInfo& engine) {
+  return engineStatuses_[engine.id].inFlight + engine.running;
 }
 
-const EngineInfo& Router::withinLoadBound(const Candidates& candidates, const EngineInfo& preferred,
-                                          double bound) {
+const EngineInfo& Router::applyLoadBound(const Candidates& candidates, const EngineInfo& preferred,
+                                         double bound) {
   double total = 0;
-  const EngineInfo* least = &preferred;
+  const EngineInfo* leastLoaded = &preferred;
   for (const EngineInfo* candidate : candidates) {
-    total += loadOf(*candidate);
-    if (loadOf(*candidate) < loadOf(*least)) {
-      least = candidate;
+    total += engineLoad(*candidate);
+    if (engineLoad(*candidate) < engineLoad(*leastLoaded)) {
+      leastLoaded = candidate;
     }
   }
   const double mean = total / static_cast<double>(candidates.size());
-  return loadOf(preferred) > bound * mean + 1 ? *least : preferred;
+  return engineLoad(preferred) > bound * mean + 1 ? *leastLoaded : preferred;
 }
 
 }  // namespace shedshed
--- a/src/serving/router.h
+++ b/src/serving/router.h
@@ -34,7 +34,7 @@
 };
 
 /// How an exchange with an engine ended, as its health is judged.
-enum class EngineVerdict { Healthy, Faulty, NotJudged };
+enum class ExchangeOutcome { Healthy, Faulty, Inconclusive };
 
 /// Routes by longest known warm prefix, then by rendezvous of the prompt's first block, and spills
 /// over to the least loaded engine.
@@ -49,27 +49,28 @@
   Result<RouteChoice> choose(const EngineTable& table, const RouteQuery& query, Time now);
 
   /// Ends a call that `choose` counted.
-  void finish(const std::string& engine, EngineVerdict verdict, Time now);
+  void finish(const std::string& engine, ExchangeOutcome outcome, Time now);
 
  private:
-  struct EngineUse {
+  struct EngineStatus {
     std::uint32_t inFlight = 0;
     CircuitBreaker breaker;
   };
   using Candidates = std::vector<const EngineInfo*>;
 
   Candidates usableEngines(const EngineTable& table, const RouteQuery& query, Time now);
-  const EngineInfo* warmEngine(const Candidates& candidates, const RouteQuery& query);
+  const EngineInfo* longestPrefixEngine(const Candidates& candidates, const RouteQuery& query);
   /// Notes where the prompt is warm now. A call that spilled over does not move the blocks that it
   /// shares with others away from the engine that is preferred for them.
-  void learn(const std::vector<BlockHash>& prompt, const std::string& engine, bool spilled);
-  std::uint32_t loadOf(const EngineInfo& engine);
-  const EngineInfo& withinLoadBound(const Candidates& candidates, const EngineInfo& preferred,
-                                    double bound);
+  void recordPrompt(const std::vector<BlockHash>& prompt, const std::string& engine,
+                    bool spilledOver);
+  std::uint32_t engineLoad(const EngineInfo& engine);
+  const EngineInfo& applyLoadBound(const Candidates& candidates, const EngineInfo& preferred,
+                                   double bound);
 
   std::mutex mutex_;
   PrefixTable prefixes_;
-  std::map<std::string, EngineUse> uses_;
+  std::map<std::string, EngineStatus> engineStatuses_;
 };
 
 }  // namespace shedshed
--- a/src/serving/serving_services.h
+++ b/src/serving/serving_services.h
@@ -31,7 +31,7 @@
   ServingCounters& counters;
   std::function<std::string()> metricsText;  ///< Prometheus text; any thread.
   std::atomic<bool> draining{false};         ///< New calls are refused while set.
-  CallJournal* journal = &NoCallJournal::instance();
+  CallJournal* journal = &NullCallJournal::instance();
 };
 
 /// Returns why no new call is accepted, or success: `Draining`, or `NotReady` without a proved and
--- a/src/serving/socket_deadline.h
+++ b/src/serving/socket_deadline.h
@@ -23,10 +23,10 @@
 
   /// Starts the deadline anew.
   void arm(Duration after) {
-    const std::uint64_t round = ++state_->round;
+    const std::uint64_t generation = ++state_->generation;
     state_->timer.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(after));
-    state_->timer.async_wait([state = state_, round](const boost::system::error_code& error) {
-      if (!error && state->round == round) {
+    state_->timer.async_wait([state = state_, generation](const boost::system::error_code& error) {
+      if (!error && state->generation == generation) {
         state->expired = true;
         boost::system::error_code ignored;
         state->socket.close(ignored);
@@ -36,7 +36,7 @@
 
   /// Stops it. The socket is not touched afterwards, even by a handler that is already queued.
   void disarm() {
-    ++state_->round;
+    ++state_->generation;
     state_->timer.cancel();
   }
 
@@ -49,7 +49,7 @@
         : timer(strand), socket(s) {}
     boost::asio::steady_timer timer;
     boost::asio::ip::tcp::socket& socket;
-    std::uint64_t round = 0;
+    std::uint64_t generation = 0;
     bool expired = false;
   };
   std::shared_ptr<State> state_;
--- a/src/serving/sse_parser.cpp
+++ b/src/serving/sse_parser.cpp
@@ -21,13 +21,13 @@
     if (!line_.empty() && line_.back() == '\r') {
       line_.pop_back();
     }
-    takeLine(line_, events);
+    processLine(line_, events);
     line_.clear();
   }
   return okStatus();
 }
 
-void SseParser::takeLine(std::string_view line, std::vector<std::string>& events) {
+void SseParser::processLine(std::string_view line, std::vector<std::string>& events) {
   if (line.empty()) {
     if (hasData_) {
       events.push_back(std::move(data_));
--- a/src/serving/sse_parser.h
+++ b/src/serving/sse_parser.h
@@ -28,7 +28,7 @@
   bool hasPartialEvent() const { return !line_.empty() || hasData_; }
 
  private:
-  void takeLine(std::string_view line, std::vector<std::string>& events);
+  void processLine(std::string_view line, std::vector<std::string>& events);
 
   std::size_t maxEventBytes_;
   std::string line_;
--- a/tests/serving/callers_loopback_test.cpp
+++ b/tests/serving/callers_loopback_test.cpp
@@ -5,7 +5,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(callers_loopback, ServingFixture)
 
-BOOST_AUTO_TEST_CASE(a_whole_answer_arrives_and_connections_are_kept) {
+BOOST_AUTO_TEST_CASE(a_complete_answer_arrives_and_connections_are_reused) {
   Caller caller(server.port());
   for (int i = 0; i < 3; ++i) {
     const CallerAnswer answer = caller.chat();
@@ -38,10 +38,10 @@
 
 BOOST_AUTO_TEST_CASE(a_broken_stream_never_looks_complete) {
   const std::vector<std::pair<Fault, std::string>> cases{
-      {Fault::CutBody, "response_truncated"},
-      {Fault::NoEndEvent, "response_truncated"},
-      {Fault::CutAfterEndEvent, "response_truncated"},
-      {Fault::CrossedBody, "response_mismatch"},
+      {Fault::TruncatedBody, "response_truncated"},
+      {Fault::MissingEndEvent, "response_truncated"},
+      {Fault::MissingLastChunk, "response_truncated"},
+      {Fault::WrongIdInBody, "response_mismatch"},
   };
   std::size_t expectedRuns = 0;
   for (const auto& entry : cases) {
@@ -64,9 +64,9 @@
 
 BOOST_AUTO_TEST_CASE(a_call_that_may_not_be_repeated_runs_once) {
   const std::vector<std::pair<Fault, std::string>> cases{
-      {Fault::ResetBeforeAnswer, "engine_failed"}, {Fault::CutBody, "response_truncated"},
-      {Fault::CrossedHeader, "response_mismatch"}, {Fault::CrossedBody, "response_mismatch"},
-      {Fault::NoFraming, "response_truncated"},    {Fault::ServerError, "engine_failed"},
+      {Fault::ResetBeforeAnswer, "engine_failed"},   {Fault::TruncatedBody, "response_truncated"},
+      {Fault::WrongIdInHeader, "response_mismatch"}, {Fault::WrongIdInBody, "response_mismatch"},
+      {Fault::NoFraming, "response_truncated"},      {Fault::ServerError, "engine_failed"},
   };
   std::size_t expectedRuns = 0;
   for (const auto& entry : cases) {
@@ -108,7 +108,7 @@
   BOOST_TEST(runs() == 6);
 }
 
-BOOST_AUTO_TEST_CASE(a_refused_connection_means_not_run) {
+BOOST_AUTO_TEST_CASE(a_refused_connection_is_reported_as_not_run) {
   boost::asio::io_context io;
   boost::asio::ip::tcp::acceptor closed(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
   const std::string dead = "127.0.0.1:" + std::to_string(closed.local_endpoint().port());
@@ -133,7 +133,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_connection_with_leftover_bytes_is_not_used_again) {
-  failBoth(Fault::Leftover);
+  failBoth(Fault::TrailingBytes);
   Caller caller(server.port());
   const CallerAnswer first = caller.chat();
   BOOST_TEST(first.status == 200);
@@ -144,13 +144,13 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_dropped_caller_ends_the_exchange) {
-  TinyEngine& used = nextEngine();
-  used.fail(Fault::Silent);
+  FakeEngine& chosenEngine = nextEngine();
+  chosenEngine.fail(Fault::NoAnswer);
   Caller caller(server.port());
   caller.send("POST", "/v1/chat/completions", Caller::chatBody(true));
-  used.waitForRuns(1);
+  chosenEngine.waitForRuns(1);
   caller.close();
-  used.waitForAbandoned(1);
+  chosenEngine.waitForAbandoned(1);
   BOOST_TEST(runs() == 1);
 }
 
@@ -195,23 +195,23 @@
 
 BOOST_AUTO_TEST_CASE(a_key_withdrawn_during_the_wait_for_a_slot_does_not_work) {
   Caller caller(server.port());
-  slots.hold = true;
+  slots.holdNext = true;
   caller.send("POST", "/v1/chat/completions", Caller::chatBody(true));
-  const auto goOn = slots.held.get_future().get();
+  const auto resume = slots.resumeHeld.get_future().get();
   publish(true);
-  core.post(goOn);
+  core.post(resume);
   BOOST_TEST(caller.read().status == 401);
   BOOST_TEST(runs() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(a_caller_that_drops_while_it_waits_for_a_slot_does_not_run) {
   Caller caller(server.port());
-  slots.hold = true;
+  slots.holdNext = true;
   caller.send("POST", "/v1/chat/completions", Caller::chatBody(true));
-  const auto goOn = slots.held.get_future().get();
+  const auto resume = slots.resumeHeld.get_future().get();
   caller.close();
   counters.waitFor("serving_callers_dropped_total");
-  core.post(goOn);
+  core.post(resume);
   std::promise<void> idle;
   server.notifyWhenIdle([&idle]() { idle.set_value(); });
   idle.get_future().get();
@@ -239,7 +239,7 @@
   BOOST_TEST(runs() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(batch_calls_follow_the_contract) {
+BOOST_AUTO_TEST_CASE(batch_calls_match_the_documented_api) {
   Caller caller(server.port());
   caller.send("POST", "/v1/batches",
               R"({"client_key":"k","repeatable":true,"items":[{"model":"m"},{"model":"n"}]})");
@@ -284,7 +284,7 @@
   BOOST_REQUIRE(answer);
   BOOST_TEST(answer.value().status == 200);
   BOOST_TEST(answer.value().body.find("item-1") != std::string::npos);
-  failBoth(Fault::CrossedBody);
+  failBoth(Fault::WrongIdInBody);
   const auto crossed = run("item-2");
   BOOST_TEST((crossed.error().code == ErrorCode::ResponseMismatch));
   BOOST_TEST((crossed.error().ran == Ran::Unknown));
@@ -304,12 +304,12 @@
   BOOST_TEST(!read("127.0.0.1:1").reachable);
 }
 
-BOOST_AUTO_TEST_CASE(the_server_tells_when_it_is_idle) {
-  TinyEngine& used = nextEngine();
-  used.fail(Fault::Silent);
+BOOST_AUTO_TEST_CASE(the_server_notifies_when_it_is_idle) {
+  FakeEngine& chosenEngine = nextEngine();
+  chosenEngine.fail(Fault::NoAnswer);
   Caller caller(server.port());
   caller.send("POST", "/v1/chat/completions", Caller::chatBody(false));
-  used.waitForRuns(1);
+  chosenEngine.waitForRuns(1);
   server.setDraining(true);
   server.stopAccepting();
   std::promise<void> idle;
@@ -322,16 +322,18 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-struct ImpatientFixture : ServingFixture {
-  ImpatientFixture() { BOOST_REQUIRE(quickServer.start()); }
-  ~ImpatientFixture() { threads.stop(); }
-  EngineTimeouts impatient{timeouts.connect, std::chrono::milliseconds(30), timeouts.betweenEvents};
-  EngineClient quickClient{threads, core, source, router, counters, impatient};
-  ServingServices quickServices{threads,       core,     settings,
-                                configuration, slots,    batches,
-                                quickClient,   counters, [] { return std::string(); }};
-  CallersServer quickServer{quickServices, "127.0.0.1:0", impatientLimits()};
-  static CallerLimits impatientLimits() {
+struct ShortTimeoutFixture : ServingFixture {
+  ShortTimeoutFixture() { BOOST_REQUIRE(shortTimeoutServer.start()); }
+  ~ShortTimeoutFixture() { threads.stop(); }
+  EngineTimeouts shortTimeouts{timeouts.connect, std::chrono::milliseconds(30),
+                               timeouts.betweenEvents};
+  EngineClient shortTimeoutClient{threads, core, source, router, counters, shortTimeouts};
+  ServingServices shortTimeoutServices{
+      threads, core, settings, configuration, slots, batches, shortTimeoutClient, counters, [] {
+        return std::string();
+      }};
+  CallersServer shortTimeoutServer{shortTimeoutServices, "127.0.0.1:0", shortTimeoutLimits()};
+  static CallerLimits shortTimeoutLimits() {
     CallerLimits limits;
     limits.headerTimeout = std::chrono::milliseconds(30);
     limits.bodyTimeout = std::chrono::milliseconds(30);
@@ -341,39 +343,40 @@
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(a_late_engine_is_given_up_and_its_connection_closed, ImpatientFixture) {
-  TinyEngine& used = nextEngine();
-  used.fail(Fault::Silent);
-  Caller caller(quickServer.port());
+BOOST_FIXTURE_TEST_CASE(an_engine_timeout_fails_the_call_and_closes_the_connection,
+                        ShortTimeoutFixture) {
+  FakeEngine& chosenEngine = nextEngine();
+  chosenEngine.fail(Fault::NoAnswer);
+  Caller caller(shortTimeoutServer.port());
   const CallerAnswer answer = caller.chat();
   BOOST_TEST(answer.status == 504);
   BOOST_TEST(answer.has("\"type\":\"deadline_exceeded\""));
   BOOST_TEST(answer.has("\"ran\":\"unknown\""));
-  used.waitForAbandoned(1);
+  chosenEngine.waitForAbandoned(1);
   BOOST_TEST(runs() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(slow_and_large_calls_are_bounded, ImpatientFixture) {
-  Caller slowHeader(quickServer.port());
+BOOST_FIXTURE_TEST_CASE(slow_and_large_calls_are_bounded, ShortTimeoutFixture) {
+  Caller slowHeader(shortTimeoutServer.port());
   slowHeader.sendText("POST /v1/chat");
   BOOST_TEST(slowHeader.read().status == 0);
-  Caller slowBody(quickServer.port());
+  Caller slowBody(shortTimeoutServer.port());
   slowBody.sendText("POST /v1/chat/completions HTTP/1.1\r\nAuthorization: Bearer key-a\r\n"
                     "Content-Length: 100\r\n\r\n{");
   BOOST_TEST(slowBody.read().status == 0);
-  Caller largeHeader(quickServer.port());
+  Caller largeHeader(shortTimeoutServer.port());
   largeHeader.sendText("GET /healthz HTTP/1.1\r\nX: " + std::string(2000, 'x'));
   BOOST_TEST(largeHeader.read().status == 413);
 }
 
-BOOST_FIXTURE_TEST_CASE(connections_are_bounded, ImpatientFixture) {
-  Caller one(quickServer.port());
+BOOST_FIXTURE_TEST_CASE(connections_are_bounded, ShortTimeoutFixture) {
+  Caller one(shortTimeoutServer.port());
   BOOST_TEST(one.get("/healthz").status == 200);
-  Caller two(quickServer.port());
+  Caller two(shortTimeoutServer.port());
   BOOST_TEST(two.get("/healthz").status == 200);
-  Caller three(quickServer.port());
+  Caller three(shortTimeoutServer.port());
   BOOST_TEST(three.get("/healthz").status == 200);
-  Caller four(quickServer.port());
+  Caller four(shortTimeoutServer.port());
   BOOST_TEST(four.read().status == 0);
   BOOST_TEST(one.get("/healthz").status == 200);
 }
--- a/tests/serving/tiny_engine.h
+++ b/tests/serving/fake_engine.h
@@ -17,28 +17,28 @@
 enum class Fault {
   None,
   ResetBeforeAnswer,  // Reads the request, then resets the connection.
-  Silent,             // Reads the request and never answers.
-  CutBody,            // Closes before the framing ends.
-  CrossedHeader,      // Another request's id in the header.
-  CrossedBody,        // Another request's id in the body, or in the second event.
-  NoEndEvent,         // A stream whose chunks end without `[DONE]`.
-  CutAfterEndEvent,   // `[DONE]`, but no last chunk.
-  Leftover,           // Extra bytes after a whole answer.
+  NoAnswer,           // Reads the request and never answers.
+  TruncatedBody,      // Closes before the framing ends.
+  WrongIdInHeader,    // Another request's id in the header.
+  WrongIdInBody,      // Another request's id in the body, or in the second event.
+  MissingEndEvent,    // A stream whose chunks end without `[DONE]`.
+  MissingLastChunk,   // `[DONE]`, but no last chunk.
+  TrailingBytes,      // Extra bytes after a whole answer.
   NoFraming,          // Neither a length nor chunks.
   ServerError,        // Status 500.
   BadRequest,         // Status 400.
 };
 
-class TinyEngine {
+class FakeEngine {
   using Tcp = boost::asio::ip::tcp;
   using Request = boost::beast::http::request<boost::beast::http::string_body>;
 
  public:
-  TinyEngine()
+  FakeEngine()
       : acceptor_(io_, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0)),
         port_(acceptor_.local_endpoint().port()), accepting_([this]() { acceptAll(); }) {}
 
-  ~TinyEngine() {
+  ~FakeEngine() {
     {
       const std::lock_guard<std::mutex> lock(mutex_);
       stopping_ = true;
@@ -134,7 +134,7 @@
       closeNow(socket);
       return false;
     }
-    if (fault == Fault::Silent) {
+    if (fault == Fault::NoAnswer) {
       char byte;
       boost::system::error_code failed;
       socket.read_some(boost::asio::buffer(&byte, 1), failed);
@@ -150,33 +150,33 @@
 
   bool answerWhole(Tcp::socket& socket, const std::string& id, Fault fault) {
     const std::string body =
-        R"({"id":")" + (fault == Fault::CrossedBody ? "crossed-id" : id) + R"(","text":"hi"})";
+        R"({"id":")" + (fault == Fault::WrongIdInBody ? "crossed-id" : id) + R"(","text":"hi"})";
     const int status = fault == Fault::ServerError ? 500 : (fault == Fault::BadRequest ? 400 : 200);
     std::string text =
-        head(status, "application/json", fault == Fault::CrossedHeader ? "crossed-id" : id);
+        head(status, "application/json", fault == Fault::WrongIdInHeader ? "crossed-id" : id);
     text += fault == Fault::NoFraming ? "\r\n" : lengthOf(body);
-    text += fault == Fault::CutBody ? body.substr(0, 5) : body;
-    text += fault == Fault::Leftover ? "HTTP/1.1 200 OK\r\n" : "";
-    const bool close = fault == Fault::CutBody || fault == Fault::NoFraming;
+    text += fault == Fault::TruncatedBody ? body.substr(0, 5) : body;
+    text += fault == Fault::TrailingBytes ? "HTTP/1.1 200 OK\r\n" : "";
+    const bool close = fault == Fault::TruncatedBody || fault == Fault::NoFraming;
     return finish(socket, text, close);
   }
 
   bool answerStream(Tcp::socket& socket, const std::string& id, Fault fault) {
     std::string text =
-        head(200, "text/event-stream", fault == Fault::CrossedHeader ? "crossed-id" : id) +
+        head(200, "text/event-stream", fault == Fault::WrongIdInHeader ? "crossed-id" : id) +
         "Transfer-Encoding: chunked\r\n\r\n";
     const int events = 3;
     for (int i = 0; i < events; ++i) {
-      const bool crossed = fault == Fault::CrossedBody && i == 1;
+      const bool crossed = fault == Fault::WrongIdInBody && i == 1;
       text += chunk(R"(data: {"id":")" + (crossed ? "crossed-id" : id) + R"(","n":)" +
                     std::to_string(i) + "}\n\n");
-      if (fault == Fault::CutBody && i == 1) {
+      if (fault == Fault::TruncatedBody && i == 1) {
         return finish(socket, text, true);
       }
     }
-    text += fault == Fault::NoEndEvent ? "" : chunk("data: [DONE]\n\n");
-    text += fault == Fault::CutAfterEndEvent ? "" : "0\r\n\r\n";
-    return finish(socket, text, fault == Fault::CutAfterEndEvent);
+    text += fault == Fault::MissingEndEvent ? "" : chunk("data: [DONE]\n\n");
+    text += fault == Fault::MissingLastChunk ? "" : "0\r\n\r\n";
+    return finish(socket, text, fault == Fault::MissingLastChunk);
   }
 
   static std::string head(int status, const std::string& type, const std::string& id) {
--- a/tests/serving/router_test.cpp
+++ b/tests/serving/router_test.cpp
@@ -39,7 +39,7 @@
   BOOST_TEST(hashPromptBlocks("m", large).size() == kMaxPromptBlocks);
 }
 
-BOOST_AUTO_TEST_CASE(the_prefix_table_forgets_the_least_recently_used) {
+BOOST_AUTO_TEST_CASE(the_prefix_table_evicts_the_least_recently_used) {
   PrefixTable table(2);
   table.put(1, "e1");
   table.put(2, "e2");
@@ -52,23 +52,23 @@
   BOOST_TEST(table.size() == 2);
 }
 
-BOOST_AUTO_TEST_CASE(the_longest_warm_prefix_wins) {
+BOOST_AUTO_TEST_CASE(the_engine_with_the_longest_cached_prefix_is_chosen) {
   Router router;
   const std::string common(kPromptBlockBytes, 'a');
   const std::string longer = common + std::string(kPromptBlockBytes, 'b');
   const EngineTable table = makeTable(6);
   RouteQuery first = queryOf(common + "x");
-  const std::string cold = router.choose(table, first, kStart).value().engine;
+  const std::string firstEngine = router.choose(table, first, kStart).value().engine;
   RouteQuery second = queryOf(longer + "y");
-  second.excluded = {cold};
-  const std::string warm = router.choose(table, second, kStart).value().engine;
-  BOOST_TEST(warm != cold);
-  router.finish(cold, EngineVerdict::Healthy, kStart);
-  router.finish(warm, EngineVerdict::Healthy, kStart);
-  BOOST_TEST(router.choose(table, queryOf(longer + "z"), kStart).value().engine == warm);
+  second.excluded = {firstEngine};
+  const std::string cached = router.choose(table, second, kStart).value().engine;
+  BOOST_TEST(cached != firstEngine);
+  router.finish(firstEngine, ExchangeOutcome::Healthy, kStart);
+  router.finish(cached, ExchangeOutcome::Healthy, kStart);
+  BOOST_TEST(router.choose(table, queryOf(longer + "z"), kStart).value().engine == cached);
 }
 
-BOOST_AUTO_TEST_CASE(two_routers_agree_on_a_cold_prompt) {
+BOOST_AUTO_TEST_CASE(two_routers_choose_the_same_engine_for_an_uncached_prompt) {
   const EngineTable table = makeTable(6);
   Router one;
   Router other;
@@ -76,21 +76,21 @@
     const RouteQuery query = queryOf("prompt " + std::to_string(i));
     const std::string engine = one.choose(table, query, kStart).value().engine;
     BOOST_TEST(engine == other.choose(table, query, kStart).value().engine);
-    one.finish(engine, EngineVerdict::Healthy, kStart);
-    other.finish(engine, EngineVerdict::Healthy, kStart);
+    one.finish(engine, ExchangeOutcome::Healthy, kStart);
+    other.finish(engine, ExchangeOutcome::Healthy, kStart);
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_loaded_engine_spills_over_to_the_least_loaded) {
   Router router;
   EngineTable table = makeTable(3);
-  const std::string warm = router.choose(table, queryOf("p"), kStart).value().engine;
+  const std::string cached = router.choose(table, queryOf("p"), kStart).value().engine;
   for (EngineInfo& engine : table.engines) {
-    engine.running = engine.id == warm ? 8 : 1;
+    engine.running = engine.id == cached ? 8 : 1;
   }
-  table.engines[2].running += table.engines[2].id == warm ? 0 : 3;
+  table.engines[2].running += table.engines[2].id == cached ? 0 : 3;
   const std::string other = router.choose(table, queryOf("p"), kStart).value().engine;
-  BOOST_TEST(other != warm);
+  BOOST_TEST(other != cached);
   const auto isChosen = [&other](const EngineInfo& engine) { return engine.id == other; };
   const auto chosen = std::find_if(table.engines.begin(), table.engines.end(), isChosen);
   BOOST_TEST(chosen->running == 1);
@@ -112,19 +112,19 @@
 BOOST_AUTO_TEST_CASE(the_breaker_opens_and_tries_one_call_after_its_pause) {
   Router router;
   const EngineTable table = makeTable(1);
-  for (std::uint32_t i = 0; i < kBreakerFailures; ++i) {
+  for (std::uint32_t i = 0; i < kBreakerFailureThreshold; ++i) {
     BOOST_REQUIRE(router.choose(table, queryOf("p"), kStart));
-    router.finish("e0", EngineVerdict::Faulty, kStart);
+    router.finish("e0", ExchangeOutcome::Faulty, kStart);
   }
   BOOST_TEST(!router.choose(table, queryOf("p"), kStart));
-  const Time trial = kStart + kBreakerFirstPause;
+  const Time trial = kStart + kBreakerInitialOpenDuration;
   BOOST_TEST(router.choose(table, queryOf("p"), trial).has_value());
   BOOST_TEST(!router.choose(table, queryOf("p"), trial));
-  router.finish("e0", EngineVerdict::Faulty, trial);
-  BOOST_TEST(!router.choose(table, queryOf("p"), trial + kBreakerFirstPause));
-  const Time second = trial + 2 * kBreakerFirstPause;
+  router.finish("e0", ExchangeOutcome::Faulty, trial);
+  BOOST_TEST(!router.choose(table, queryOf("p"), trial + kBreakerInitialOpenDuration));
+  const Time second = trial + 2 * kBreakerInitialOpenDuration;
   BOOST_REQUIRE(router.choose(table, queryOf("p"), second));
-  router.finish("e0", EngineVerdict::Healthy, second);
+  router.finish("e0", ExchangeOutcome::Healthy, second);
   BOOST_TEST(router.choose(table, queryOf("p"), second).has_value());
   BOOST_TEST(router.choose(table, queryOf("p"), second).has_value());
 }
--- a/tests/serving/serving_fixture.h
+++ b/tests/serving/serving_fixture.h
@@ -1,9 +1,9 @@
 // The serving path between a caller's socket and tiny engines; the cores are fakes.
 #pragma once
 
+#include "fake_engine.h"
 #include "serving/callers_server.h"
 #include "serving/engine_calls.h"
-#include "tiny_engine.h"
 
 #include <boost/test/unit_test.hpp>
 #include <future>
@@ -54,8 +54,8 @@
  public:
   void acquire(SlotRequest request, std::function<void(Result<SlotGrant>)> done) override {
     lastRequest = request;
-    if (hold.exchange(false)) {
-      held.set_value([this, request, done]() { acquire(request, done); });
+    if (holdNext.exchange(false)) {
+      resumeHeld.set_value([this, request, done]() { acquire(request, done); });
       return;
     }
     if (full) {
@@ -69,8 +69,8 @@
   void release(std::uint64_t grantId) override { ++releases[grantId]; }
 
   std::atomic<bool> full{false};
-  std::atomic<bool> hold{false};             // The next request waits.
-  std::promise<std::function<void()>> held;  // Lets it go on; call on the core thread.
+  std::atomic<bool> holdNext{false};               // The next request waits.
+  std::promise<std::function<void()>> resumeHeld;  // Lets it go on; call on the core thread.
   std::uint64_t granted = 0;
   std::map<std::uint64_t, int> releases;
   SlotRequest lastRequest;
@@ -243,14 +243,14 @@
     engine[1].fail(fault);
   }
   // The engine that a chat call goes to now.
-  TinyEngine& nextEngine() {
+  FakeEngine& nextEngine() {
     const RouteQuery query{"m", hashPromptBlocks("m", "user\nhi\n"), 1.25, {}};
     const std::string chosen = router.choose(*source.engines, query, core.now()).value().engine;
-    router.finish(chosen, EngineVerdict::NotJudged, core.now());
+    router.finish(chosen, ExchangeOutcome::Inconclusive, core.now());
     return engine[chosen == "e0" ? 0 : 1];
   }
 
-  TinyEngine engine[2];
+  FakeEngine engine[2];
   CoreThread core;
   FakeSlots slots;
   FakeBatches batches;
--- a/tests/serving/sse_parser_test.cpp
+++ b/tests/serving/sse_parser_test.cpp
@@ -6,7 +6,7 @@
 
 BOOST_AUTO_TEST_SUITE(sse_parser)
 
-BOOST_AUTO_TEST_CASE(any_split_of_the_bytes_gives_the_same_events) {
+BOOST_AUTO_TEST_CASE(events_do_not_depend_on_the_chunk_size) {
   const std::string bytes = ": note\r\nid: 7\r\ndata: {\"a\":1}\r\n\r\nevent: x\ndata:one\ndata: "
                             "two\n\n\n\ndata: [DONE]\n\n";
   const std::vector<std::string> expected{"{\"a\":1}", "one\ntwo", "[DONE]"};
@@ -34,10 +34,10 @@
   SseParser line(10);
   BOOST_TEST((line.feed("data: 12345", events).error().code == ErrorCode::TooLarge));
   SseParser joined(15);
-  const std::string piece = "data: 123\n";
-  BOOST_REQUIRE(joined.feed(piece, events));
-  BOOST_REQUIRE(joined.feed(piece, events));
-  BOOST_TEST((joined.feed(piece, events).error().code == ErrorCode::TooLarge));
+  const std::string dataLine = "data: 123\n";
+  BOOST_REQUIRE(joined.feed(dataLine, events));
+  BOOST_REQUIRE(joined.feed(dataLine, events));
+  BOOST_TEST((joined.feed(dataLine, events).error().code == ErrorCode::TooLarge));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
