--- a/src/serving/await_core.h
+++ b/src/serving/await_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// Turns a callback interface of a core into a call that suspends the coroutine.
+/// Adapts the callback interfaces of the cores to stackful coroutines.
 #pragma once
 
 #include "serving/core_executor.h"
--- a/src/serving/batch_calls.cpp
+++ b/src/serving/batch_calls.cpp
@@ -30,7 +30,8 @@
   return "unknown";
 }
 
-/// Adds @p text as JSON if it is JSON, else as a string.
+/// Adds @p text as the member `body`: as JSON if it is a JSON object, else as a string; null if
+/// empty.
 void addBody(cJSON* object, const std::string& text) {
   if (text.empty()) {
     cJSON_AddNullToObject(object, "body");
@@ -41,14 +42,14 @@
   }
 }
 
-/// Checks one item and adds it to @p submission.
+/// Adds one item to @p submission after checking the limits on item count and size.
 Status addItem(std::string body, const EffectiveSettings& settings, BatchSubmission& submission) {
   const std::string position = std::to_string(submission.items.size());
   if (submission.items.size() >= settings.maxBatchItems) {
     return makeError(ErrorCode::TooLarge, "more items than max_batch_items");
   }
   if (body.size() > settings.maxBodyBytes) {
-    return makeError(ErrorCode::TooLarge, "items[" + position + "] is over max_body_bytes");
+    return makeError(ErrorCode::TooLarge, "items[" + position + "] exceeds max_body_bytes");
   }
   submission.items.push_back(std::move(body));
   return okStatus();
--- a/src/serving/batch_calls.h
+++ b/src/serving/batch_calls.h
@@ -1,5 +1,5 @@
 /// @file
-/// The HTTP form of the batch calls (docs/API.md).
+/// HTTP handlers of the batch API (docs/API.md).
 #pragma once
 
 #include "batch/batch_client.h"
@@ -8,21 +8,21 @@
 
 namespace shedshed {
 
-/// Largest page of results or unfinished items.
+/// Most results or unfinished items in one page.
 inline constexpr std::uint32_t kMaxBatchPageSize = 1000;
 
 /// Longest client key, in bytes.
 inline constexpr std::size_t kMaxClientKeyBytes = 256;
 
-/// Reads a batch from @p call's body, JSON or NDJSON, under the tenant's bounds. Fails with
-/// `InvalidArgument` or `TooLarge`; the detail names the item.
+/// Parses the body of @p call, JSON or NDJSON, and enforces the tenant's limits. Fails with
+/// `InvalidArgument` or `TooLarge`; the detail names the invalid item or member.
 Result<BatchSubmission> parseBatchSubmission(const CallContext& call);
 
 std::string batchStatusJson(const BatchStatus& status);
 std::string resultPageJson(const ResultPage& page);
 std::string unfinishedItemsJson(const std::vector<UnfinishedItem>& items);
 
-/// Answers the batch calls.
+/// Handles the batch calls and passes all other calls on.
 class BatchCallFilter : public CallFilter {
  public:
   explicit BatchCallFilter(ServingServices& services) : services_(services) {}
--- a/src/serving/call_abort.h
+++ b/src/serving/call_abort.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tells the steps of one call that its caller has gone.
+/// Cancellation of a call whose caller has disconnected.
 #pragma once
 
 #include <functional>
@@ -7,10 +7,11 @@
 
 namespace shedshed {
 
-/// Set once, when the caller drops. Used on the strand of the call only.
+/// Cancellation signal of one call, raised at most once, when the caller disconnects. Must be used
+/// on the strand of the call only.
 class CallAbort {
  public:
-  /// Marks the call as dropped and stops what it waits for.
+  /// Marks the call as aborted and cancels the operation that it waits for.
   void abort() {
     aborted_ = true;
     if (stop_) {
@@ -20,7 +21,7 @@
 
   bool aborted() const { return aborted_; }
 
-  /// While it lives, `abort` calls @p stop (at most once).
+  /// Registers @p stop for its lifetime; `abort` calls it at most once.
   class Scope {
    public:
     Scope(CallAbort& abort, std::function<void()> stop) : abort_(abort) {
--- a/src/serving/call_context.h
+++ b/src/serving/call_context.h
@@ -1,5 +1,5 @@
 /// @file
-/// One caller's call on its way through the filters.
+/// State of one call while it passes through the filter chain.
 #pragma once
 
 #include "serving/call_abort.h"
@@ -15,7 +15,7 @@
 
 namespace shedshed {
 
-/// What a path asks for.
+/// The endpoint that a request target names.
 enum class CallKind {
   Unknown,
   ChatCompletion,
@@ -34,10 +34,10 @@
   CallKind kind = CallKind::Unknown;
   std::string batchId;
   std::uint64_t from = 0;
-  std::uint32_t limit = 0;  ///< 0 if the target names none.
+  std::uint32_t limit = 0;  ///< 0 if the query has no limit.
 };
 
-/// A call as it came in.
+/// A parsed HTTP request of a caller.
 struct CallRequest {
   std::string requestId;
   CallTarget target;
@@ -48,7 +48,7 @@
   std::string body;
 };
 
-/// The state of a call. Used on its strand only.
+/// The state of a call. Must be used on the strand of the call only.
 struct CallContext {
   CallContext(const ServingStrand& callStrand, EventSink& eventSink)
       : strand(callStrand), events(eventSink) {}
@@ -63,8 +63,8 @@
   EffectiveSettings settings;  ///< Set by the settings filter.
   SlotLease slot;              ///< Set by the slot filter.
 
-  HttpAnswer answer;      ///< Set by the filter that answers.
-  bool streamed = false;  ///< The answer went to `events`, and is whole.
+  HttpAnswer answer;      ///< Set by the filter that ends the chain.
+  bool streamed = false;  ///< The complete answer was sent through `events`.
 };
 
 }  // namespace shedshed
--- a/src/serving/call_filter.h
+++ b/src/serving/call_filter.h
@@ -1,5 +1,5 @@
 /// @file
-/// The chain of filters that a call passes. Each may answer it or let it pass.
+/// Chain of responsibility: each filter answers a call, rejects it or passes it on.
 #pragma once
 
 #include "kernel/error.h"
@@ -11,28 +11,28 @@
 
 namespace shedshed {
 
-/// What follows a filter.
+/// How the chain proceeds after a filter.
 enum class FilterStep {
-  Continue,  ///< The next filter.
-  Answered,  ///< `CallContext::answer` or the event sink has the whole answer.
+  Continue,  ///< Apply the next filter.
+  Answered,  ///< `CallContext::answer` or the event sink has the complete answer.
 };
 
-/// An error ends the chain and is sent as the call's answer.
+/// An error ends the chain and is sent to the caller as the answer.
 using FilterStatus = Result<FilterStep>;
 
-/// One step of the chain. Shared by all calls, so it keeps no state of a call.
+/// One step of the chain. Shared by all calls, so it must keep no per-call state.
 class CallFilter {
  public:
   virtual ~CallFilter() = default;
   virtual FilterStatus apply(CallContext& call, boost::asio::yield_context yield) = 0;
 };
 
-/// Filters in order.
+/// An ordered list of filters.
 class FilterChain {
  public:
   void add(std::unique_ptr<CallFilter> filter) { filters_.push_back(std::move(filter)); }
 
-  /// Runs the filters until one answers or fails. `NotFound` if none does.
+  /// Applies the filters until one answers or fails. Fails with `NotFound` if none does.
   FilterStatus apply(CallContext& call, boost::asio::yield_context yield) const {
     for (const auto& filter : filters_) {
       FilterStatus status = filter->apply(call, yield);
@@ -40,7 +40,7 @@
         return status;
       }
     }
-    return makeError(ErrorCode::NotFound, "no such call");
+    return makeError(ErrorCode::NotFound, "no such endpoint");
   }
 
  private:
--- a/src/serving/call_filters.cpp
+++ b/src/serving/call_filters.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 Error noVerifiedConfiguration() {
-  return makeError(ErrorCode::NotReady, "no configuration has been proved yet");
+  return makeError(ErrorCode::NotReady, "no configuration has been verified yet");
 }
 
 SlotRequest makeSlotRequest(const CallContext& call) {
@@ -27,7 +27,7 @@
 
 std::string describeSlot(const SlotGrant::Slot& slot) {
   const std::string pool = slot.pool.limiter + " " + slot.pool.key;
-  return slot.withoutSlot ? pool + ": no store answered, fails open"
+  return slot.withoutSlot ? pool + ": no store answered, admitted without a slot (fail open)"
                           : pool + ": number " + std::to_string(slot.number);
 }
 
@@ -71,7 +71,7 @@
   const CallKind kind = call.request.target.kind;
   call.settings = tree->effective(call.tenant, settingsRoute(kind));
   if (kind == CallKind::ChatCompletion && call.request.body.size() > call.settings.maxBodyBytes) {
-    return makeError(ErrorCode::TooLarge, "the body is over max_body_bytes");
+    return makeError(ErrorCode::TooLarge, "the body exceeds max_body_bytes");
   }
   return FilterStep::Continue;
 }
@@ -80,7 +80,7 @@
   const CallKind kind = call.request.target.kind;
   const bool newWork = kind == CallKind::ChatCompletion || kind == CallKind::BatchSubmit;
   if (newWork && services_.draining.load()) {
-    return makeError(ErrorCode::Draining, "this node takes no new calls");
+    return makeError(ErrorCode::Draining, "this node is draining and accepts no new calls");
   }
   return FilterStep::Continue;
 }
@@ -99,7 +99,7 @@
   call.slot = SlotLease(services_.core, services_.slots, grant.value().grantId);
   if (call.abort.aborted()) {
     call.slot.release();
-    return makeError(ErrorCode::Cancelled, "the caller has gone");
+    return makeError(ErrorCode::Cancelled, "the caller has disconnected");
   }
   return FilterStep::Continue;
 }
@@ -133,7 +133,8 @@
   chain.add(std::make_unique<TenantSettingsFilter>(services));
   chain.add(std::make_unique<DrainFilter>(services));
   chain.add(std::make_unique<SlotFilter>(services));
-  // The wait for a slot may be long: the key and the configuration are proved anew.
+  // The wait for a slot may be long: the key may have been withdrawn and the lease on the
+  // configuration may have expired, so both are checked again.
   chain.add(std::make_unique<ApiKeyFilter>(services));
   chain.add(std::make_unique<SettingsLeaseFilter>(services));
   chain.add(std::make_unique<ForwardFilter>(services));
--- a/src/serving/call_filters.h
+++ b/src/serving/call_filters.h
@@ -1,5 +1,5 @@
 /// @file
-/// The filters, in the order in which the chains apply them.
+/// Filters of the serving path, declared in the order in which the chains apply them.
 #pragma once
 
 #include "serving/call_filter.h"
@@ -7,14 +7,14 @@
 
 namespace shedshed {
 
-/// Checks the body of a chat completion and reads what routing needs.
+/// Validates the body of a chat completion and extracts the members that routing needs.
 class ChatSyntaxFilter : public CallFilter {
  public:
   FilterStatus apply(CallContext& call, boost::asio::yield_context yield) override;
 };
 
-/// Finds the tenant of the bearer key in the settings in force, anew for every call, so that a
-/// withdrawn key stops to work on connections that are open.
+/// Authenticates the call: looks up the tenant of the bearer key in the current settings. The
+/// lookup is repeated for every call, so that a withdrawn key is rejected on open connections too.
 class ApiKeyFilter : public CallFilter {
  public:
   explicit ApiKeyFilter(ServingServices& services) : services_(services) {}
@@ -24,7 +24,7 @@
   ServingServices& services_;
 };
 
-/// Refuses calls while the node is not proved to hold the current configuration.
+/// Rejects calls while the node's freshness lease on the configuration has expired.
 class SettingsLeaseFilter : public CallFilter {
  public:
   explicit SettingsLeaseFilter(ServingServices& services) : services_(services) {}
@@ -34,8 +34,8 @@
   ServingServices& services_;
 };
 
-/// Loads the tenant's settings for the route and applies the tenant's bound on the body of a chat
-/// completion.
+/// Loads the tenant's settings for the route and enforces the tenant's size limit on the body of a
+/// chat completion.
 class TenantSettingsFilter : public CallFilter {
  public:
   explicit TenantSettingsFilter(ServingServices& services) : services_(services) {}
@@ -45,7 +45,7 @@
   ServingServices& services_;
 };
 
-/// Refuses new work while the node drains. Reads and cancels of batches pass.
+/// Rejects new work while the node is draining. Reads and cancellations of batches are allowed.
 class DrainFilter : public CallFilter {
  public:
   explicit DrainFilter(ServingServices& services) : services_(services) {}
@@ -55,7 +55,7 @@
   ServingServices& services_;
 };
 
-/// Takes a numbered slot of the tenant's pool.
+/// Acquires a slot of the tenant's pool.
 class SlotFilter : public CallFilter {
  public:
   explicit SlotFilter(ServingServices& services) : services_(services) {}
@@ -65,8 +65,8 @@
   ServingServices& services_;
 };
 
-/// Routes the call to an engine and forwards the answer. Gives the slot back as soon as the engine
-/// is done, before a slow caller has taken the whole answer.
+/// Routes the call to an engine and forwards the answer. Releases the slot as soon as the engine
+/// has finished, so that a slow caller does not hold it while it reads the answer.
 class ForwardFilter : public CallFilter {
  public:
   explicit ForwardFilter(ServingServices& services) : services_(services) {}
@@ -76,10 +76,10 @@
   ServingServices& services_;
 };
 
-/// The chain of chat completions.
+/// Builds the filter chain for chat completions.
 FilterChain makeChatChain(ServingServices& services);
 
-/// The chain of the batch calls.
+/// Builds the filter chain for batch calls.
 FilterChain makeBatchChain(ServingServices& services);
 
 }  // namespace shedshed
--- a/src/serving/call_journal.h
+++ b/src/serving/call_journal.h
@@ -1,5 +1,5 @@
 /// @file
-/// What was decided about each call, for operators.
+/// Records the decisions taken for each call, so that operators can look them up.
 #pragma once
 
 #include "kernel/time.h"
@@ -8,22 +8,22 @@
 
 namespace shedshed {
 
-/// Takes notes of decisions. Thread-safe; called on the serving path, so it must be quick.
+/// Receives the decisions of the serving path. Implementations must be thread-safe and fast: they
+/// run within each call.
 class CallJournal {
  public:
   virtual ~CallJournal() = default;
 
-  /// Notes that @p step was taken for the call with @p requestId. @p detail never holds a body or
-  /// a key.
+  /// Records @p step of the call @p requestId. @p detail must not contain a body or an API key.
   virtual void record(const std::string& requestId, const char* step, std::string detail) = 0;
 };
 
-/// Forgets everything.
+/// Discards all records.
 class NullCallJournal : public CallJournal {
  public:
   void record(const std::string&, const char*, std::string) override {}
 
-  /// The one object; it has no state.
+  /// Returns the shared instance, which is stateless.
   static NullCallJournal& instance() {
     static NullCallJournal journal;
     return journal;
--- a/src/serving/call_target.h
+++ b/src/serving/call_target.h
@@ -1,5 +1,5 @@
 /// @file
-/// Parsing of the callers' request targets.
+/// Parsing of the request targets of calls.
 #pragma once
 
 #include "kernel/error.h"
@@ -9,11 +9,11 @@
 
 namespace shedshed {
 
-/// Parses @p target, path and query. Fails with `InvalidArgument` for a malformed query; a path
-/// that does not exist, or not with @p method, gives `CallKind::Unknown`.
+/// Parses the path and the query of @p target. Fails with `InvalidArgument` for a malformed query.
+/// An unknown path, or a path that does not support @p method, gives `CallKind::Unknown`.
 Result<CallTarget> parseCallTarget(std::string_view method, std::string_view target);
 
-/// The route under which settings are looked up.
+/// Returns the route under which the settings of calls of @p kind are looked up.
 const char* settingsRoute(CallKind kind);
 
 }  // namespace shedshed
--- a/src/serving/caller_connection.cpp
+++ b/src/serving/caller_connection.cpp
@@ -21,7 +21,7 @@
 
 using Parser = http::request_parser<http::string_body>;
 
-/// Counts something for as long as it lives.
+/// Increments a counter for the duration of a scope.
 class ScopedCount {
  public:
   explicit ScopedCount(std::atomic<std::size_t>& count) : count_(count) { ++count_; }
@@ -45,7 +45,7 @@
   return std::string(value.substr(kBearer.size()));
 }
 
-/// Reads what the header says. Fails for a malformed target.
+/// Fills @p request from the header. Fails for a malformed target.
 Status parseHeader(const Parser& parser, CallRequest& request) {
   const auto& message = parser.get();
   const auto target = parseCallTarget(toView(message.method_string()), toView(message.target()));
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-/// One call of a connection, from its first byte to the end of its answer.
+/// One request and its answer.
 class CallerConnection::Exchange {
  public:
   Exchange(CallerConnection& connection, boost::beast::flat_buffer& buffer)
@@ -80,23 +80,28 @@
     writer_.setRequestId(call_.request.requestId);
   }
 
-  /// Serves the call; false if the connection must be closed.
+  /// Serves the call. Returns false if the connection must be closed.
   bool serve(net::yield_context yield);
 
  private:
   bool waitForFirstByte(net::yield_context yield);
   bool readRequestHeader(net::yield_context yield);
   bool readRequestBody(net::yield_context yield);
-  /// The bound on the body, after the key has been checked: nobody else may send a large one.
+  /// Authenticates the caller and returns the size limit of the body, so that unauthenticated
+  /// callers cannot send large bodies.
   Result<std::uint64_t> bodyLimit() const;
+  /// Rejects the call. Reads a small body first, so that the connection can be kept open.
   bool refuseBeforeBody(const Error& error, net::yield_context yield);
   bool answer(net::yield_context yield);
-  /// A node that drains closes each connection with its answer: the next call goes elsewhere.
+  /// A draining node closes each connection after the answer, so that the caller's next call goes
+  /// to another node.
   bool shouldKeepAlive() const { return parser_.keep_alive() && !shared_.services.draining.load(); }
   void answerPublicEndpoint();
   FilterStatus applyFilters(net::yield_context yield);
   bool finish(const FilterStatus& status, net::yield_context yield);
   bool finishStream(const FilterStatus& status, net::yield_context yield);
+  /// Sends FIN, then discards input for a limited time: closing a socket with unread input sends
+  /// RST, which could discard the answer before the caller has read it.
   void lingeringClose(net::yield_context yield);
   void observeFirstEvent();
   void count(const FilterStatus& status);
@@ -110,7 +115,7 @@
   CallContext call_;
   Time startedAt_{};
   std::optional<Error> requestError_;
-  bool framingLost_ = false;  ///< Where the call ends on the connection is not known.
+  bool framingLost_ = false;  ///< The end of the request cannot be located in the stream.
 };
 
 bool CallerConnection::Exchange::serve(net::yield_context yield) {
@@ -130,14 +135,16 @@
   }
   const auto length = parser_.content_length();
   if (length && *length > limit.value()) {
-    return refuseBeforeBody(makeError(ErrorCode::TooLarge, "the body is over its bound"), yield);
+    return refuseBeforeBody(
+        makeError(ErrorCode::TooLarge, "the request body exceeds its size limit"), yield);
   }
   parser_.body_limit(limit.value());
   std::optional<ScopedCount> upload;
   if (call_.request.target.kind == CallKind::BatchSubmit) {
     upload.emplace(shared_.batchUploads);
     if (shared_.batchUploads > shared_.limits.maxBatchUploads) {
-      return refuseBeforeBody(makeError(ErrorCode::NotReady, "too many batches at once"), yield);
+      return refuseBeforeBody(makeError(ErrorCode::NotReady, "too many batch uploads in progress"),
+                              yield);
     }
   }
   if (!readRequestBody(yield)) {
@@ -169,7 +176,8 @@
   deadline.disarm();
   if (failed == http::error::header_limit || failed == http::error::body_limit) {
     framingLost_ = true;
-    requestError_ = makeError(ErrorCode::TooLarge, "the header or the body is over its bound");
+    requestError_ =
+        makeError(ErrorCode::TooLarge, "the request header or body exceeds its size limit");
     return true;
   }
   const bool malformed =
@@ -192,14 +200,14 @@
 Result<std::uint64_t> CallerConnection::Exchange::bodyLimit() const {
   const CallKind kind = call_.request.target.kind;
   if (kind == CallKind::Unknown) {
-    return makeError(ErrorCode::NotFound, "no such call");
+    return makeError(ErrorCode::NotFound, "no such endpoint");
   }
   if (isPublicEndpoint(kind)) {
     return std::uint64_t{0};
   }
   const auto tree = shared_.services.settings.read();
   if (tree == nullptr) {
-    return makeError(ErrorCode::NotReady, "no configuration has been proved yet");
+    return makeError(ErrorCode::NotReady, "no configuration has been verified yet");
   }
   const auto tenant = tree->tenantOfKey(call_.request.bearerKey);
   if (call_.request.bearerKey.empty() || !tenant) {
@@ -228,7 +236,7 @@
   deadline.disarm();
   if (failed == http::error::body_limit) {
     framingLost_ = true;
-    requestError_ = makeError(ErrorCode::TooLarge, "the body is over its bound");
+    requestError_ = makeError(ErrorCode::TooLarge, "the request body exceeds its size limit");
     return true;
   }
   return !failed;
@@ -311,9 +319,9 @@
   if (status && call_.streamed) {
     return writer_.endStream(yield) && shouldKeepAlive();
   }
-  const Error error =
-      status ? makeError(ErrorCode::ResponseTruncated, "the stream broke", Ran::Unknown)
-             : status.error();
+  const Error error = status ? makeError(ErrorCode::ResponseTruncated,
+                                         "the stream ended without a complete answer", Ran::Unknown)
+                             : status.error();
   writer_.failStream(error, yield);
   return false;
 }
--- a/src/serving/caller_connection.h
+++ b/src/serving/caller_connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// One connection of a caller.
+/// Serves the HTTP calls of one caller connection.
 #pragma once
 
 #include "serving/call_filter.h"
@@ -13,7 +13,7 @@
 
 namespace shedshed {
 
-/// What all connections of one server share.
+/// State shared by all connections of one server.
 struct CallersServerState {
   ServingServices& services;
   CallerLimits limits;
@@ -35,7 +35,7 @@
   CallerConnection(const CallerConnection&) = delete;
   CallerConnection& operator=(const CallerConnection&) = delete;
 
-  /// Returns when the connection is to be closed.
+  /// Serves calls until the connection must be closed.
   void run(boost::asio::yield_context yield);
 
  private:
--- a/src/serving/caller_watch.h
+++ b/src/serving/caller_watch.h
@@ -1,5 +1,5 @@
 /// @file
-/// Notices that a caller drops its connection while the tier works for it.
+/// Detects that a caller disconnects while its call is being served.
 #pragma once
 
 #include "serving/call_abort.h"
@@ -11,9 +11,9 @@
 
 namespace shedshed {
 
-/// While it lives, a closed or reset connection aborts the call. Bytes of a next request stay
-/// unread; once there are some, only a failing write shows that the caller has gone. The socket's
-/// executor must be the strand of the call.
+/// Aborts the call when the connection is closed or reset during the lifetime of this object. Bytes
+/// of a pipelined request stay unread; once there are any, a disconnect is detected only by a
+/// failed write. The socket's executor must be the strand of the call.
 class CallerWatch {
  public:
   CallerWatch(boost::asio::ip::tcp::socket& socket, CallAbort& abort, ServingCounters& counters)
--- a/src/serving/caller_writer.cpp
+++ b/src/serving/caller_writer.cpp
@@ -57,7 +57,7 @@
 Status CallerWriter::onEvents(const std::vector<std::string>& events,
                               boost::asio::yield_context yield) {
   const auto callerUnreachable = [] {
-    return makeError(ErrorCode::Cancelled, "the caller cannot be reached", Ran::Unknown);
+    return makeError(ErrorCode::Cancelled, "the caller has disconnected", Ran::Unknown);
   };
   if (!streamStarted_ && !startStream(yield)) {
     return callerUnreachable();
--- a/src/serving/caller_writer.h
+++ b/src/serving/caller_writer.h
@@ -12,8 +12,8 @@
 
 namespace shedshed {
 
-/// Writes the answer to one call. Every write is bounded in time; a caller that does not read is
-/// dropped.
+/// Writes the answer to one call. Every write has a time-out, after which the connection is closed,
+/// so that a caller that does not read cannot block the call.
 class CallerWriter : public EventSink {
  public:
   CallerWriter(boost::asio::ip::tcp::socket& socket, const ServingStrand& strand,
@@ -22,13 +22,13 @@
 
   void setRequestId(std::string requestId) { requestId_ = std::move(requestId); }
 
-  /// Called when the first event is about to be sent.
+  /// Sets a callback that runs before the first event is sent.
   void onFirstEvent(std::function<void()> callback) { onFirstEvent_ = std::move(callback); }
 
-  /// Writes a whole answer. False if the caller cannot be reached.
+  /// Writes a complete answer. Returns false if the write failed.
   bool writeAnswer(const HttpAnswer& answer, bool keepAlive, boost::asio::yield_context yield);
 
-  /// Asks for the body that the caller holds back (`Expect: 100-continue`).
+  /// Sends the interim response to `Expect: 100-continue`.
   bool writeContinue(boost::asio::yield_context yield);
 
   /// Sends events as `id: N`, `data: …`, numbered from 0; starts the stream if needed.
@@ -41,10 +41,11 @@
   /// Number of events sent.
   std::uint64_t eventCount() const { return nextEvent_; }
 
-  /// Ends a whole stream with the last chunk.
+  /// Ends a complete stream with the last chunk.
   bool endStream(boost::asio::yield_context yield);
 
-  /// Sends the error event. The caller must then close the connection, without the last chunk.
+  /// Sends an error event. The connection must then be closed without the last chunk, so that the
+  /// caller cannot take the stream for complete.
   bool failStream(const Error& error, boost::asio::yield_context yield);
 
  private:
--- a/src/serving/callers_server.cpp
+++ b/src/serving/callers_server.cpp
@@ -11,7 +11,7 @@
 namespace net = boost::asio;
 using boost::system::error_code;
 
-/// Pause after a failed accept, for example while no file descriptor is free.
+/// Delay before the next accept after a failed one, for example while no file descriptor is free.
 constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 
 Result<net::ip::tcp::endpoint> parseListenAddress(const std::string& address) {
--- a/src/serving/callers_server.h
+++ b/src/serving/callers_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// The callers' HTTP server.
+/// HTTP server of the callers' address.
 #pragma once
 
 #include "serving/caller_connection.h"
@@ -12,10 +12,10 @@
 
 namespace shedshed {
 
-/// Accepts callers' connections and serves them on the serving threads.
+/// Accepts caller connections and serves them on the serving threads.
 ///
-/// To stop without losing a call: `setDraining(true)`, `stopAccepting`, wait for `notifyWhenIdle`,
-/// stop the serving threads, destroy the server.
+/// Graceful shutdown: `setDraining(true)`, `stopAccepting`, wait for `notifyWhenIdle`, stop the
+/// serving threads, destroy the server.
 class CallersServer {
  public:
   /// @p address is "a.b.c.d:port"; port 0 lets the system choose. @p services must outlive the
@@ -26,19 +26,19 @@
   /// bound.
   Status start();
 
-  /// The port that is listened on.
+  /// Returns the listening port.
   std::uint16_t port() const;
 
-  /// Refuses new work (and fails `/readyz`) while @p draining; calls that run go on.
+  /// While @p draining, rejects new work and fails `/readyz`. Calls in progress are completed.
   void setDraining(bool draining);
 
-  /// Closes the listening socket. Connections stay open. Any thread.
+  /// Closes the listening socket. Connections stay open. Thread-safe.
   void stopAccepting();
 
-  /// Calls that are being served now. Any thread.
+  /// Returns the number of calls in progress. Thread-safe.
   std::size_t activeCalls() const { return shared_->activeCalls; }
 
-  /// Calls @p callback once on the core thread, when no call is being served. Any thread.
+  /// Calls @p callback once on the core thread when no call is in progress. Thread-safe.
   void notifyWhenIdle(std::function<void()> callback);
 
  private:
@@ -49,7 +49,7 @@
   ServingServices& services_;
   std::string address_;
   std::unique_ptr<CallersServerState> shared_;
-  ServingStrand strand_;  ///< Of the acceptor.
+  ServingStrand strand_;  ///< Strand of the acceptor.
   boost::asio::ip::tcp::acceptor acceptor_;
   std::mutex idleMutex_;
   std::function<void()> idleCallback_;
--- a/src/serving/chat_request.cpp
+++ b/src/serving/chat_request.cpp
@@ -5,8 +5,8 @@
 namespace shedshed {
 namespace {
 
-/// Appends one message to the prompt text, its role first, so that equal prefixes of
-/// conversations are equal prefixes of the text.
+/// Appends the role and the content of a message, so that conversations with a common prefix give
+/// prompt texts with a common prefix.
 void appendMessage(const cJSON* message, std::string& prompt) {
   const char* role = cJSON_GetStringValue(cJSON_GetObjectItemCaseSensitive(message, "role"));
   const cJSON* content = cJSON_GetObjectItemCaseSensitive(message, "content");
--- a/src/serving/chat_request.h
+++ b/src/serving/chat_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the tier reads from the body of a chat completion request.
+/// Parsing of chat completion requests.
 #pragma once
 
 #include "kernel/error.h"
@@ -11,14 +11,14 @@
 
 namespace shedshed {
 
-/// The parts of a request that decide its way. The body itself goes to the engine as it came.
+/// The members of a request that routing needs. The body is forwarded to the engine unchanged.
 struct ChatRequest {
   std::string model;
   bool stream = false;
   std::vector<BlockHash> prompt;  ///< Block hashes of the concatenated messages.
 };
 
-/// Checks @p body and reads it. Fails with `InvalidArgument`; the detail names the member.
+/// Validates and parses @p body. Fails with `InvalidArgument`; the detail names the member.
 Result<ChatRequest> parseChatRequest(std::string_view body);
 
 /// Returns @p body with `stream` set to false. Fails with `InvalidArgument`.
--- a/src/serving/circuit_breaker.h
+++ b/src/serving/circuit_breaker.h
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps calls away from an engine that has just failed several times.
+/// Circuit breaker that stops calls to an engine after consecutive failures.
 #pragma once
 
 #include "kernel/time.h"
@@ -11,25 +11,25 @@
 /// Consecutive failures that open a breaker.
 inline constexpr std::uint32_t kBreakerFailureThreshold = 3;
 
-/// First pause of an open breaker; doubles with each failed trial.
+/// Time that a breaker first stays open; doubles with each failed trial call.
 inline constexpr Duration kBreakerInitialOpenDuration = std::chrono::seconds(1);
 
-/// Longest pause of an open breaker.
+/// Upper limit of the time that a breaker stays open.
 inline constexpr Duration kBreakerMaxOpenDuration = std::chrono::seconds(30);
 
-/// Circuit breaker of one engine: closed, open for a pause, then half-open for one trial call.
+/// Circuit breaker of one engine: closed, open for a time, then half-open for one trial call.
 class CircuitBreaker {
  public:
-  /// True if a call may be sent at @p now.
+  /// Returns true if a call may be sent at @p now.
   bool allows(Time now) const;
 
-  /// Notes that a call was sent. Past the pause it is the one trial.
+  /// Records that a call was sent. In the half-open state it is the trial call.
   void onStarted(Time now);
 
   void onSucceeded();
   void onFailed(Time now);
 
-  /// Notes that a call ended without telling anything of the engine's health.
+  /// Records that a call ended without evidence about the engine's health.
   void onInconclusive() { trialInFlight_ = false; }
 
  private:
--- a/src/serving/core_executor.h
+++ b/src/serving/core_executor.h
@@ -1,5 +1,5 @@
 /// @file
-/// How the serving threads reach the core thread of the host.
+/// Interface through which the serving threads post tasks to the core thread.
 #pragma once
 
 #include "kernel/time.h"
@@ -8,15 +8,16 @@
 
 namespace shedshed {
 
-/// Runs tasks on the thread that runs the node's cores. Any thread may call it.
+/// Runs tasks on the thread that runs the node's cores. Thread-safe.
 class CoreExecutor {
  public:
   virtual ~CoreExecutor() = default;
 
-  /// Runs @p task once on the core thread, after this call returns or at once on another thread.
+  /// Queues @p task to run once on the core thread. On the core thread itself the task runs after
+  /// this call has returned; on other threads it may run earlier.
   virtual void post(std::function<void()> task) = 0;
 
-  /// The present time on the clock that the cores see.
+  /// Returns the current time of the clock that the cores use.
   virtual Time now() const = 0;
 };
 
--- a/src/serving/engine_answer_readers.cpp
+++ b/src/serving/engine_answer_readers.cpp
@@ -9,7 +9,8 @@
 
 Error idMismatch(const char* where) {
   return makeError(ErrorCode::ResponseMismatch,
-                   std::string("another request's id in the answer's ") + where, Ran::Unknown);
+                   std::string("request id mismatch in the engine's response ") + where,
+                   Ran::Unknown);
 }
 
 Status checkHeaderId(const EngineHttpHeader& header, const std::string& requestId) {
@@ -23,7 +24,8 @@
 Status checkBodyId(std::string_view text, const std::string& requestId) {
   const Result<JsonDocument> document = parseBodyObject(text);
   if (!document) {
-    return makeError(ErrorCode::EngineFailed, "the engine's answer is not JSON", Ran::Unknown);
+    return makeError(ErrorCode::EngineFailed, "the engine's response is not a JSON object",
+                     Ran::Unknown);
   }
   if (textMember(document.value().root(), "id") != requestId) {
     return idMismatch("body");
@@ -40,7 +42,7 @@
 
 Status WholeAnswerReader::onBody(std::string_view bytes, boost::asio::yield_context) {
   if (body_.size() + bytes.size() > kMaxWholeAnswerBytes) {
-    return makeError(ErrorCode::EngineFailed, "the engine's answer is over its bound",
+    return makeError(ErrorCode::EngineFailed, "the engine's response exceeds the size limit",
                      Ran::Unknown);
   }
   body_.append(bytes);
@@ -61,7 +63,8 @@
     return refusal_.onHeader(header);
   }
   if (!header.eventStream) {
-    return makeError(ErrorCode::EngineFailed, "the engine answered a stream with another type",
+    return makeError(ErrorCode::EngineFailed,
+                     "the engine's response to a streaming request is not an event stream",
                      Ran::Unknown);
   }
   return okStatus();
@@ -99,7 +102,8 @@
 
 Status StreamAnswerReader::checkEvent(const std::string& event) {
   if (endEventReceived_) {
-    return makeError(ErrorCode::EngineFailed, "an event after the end of the stream", Ran::Unknown);
+    return makeError(ErrorCode::EngineFailed, "event received after the end of the stream",
+                     Ran::Unknown);
   }
   if (event == kEndOfStream) {
     endEventReceived_ = true;
--- a/src/serving/engine_answer_readers.h
+++ b/src/serving/engine_answer_readers.h
@@ -1,5 +1,5 @@
 /// @file
-/// Checks an engine's answer while it arrives: it must belong to the request and be whole.
+/// Validates engine answers while they are received: request id, completeness and size.
 #pragma once
 
 #include "serving/engine_connection.h"
@@ -10,23 +10,23 @@
 
 namespace shedshed {
 
-/// Takes the checked events of a streamed answer.
+/// Receives the validated events of a streamed answer.
 class EventSink {
  public:
   virtual ~EventSink() = default;
 
-  /// Sends @p events on to the caller, in order. An error means that the caller cannot be reached.
+  /// Forwards @p events to the caller, in order. Fails if the caller has disconnected.
   virtual Status onEvents(const std::vector<std::string>& events,
                           boost::asio::yield_context yield) = 0;
 };
 
-/// Data of the event that ends a stream.
+/// Data of the last event of a stream.
 inline constexpr const char* kEndOfStream = "[DONE]";
 
-/// Largest whole answer, in bytes.
+/// Largest answer that is not streamed, in bytes.
 inline constexpr std::size_t kMaxWholeAnswerBytes = 32U << 20U;
 
-/// Collects a whole answer.
+/// Buffers an answer that is not streamed.
 class WholeAnswerReader : public EngineAnswerReader {
  public:
   explicit WholeAnswerReader(std::string requestId) : requestId_(std::move(requestId)) {}
@@ -34,7 +34,7 @@
   Status onHeader(const EngineHttpHeader& header) override;
   Status onBody(std::string_view bytes, boost::asio::yield_context yield) override;
 
-  /// Checks the finished answer: a 200 must carry the request's id in its body.
+  /// Validates the complete answer: a body with status 200 must contain the request id.
   Status finish() const;
 
   int status() const { return status_; }
@@ -46,8 +46,8 @@
   std::string body_;
 };
 
-/// Hands a streamed answer on, event by event. The end event is held back until `finish`, so that
-/// a caller sees it only if the engine's framing ended too.
+/// Forwards a streamed answer event by event. The end event is buffered until `finish`, so that the
+/// caller receives it only after the engine has completed the HTTP message too.
 class StreamAnswerReader : public EngineAnswerReader {
  public:
   StreamAnswerReader(std::string requestId, EventSink& sink)
@@ -56,15 +56,15 @@
   Status onHeader(const EngineHttpHeader& header) override;
   Status onBody(std::string_view bytes, boost::asio::yield_context yield) override;
 
-  /// Checks that the stream ended with its end event, and hands that on. For an answer that is not
-  /// a stream, see `refused`.
+  /// Checks that the stream ended with its end event and forwards that event. If `refused`,
+  /// validates the buffered answer instead.
   Status finish(boost::asio::yield_context yield);
 
-  /// True if the engine answered with a status other than 200; `refusal` has the answer.
+  /// True if the engine answered with a status other than 200; `refusal` holds that answer.
   bool refused() const { return refused_; }
   WholeAnswerReader& refusal() { return refusal_; }
 
-  /// True if anything may have reached the caller.
+  /// True if any event may have reached the caller.
   bool forwarded() const { return forwarded_; }
 
  private:
--- a/src/serving/engine_calls.cpp
+++ b/src/serving/engine_calls.cpp
@@ -10,7 +10,7 @@
 constexpr const char* kBatchRoute = "/v1/batches";
 constexpr int kOk = 200;
 
-/// Collects a health answer, which need not echo an id.
+/// Buffers a health response. Does not check the request id, which health responses need not echo.
 class HealthReader : public EngineAnswerReader {
  public:
   Status onHeader(const EngineHttpHeader& header) override {
@@ -20,7 +20,7 @@
   Status onBody(std::string_view bytes, boost::asio::yield_context) override {
     body_.append(bytes);
     if (body_.size() > kMaxHealthBytes) {
-      return makeError(ErrorCode::TooLarge, "health answer over its bound");
+      return makeError(ErrorCode::TooLarge, "the health response exceeds its size limit");
     }
     return okStatus();
   }
@@ -39,7 +39,7 @@
   }
 
  private:
-  /// Largest health answer, in bytes.
+  /// Largest health response, in bytes.
   static constexpr std::size_t kMaxHealthBytes = 16U << 10U;
 
   static std::uint32_t unsignedMember(const JsonDocument& document, const char* name) {
--- a/src/serving/engine_calls.h
+++ b/src/serving/engine_calls.h
@@ -1,5 +1,5 @@
 /// @file
-/// The engine client as the batch runner and the engine watchers use it.
+/// Adapters of the HTTP engine client for the batch runner and the engine health checks.
 #pragma once
 
 #include "engines/engine_runner.h"
@@ -13,7 +13,7 @@
 
 namespace shedshed {
 
-/// Runs batch items. Must outlive the serving threads' run.
+/// Runs batch items on engines. Must exist until the serving threads have stopped.
 class HttpEngineRunner : public EngineRunner {
  public:
   HttpEngineRunner(ServingThreads& threads, CoreExecutor& core, EngineClient& client,
@@ -32,12 +32,13 @@
   const Snapshot<SettingsTree>& settings_;
 };
 
-/// Waits of a health read.
+/// Time-outs of a health check.
 inline constexpr EngineTimeouts kProbeTimeouts{std::chrono::seconds(1), std::chrono::seconds(1),
                                                std::chrono::seconds(1)};
 
-/// Reads engines' health, each time over a new connection, so that an idle connection that the
-/// engine closed is not taken for a dead engine. Must outlive the serving threads' run.
+/// Reads the health of engines. Opens a new connection for each check, so that a pooled connection
+/// that the engine has closed is not mistaken for a failed engine. Must exist until the serving
+/// threads have stopped.
 class HttpEngineProbe : public EngineProbe {
  public:
   HttpEngineProbe(ServingThreads& threads, CoreExecutor& core,
--- a/src/serving/engine_client.cpp
+++ b/src/serving/engine_client.cpp
@@ -7,7 +7,7 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kFirstServerError = 500;
 
-/// Ends a routed call in the router on every way out.
+/// Scope guard that reports the end of a routed call to the router.
 class InFlightCall {
  public:
   InFlightCall(Router& router, CoreExecutor& core, std::string engine)
@@ -31,7 +31,7 @@
   ExchangeOutcome outcome_ = ExchangeOutcome::Inconclusive;
 };
 
-/// An engine that answers 429 or 5xx did not serve the call; whether it ran it cannot be known.
+/// Converts 429 and 5xx to an error: the engine did not serve the call, but may have run it.
 Result<EngineAnswer> toEngineAnswer(WholeAnswerReader& reader) {
   const int status = reader.status();
   if (status == kTooManyRequests || status >= kFirstServerError) {
@@ -48,7 +48,7 @@
   EventSink* sink;
   CallAbort& abort;
   const ServingStrand& strand;
-  bool forwarded = false;  ///< Something of the answer may have reached the caller.
+  bool forwarded = false;  ///< Part of the answer may have reached the caller.
 };
 
 Result<EngineAnswer> EngineClient::run(const EngineRequest& request, EventSink* sink,
@@ -75,7 +75,7 @@
     journal_->record(request.requestId, "engine failed",
                      engine.value().engine + ": " + result.error().detail + ", ran " +
                          std::string(ranName(result.error().ran)));
-    // Once one attempt may have run, the whole call may have.
+    // The call may have run if any of its attempts may have run.
     const bool mayHaveRun = runs > 0 || result.error().ran != Ran::No;
     runs += result.error().ran != Ran::No ? 1 : 0;
     lastError = result.error();
@@ -91,7 +91,7 @@
 
 Result<RouteChoice> EngineClient::choose(const RouteQuery& query) {
   if (core_.now() >= engines_.freshUntil()) {
-    return makeError(ErrorCode::NoEngine, "the engines are being verified");
+    return makeError(ErrorCode::NoEngine, "the engine list is being verified");
   }
   return router_.choose(*engines_.table(), query, core_.now());
 }
--- a/src/serving/engine_client.h
+++ b/src/serving/engine_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs one call on an engine, at most once unless the caller allows a repeat.
+/// Runs calls on engines with at-most-once semantics, unless the caller allows a retry.
 #pragma once
 
 #include "engines/engine_runner.h"
@@ -17,27 +17,27 @@
 
 namespace shedshed {
 
-/// Most engines that a call tries while none has received a byte of it.
+/// Most engines that a call tries as long as none has received a byte of it.
 inline constexpr int kMaxConnectAttempts = 3;
 
-/// Most runs of a call that its caller marked as repeatable.
+/// Most times that a call marked as repeatable is run.
 inline constexpr int kMaxRepeatableRuns = 2;
 
-/// One call.
+/// A call to be run on an engine.
 struct EngineRequest {
   std::string requestId;
   std::string model;
   std::string body;
   std::vector<BlockHash> prompt;
   double loadBound = 1.25;
-  bool repeatable = false;  ///< May run a second time after a failure.
+  bool repeatable = false;  ///< May be retried after a failure.
 };
 
-/// Routes and runs calls. Any thread may call it, within a coroutine on @p strand.
+/// Routes calls to engines and runs them. Thread-safe; must be called from a coroutine.
 ///
-/// At most once: a call goes to another engine only if no byte of it went to the first one, or if
-/// it is repeatable and nothing of its answer was sent on. An error's `ran` is `No` only if no byte
-/// of the call went to any engine.
+/// A call is sent to another engine only if no byte of it was sent to the first one, or if it is
+/// repeatable and no part of its answer was forwarded. The `ran` of an error is `No` only if no
+/// byte of the call was sent to any engine.
 class EngineClient {
  public:
   EngineClient(ServingThreads& threads, CoreExecutor& core, EngineSource& engines, Router& router,
@@ -45,19 +45,20 @@
       : threads_(threads), core_(core), engines_(engines), router_(router), counters_(counters),
         timeouts_(timeouts) {}
 
-  /// Notes choices and failures in @p journal from now on. Before the first call only.
+  /// Records chosen engines and failures in @p journal. Must be called before the first `run`.
   void setJournal(CallJournal& journal) { journal_ = &journal; }
 
-  /// Runs @p request. With a @p sink the answer is a stream: its events go to the sink, and the
-  /// result has an empty body. A status other than 200 has its body in any case.
+  /// Runs @p request on the strand of the calling coroutine, @p strand. With a @p sink the answer
+  /// is streamed: its events go to the sink and the body of the result is empty. A result with a
+  /// status other than 200 always has its body.
   Result<EngineAnswer> run(const EngineRequest& request, EventSink* sink, CallAbort& abort,
                            const ServingStrand& strand, boost::asio::yield_context yield);
 
  private:
   struct Call;
 
-  /// One attempt on one engine. Sets `Call::sentOn`.
   Result<RouteChoice> choose(const RouteQuery& query);
+  /// Runs the call on one engine, once. Sets `Call::forwarded`.
   Result<EngineAnswer> attempt(Call& call, const RouteChoice& engine,
                                boost::asio::yield_context yield);
   Result<std::unique_ptr<EngineConnection>> connection(Call& call, const RouteChoice& engine,
--- a/src/serving/engine_connection.cpp
+++ b/src/serving/engine_connection.cpp
@@ -14,13 +14,13 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-/// Largest header of an engine's answer, in bytes.
+/// Largest header of an engine's response, in bytes.
 constexpr std::uint32_t kMaxEngineHeaderBytes = 16U << 10U;
 
-/// Largest body of an engine's answer, in bytes.
+/// Largest body of an engine's response, in bytes.
 constexpr std::uint64_t kMaxEngineBodyBytes = 256U << 20U;
 
-/// Body bytes that are handed on at once.
+/// Most body bytes passed to the reader at once.
 constexpr std::size_t kReadChunkBytes = 16U << 10U;
 
 constexpr const char* kRequestIdHeader = "X-Request-Id";
@@ -30,13 +30,13 @@
 Result<net::ip::tcp::endpoint> parseAddress(const std::string& address) {
   const std::size_t colon = address.rfind(':');
   if (colon == std::string::npos) {
-    return makeError(ErrorCode::EngineFailed, "engine address without a port");
+    return makeError(ErrorCode::EngineFailed, "the engine address has no port");
   }
   error_code failed;
   const auto ip = net::ip::make_address(address.substr(0, colon), failed);
   const int port = std::atoi(address.c_str() + colon + 1);
   if (failed || port <= 0 || port > 65535) {
-    return makeError(ErrorCode::EngineFailed, "engine address is not ip:port");
+    return makeError(ErrorCode::EngineFailed, "the engine address is not ip:port");
   }
   return net::ip::tcp::endpoint(ip, static_cast<std::uint16_t>(port));
 }
@@ -64,19 +64,21 @@
 }
 
 Error abortedError() {
-  return makeError(ErrorCode::Cancelled, "the caller has gone", Ran::Unknown);
+  return makeError(ErrorCode::Cancelled, "the caller has disconnected", Ran::Unknown);
 }
 
-/// Says why an operation on the socket failed.
+/// Converts a failed socket operation to the error of its cause.
 Error toError(const error_code& failed, const SocketDeadline& deadline, const CallAbort& abort) {
   if (abort.aborted()) {
     return abortedError();
   }
   if (deadline.expired()) {
-    return makeError(ErrorCode::DeadlineExceeded, "the engine took too long", Ran::Unknown);
+    return makeError(ErrorCode::DeadlineExceeded, "the engine did not respond in time",
+                     Ran::Unknown);
   }
   if (failed == http::error::partial_message) {
-    return makeError(ErrorCode::ResponseTruncated, "the answer ended before its framing said so",
+    return makeError(ErrorCode::ResponseTruncated,
+                     "the engine closed the connection before the end of its response",
                      Ran::Unknown);
   }
   return makeError(ErrorCode::EngineFailed, failed.message(), Ran::Unknown);
@@ -139,7 +141,8 @@
     return toError(failed, deadline, abort);
   }
   if (!parser.is_done() && !parser.chunked() && !parser.content_length()) {
-    return makeError(ErrorCode::ResponseTruncated, "the answer has no framing of its own",
+    return makeError(ErrorCode::ResponseTruncated,
+                     "the response has neither a Content-Length nor a chunked encoding",
                      Ran::Unknown);
   }
   const Status header = reader.onHeader(parseAnswerHeader(parser));
--- a/src/serving/engine_connection.h
+++ b/src/serving/engine_connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// One HTTP/1.1 connection to an engine; carries one exchange at a time.
+/// HTTP/1.1 connection to an engine. Carries one exchange at a time.
 #pragma once
 
 #include "kernel/error.h"
@@ -15,15 +15,15 @@
 
 namespace shedshed {
 
-/// Waits that bound an exchange.
+/// Time-outs of an exchange.
 struct EngineTimeouts {
   Duration connect = std::chrono::seconds(1);
   Duration firstByte =
-      std::chrono::seconds(120);  ///< Up to the header, then to the first body bytes.
-  Duration betweenEvents = std::chrono::seconds(30);  ///< From bytes to the next bytes.
+      std::chrono::seconds(120);  ///< For the header, then for the first body bytes.
+  Duration betweenEvents = std::chrono::seconds(30);  ///< Between two reads of body bytes.
 };
 
-/// A request as it goes to an engine.
+/// A request to an engine.
 struct EngineHttpRequest {
   std::string method = "POST";
   std::string target;
@@ -31,45 +31,47 @@
   std::string body;
 };
 
-/// Header of an engine's answer.
+/// Header of an engine's response.
 struct EngineHttpHeader {
   int status = 0;
   std::string requestId;  ///< Value of the echoed `X-Request-Id`.
   bool eventStream = false;
 };
 
-/// Takes an answer piece by piece. An error ends the exchange and closes the connection.
+/// Receives a response incrementally. An error ends the exchange, and the connection is then not
+/// reused.
 class EngineAnswerReader {
  public:
   virtual ~EngineAnswerReader() = default;
   virtual Status onHeader(const EngineHttpHeader& header) = 0;
-  /// May suspend, which holds back further reading (backpressure).
+  /// May suspend the coroutine; no more input is read meanwhile (backpressure).
   virtual Status onBody(std::string_view bytes, boost::asio::yield_context yield) = 0;
 };
 
-/// A connection that was opened by `connect`. Use it from one coroutine at a time.
+/// A connection to one engine. Must be used by one coroutine at a time.
 class EngineConnection {
  public:
   explicit EngineConnection(boost::asio::io_context& io) : socket_(io) {}
 
-  /// Connects to "a.b.c.d:port". A failure has `Ran::No`.
+  /// Connects to "a.b.c.d:port". The error has `Ran::No`.
   Status connect(const std::string& address, const EngineTimeouts& timeouts, CallAbort& abort,
                  const ServingStrand& strand, boost::asio::yield_context yield);
 
-  /// Sends @p request and reads the answer to the end of its framing.
+  /// Sends @p request and reads the complete response.
   ///
-  /// The error's `ran` is `No` only if no byte was handed to the network, else `Unknown`.
+  /// The `ran` of the error is `No` only if no byte was written to the socket, else `Unknown`.
   Status exchange(const EngineHttpRequest& request, EngineAnswerReader& reader,
                   const EngineTimeouts& timeouts, CallAbort& abort, const ServingStrand& strand,
                   boost::asio::yield_context yield);
 
-  /// True if the connection may carry another exchange: the last one was whole, nothing came after
-  /// it, and the engine has neither closed nor sent anything since.
+  /// Returns true if the connection can carry another exchange: the last one was complete, and the
+  /// engine has neither closed the connection nor sent further bytes.
   bool reusable();
 
   void close();
 
  private:
+  /// Returns true if the connection is open and no input is waiting.
   bool hasNoUnreadInput();
 
   boost::asio::ip::tcp::socket socket_;
--- a/src/serving/engine_connection_pool.h
+++ b/src/serving/engine_connection_pool.h
@@ -1,5 +1,5 @@
 /// @file
-/// Idle connections to engines.
+/// Pool of idle connections to engines.
 #pragma once
 
 #include "kernel/time.h"
@@ -16,11 +16,12 @@
 /// Most idle connections kept per engine.
 inline constexpr std::size_t kMaxIdlePerEngine = 32;
 
-/// Longest time that an idle connection is kept. Short, so that an engine rarely closes one just
-/// as it is taken: a request sent into a closing connection has an unknown outcome.
+/// Longest time that an idle connection is kept. Short, so that the engine rarely closes a
+/// connection while it is being reused: a request sent on a closing connection has an unknown
+/// outcome.
 inline constexpr Duration kMaxIdleTime = std::chrono::seconds(4);
 
-/// Keeps connections between exchanges. Any thread may call it.
+/// Keeps connections between exchanges. Thread-safe.
 class EngineConnectionPool {
  public:
   /// Returns a reusable connection to @p address, or null.
--- a/src/serving/http_answer.h
+++ b/src/serving/http_answer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Answers to callers and the HTTP form of errors (docs/API.md).
+/// HTTP answers to callers and their error format (docs/API.md).
 #pragma once
 
 #include "kernel/error.h"
@@ -12,7 +12,7 @@
 
 namespace shedshed {
 
-/// A whole HTTP answer.
+/// A complete HTTP response.
 struct HttpAnswer {
   int status = 200;
   std::string contentType = "application/json";
@@ -20,10 +20,10 @@
   std::optional<Duration> retryAfter;  ///< Sent in whole seconds, rounded up.
 };
 
-/// Pause named in `Retry-After` where the settings name none.
+/// Value of `Retry-After` for errors without a configured one.
 inline constexpr Duration kDefaultRetryAfter = std::chrono::seconds(1);
 
-/// Builds the answer to a failed call. Refusals and failures that may pass carry `Retry-After`.
+/// Builds the answer to a failed call. Sets `Retry-After` for 429 and 5xx.
 HttpAnswer errorAnswer(const Error& error, const std::string& requestId);
 
 }  // namespace shedshed
--- a/src/serving/prefix_table.h
+++ b/src/serving/prefix_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which engine holds which prompt prefix in its KV cache, as far as this node knows.
+/// Table of the engines that are expected to have a prompt prefix in their KV cache.
 #pragma once
 
 #include <boost/multi_index/hashed_index.hpp>
@@ -14,28 +14,29 @@
 
 namespace shedshed {
 
-/// Hash of a prompt's bytes up to the end of a block, chained over all blocks before it.
+/// Hash of a prompt block, chained over all preceding blocks, so that it identifies the whole
+/// prefix.
 using BlockHash = std::uint64_t;
 
 /// Bytes of prompt in one block.
 inline constexpr std::size_t kPromptBlockBytes = 256;
 
-/// Most blocks of one prompt that are hashed; longer prompts count by their first blocks.
+/// Most blocks of one prompt that are hashed; the rest of a longer prompt is ignored.
 inline constexpr std::size_t kMaxPromptBlocks = 512;
 
-/// Returns the chained hashes of the blocks of @p prompt under @p model. The last, shorter block
-/// is included, so that the list is never empty.
+/// Returns the chained hashes of the blocks of @p prompt for @p model. Includes the last block,
+/// which may be partial or empty, so that the list is never empty.
 std::vector<BlockHash> hashPromptBlocks(std::string_view model, std::string_view prompt);
 
-/// Bounded table of block hash → engine, least recently used out first. Not thread-safe.
+/// Bounded LRU map from block hash to engine. Not thread-safe.
 class PrefixTable {
  public:
   explicit PrefixTable(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Returns the engine last seen with @p block, or null. Counts as a use.
+  /// Returns the engine last recorded for @p block, or null. Marks the entry as recently used.
   const std::string* find(BlockHash block);
 
-  /// Notes that @p engine now holds @p block.
+  /// Records that @p engine has @p block in its cache.
   void put(BlockHash block, const std::string& engine);
 
   std::size_t size() const { return entries_.size(); }
--- a/src/serving/recent_call_journal.h
+++ b/src/serving/recent_call_journal.h
@@ -1,5 +1,5 @@
 /// @file
-/// The last calls of a data node, in memory.
+/// In-memory journal of a node's most recent calls.
 #pragma once
 
 #include "serving/call_journal.h"
@@ -14,28 +14,28 @@
 
 namespace shedshed {
 
-/// Calls that a node remembers.
+/// Most calls kept by a node.
 inline constexpr std::size_t kMaxRecentCalls = 4096;
-/// Steps kept of one call; later ones are counted only.
+/// Most steps kept per call; later steps are only counted.
 inline constexpr std::size_t kMaxStepsPerCall = 24;
-/// Bytes kept of one step's detail.
+/// Length to which the detail of a step is truncated, in bytes.
 inline constexpr std::size_t kMaxStepDetailBytes = 200;
 
-/// Keeps the notes of the last calls; the call that began first is forgotten first.
+/// Keeps the steps of the most recent calls. Evicts the call that started first. Thread-safe.
 class RecentCallJournal : public CallJournal {
  public:
-  /// @p now tells the monotonic time on any thread.
+  /// @p now returns the monotonic time; it is called on any thread.
   explicit RecentCallJournal(std::function<Time()> now, std::size_t capacity = kMaxRecentCalls)
       : now_(std::move(now)), capacity_(capacity) {}
 
   void record(const std::string& requestId, const char* step, std::string detail) override;
 
-  /// Returns the notes of a call as JSON; nullopt if it is not remembered. Thread-safe.
+  /// Returns the steps of a call as JSON, or nullopt if the call is unknown or evicted.
   std::optional<std::string> explain(const std::string& requestId) const;
 
  private:
   struct Step {
-    Duration after;  ///< Since the call's first note.
+    Duration after;  ///< Since the first step of the call.
     const char* name;
     std::string detail;
   };
@@ -49,7 +49,7 @@
   const std::size_t capacity_;
   mutable std::mutex mutex_;
   std::map<std::string, CallRecord> calls_;
-  std::deque<std::string> order_;  ///< Oldest first.
+  std::deque<std::string> order_;  ///< Request ids, oldest first.
 };
 
 }  // namespace shedshed
--- a/src/serving/request_framing.cpp
+++ b/src/serving/request_framing.cpp
@@ -11,12 +11,13 @@
   const auto lengths = fields.count(http::field::content_length);
   if (encodings == 0) {
     if (lengths > 1) {
-      return makeError(ErrorCode::InvalidArgument, "more than one Content-Length");
+      return makeError(ErrorCode::InvalidArgument, "the request has more than one Content-Length");
     }
     return okStatus();
   }
   if (encodings > 1 || lengths > 0) {
-    return makeError(ErrorCode::InvalidArgument, "the body is framed in two ways");
+    return makeError(ErrorCode::InvalidArgument,
+                     "the request has more than one Transfer-Encoding or also a Content-Length");
   }
   const auto encoding = fields[http::field::transfer_encoding];
   if (!boost::beast::iequals(encoding, "chunked")) {
--- a/src/serving/request_framing.h
+++ b/src/serving/request_framing.h
@@ -1,5 +1,5 @@
 /// @file
-/// Refuses requests whose body length could be understood in two ways.
+/// Rejects requests with ambiguous body length (request smuggling).
 #pragma once
 
 #include "kernel/error.h"
@@ -8,10 +8,11 @@
 
 namespace shedshed {
 
-/// Checks the framing headers of a request. Fails with `InvalidArgument` for a transfer encoding
-/// other than `chunked`, for more than one, and for one together with a length: two readers could
-/// see different ends of the body, and what one takes for the body another could take for a
-/// request. The connection must be closed after a failure.
+/// Checks the framing headers of a request. Fails with `InvalidArgument` for more than one
+/// `Content-Length`, for a transfer encoding other than `chunked`, for more than one, and for one
+/// together with a `Content-Length`: two HTTP parsers could disagree on the end of the body, so
+/// that one parses as a request what the other takes for body bytes. The connection must be closed
+/// after a failure.
 Status checkRequestFraming(const boost::beast::http::fields& fields);
 
 }  // namespace shedshed
--- a/src/serving/request_id.h
+++ b/src/serving/request_id.h
@@ -1,12 +1,12 @@
 /// @file
-/// Ids of calls.
+/// Generation of request ids.
 #pragma once
 
 #include <string>
 
 namespace shedshed {
 
-/// Returns 32 random lower-case hexadecimal digits (128 bits of the system's random source).
+/// Returns 128 random bits of the system's random source as 32 lower-case hexadecimal digits.
 std::string makeRequestId();
 
 }  // namespace shedshed
--- a/src/serving/router.h
+++ b/src/serving/router.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses the engine of a call. No I/O and no clock.
+/// Selection of an engine for each call. Does no I/O and reads no clock.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -16,15 +16,15 @@
 
 namespace shedshed {
 
-/// Most block hashes that a router remembers.
+/// Most block hashes that a router keeps.
 inline constexpr std::size_t kPrefixTableCapacity = 200000;
 
-/// What a call asks of an engine.
+/// Routing input of a call.
 struct RouteQuery {
   std::string model;
-  std::vector<BlockHash> prompt;   ///< Of `hashPromptBlocks`; not empty.
-  double loadBound = 1.25;         ///< Spill over above this multiple of the mean load.
-  std::set<std::string> excluded;  ///< Engines that this call has tried.
+  std::vector<BlockHash> prompt;   ///< Result of `hashPromptBlocks`; not empty.
+  double loadBound = 1.25;         ///< Multiple of the mean load above which calls spill over.
+  std::set<std::string> excluded;  ///< Engines that the call has already tried.
 };
 
 /// The chosen engine.
@@ -33,22 +33,24 @@
   std::string address;
 };
 
-/// How an exchange with an engine ended, as its health is judged.
+/// Result of an exchange as evidence of the engine's health. `Inconclusive` does not affect the
+/// circuit breaker's failure count.
 enum class ExchangeOutcome { Healthy, Faulty, Inconclusive };
 
-/// Routes by longest known warm prefix, then by rendezvous of the prompt's first block, and spills
-/// over to the least loaded engine.
+/// Prefers the engine with the longest known cached prefix, else the one that rendezvous hashing
+/// gives for the prompt's first block. Spills over to the least loaded engine if the preferred one
+/// exceeds the load bound.
 ///
-/// Threading: any thread; one short lock.
+/// Thread-safe.
 class Router {
  public:
   explicit Router(std::size_t prefixCapacity = kPrefixTableCapacity) : prefixes_(prefixCapacity) {}
 
   /// Chooses a ready engine and counts the call as in flight there until `finish`. Fails with
-  /// `NotFound` if no engine is listed for the model, `NoEngine` if none may be used now.
+  /// `NotFound` if no engine is listed for the model, or `NoEngine` if none is usable at @p now.
   Result<RouteChoice> choose(const EngineTable& table, const RouteQuery& query, Time now);
 
-  /// Ends a call that `choose` counted.
+  /// Ends a call that was started by `choose`.
   void finish(const std::string& engine, ExchangeOutcome outcome, Time now);
 
  private:
@@ -60,8 +62,8 @@
 
   Candidates usableEngines(const EngineTable& table, const RouteQuery& query, Time now);
   const EngineInfo* longestPrefixEngine(const Candidates& candidates, const RouteQuery& query);
-  /// Notes where the prompt is warm now. A call that spilled over does not move the blocks that it
-  /// shares with others away from the engine that is preferred for them.
+  /// Records that @p engine caches the prompt's blocks. A call that spilled over does not reassign
+  /// blocks that are already recorded, because they are still cached by their preferred engine.
   void recordPrompt(const std::vector<BlockHash>& prompt, const std::string& engine,
                     bool spilledOver);
   std::uint32_t engineLoad(const EngineInfo& engine);
--- a/src/serving/serving_counters.h
+++ b/src/serving/serving_counters.h
@@ -1,12 +1,12 @@
 /// @file
-/// Metrics of the serving path, by name.
+/// Metrics interface of the serving path.
 #pragma once
 
 #include <string_view>
 
 namespace shedshed {
 
-/// Takes the serving path's counters and durations. Any thread may call it.
+/// Receives counters and durations of the serving path. Thread-safe.
 class ServingCounters {
  public:
   virtual ~ServingCounters() = default;
--- a/src/serving/serving_services.h
+++ b/src/serving/serving_services.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the callers' server needs of the rest of the process.
+/// Dependencies of the callers' server.
 #pragma once
 
 #include "batch/batch_client.h"
@@ -19,29 +19,29 @@
 
 namespace shedshed {
 
-/// References to services that outlive the server.
+/// References to services; they must outlive the server.
 struct ServingServices {
   ServingThreads& threads;
   CoreExecutor& core;
-  const Snapshot<SettingsTree>& settings;  ///< Null until the first proved version.
+  const Snapshot<SettingsTree>& settings;  ///< Null until the first verified version.
   const ConfigurationSource& configuration;
   SlotClient& slots;
   BatchClient& batches;
   EngineClient& engines;
   ServingCounters& counters;
-  std::function<std::string()> metricsText;  ///< Prometheus text; any thread.
-  std::atomic<bool> draining{false};         ///< New calls are refused while set.
+  std::function<std::string()> metricsText;  ///< Prometheus text format; thread-safe.
+  std::atomic<bool> draining{false};         ///< New calls are rejected while set.
   CallJournal* journal = &NullCallJournal::instance();
 };
 
-/// Returns why no new call is accepted, or success: `Draining`, or `NotReady` without a proved and
-/// fresh configuration.
+/// Readiness check. Fails with `Draining`, or with `NotReady` without a configuration that is
+/// proved to be current.
 inline Status checkReady(const ServingServices& services) {
   if (services.draining.load()) {
-    return makeError(ErrorCode::Draining, "this node takes no new calls");
+    return makeError(ErrorCode::Draining, "this node is draining and accepts no new calls");
   }
   if (services.settings.read() == nullptr) {
-    return makeError(ErrorCode::NotReady, "no configuration has been proved yet");
+    return makeError(ErrorCode::NotReady, "no configuration has been verified yet");
   }
   if (services.core.now() >= services.configuration.freshUntil()) {
     return makeError(ErrorCode::NotReady, "the configuration is not proved to be current");
--- a/src/serving/serving_threads.cpp
+++ b/src/serving/serving_threads.cpp
@@ -5,7 +5,8 @@
 namespace shedshed {
 namespace {
 
-/// Stack of one coroutine, in bytes. JSON of the allowed depth is parsed on it.
+/// Stack size of a coroutine, in bytes. Must be large enough for the recursive JSON parser at its
+/// maximum depth.
 constexpr std::size_t kCoroutineStackBytes = 256U << 10U;
 
 }  // namespace
--- a/src/serving/serving_threads.h
+++ b/src/serving/serving_threads.h
@@ -1,5 +1,5 @@
 /// @file
-/// The input and output threads of the serving path.
+/// I/O threads of the serving path.
 #pragma once
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -16,10 +16,10 @@
 /// Serializes the handlers of one connection or one call.
 using ServingStrand = boost::asio::strand<boost::asio::io_context::executor_type>;
 
-/// An `io_context` whose pending handlers can be dropped before it is destroyed.
+/// An `io_context` whose pending handlers can be destroyed before it is.
 class ServingIoContext : public boost::asio::io_context {
  public:
-  /// Destroys all pending handlers, which unwinds the coroutines that wait in them.
+  /// Destroys all pending handlers, which unwinds the coroutines suspended in them.
   void dropHandlers() { shutdown(); }
 };
 
@@ -34,14 +34,14 @@
   /// Starts @p count threads.
   void start(std::size_t count);
 
-  /// Stops and joins all threads, then unwinds the calls that are still open; the services that
-  /// they use must still exist. Idempotent.
+  /// Stops and joins all threads, then unwinds the coroutines of calls in progress; the services
+  /// that they use must still exist. Idempotent.
   void stop();
 
   boost::asio::io_context& io() { return io_; }
   ServingStrand makeStrand() { return ServingStrand(io_.get_executor()); }
 
-  /// Starts a coroutine on @p strand with the stack size that the serving path needs.
+  /// Starts a coroutine on @p strand with the stack size of the serving path.
   void spawn(const ServingStrand& strand, std::function<void(boost::asio::yield_context)> body);
 
  private:
--- a/src/serving/slot_lease.h
+++ b/src/serving/slot_lease.h
@@ -1,5 +1,5 @@
 /// @file
-/// Owns the slots of one call.
+/// RAII owner of the slots of one call.
 #pragma once
 
 #include "serving/core_executor.h"
@@ -9,7 +9,7 @@
 
 namespace shedshed {
 
-/// Releases a grant exactly once: by `release` or at its destruction, whichever comes first.
+/// Releases a slot grant exactly once, by `release` or on destruction.
 class SlotLease {
  public:
   SlotLease() = default;
@@ -39,7 +39,7 @@
   bool held() const { return core_ != nullptr; }
 
  private:
-  CoreExecutor* core_ = nullptr;  ///< Null while nothing is held.
+  CoreExecutor* core_ = nullptr;  ///< Null if no grant is held.
   SlotClient* slots_ = nullptr;
   std::uint64_t grantId_ = 0;
 };
--- a/src/serving/socket_deadline.h
+++ b/src/serving/socket_deadline.h
@@ -1,5 +1,5 @@
 /// @file
-/// Closes a socket when an operation on it takes too long.
+/// Time-out of socket operations.
 #pragma once
 
 #include "kernel/time.h"
@@ -11,8 +11,8 @@
 
 namespace shedshed {
 
-/// One deadline at a time for one socket. All use, and the handler, is on one strand, which must
-/// be the strand of the coroutine that uses the socket.
+/// Closes a socket when its deadline expires. Has one deadline at a time. Must be used on the
+/// strand of the coroutine that uses the socket; the timer handler runs there too.
 class SocketDeadline {
  public:
   SocketDeadline(const ServingStrand& strand, boost::asio::ip::tcp::socket& socket)
@@ -21,7 +21,7 @@
   SocketDeadline(const SocketDeadline&) = delete;
   SocketDeadline& operator=(const SocketDeadline&) = delete;
 
-  /// Starts the deadline anew.
+  /// Sets the deadline, replacing an earlier one.
   void arm(Duration after) {
     const std::uint64_t generation = ++state_->generation;
     state_->timer.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(after));
@@ -34,7 +34,8 @@
     });
   }
 
-  /// Stops it. The socket is not touched afterwards, even by a handler that is already queued.
+  /// Cancels the deadline. The socket is not accessed afterwards, even by a queued timer handler,
+  /// so it may be destroyed.
   void disarm() {
     ++state_->generation;
     state_->timer.cancel();
--- a/src/serving/sse_parser.cpp
+++ b/src/serving/sse_parser.cpp
@@ -12,7 +12,7 @@
     const std::size_t end = bytes.find('\n');
     line_.append(bytes.substr(0, end));
     if (line_.size() + data_.size() > maxEventBytes_) {
-      return makeError(ErrorCode::TooLarge, "event over its bound", Ran::Unknown);
+      return makeError(ErrorCode::TooLarge, "the event exceeds its size limit", Ran::Unknown);
     }
     if (end == std::string_view::npos) {
       return okStatus();
--- a/src/serving/sse_parser.h
+++ b/src/serving/sse_parser.h
@@ -14,17 +14,19 @@
 /// Largest data of one event, in bytes.
 inline constexpr std::size_t kMaxEventBytes = 1U << 20U;
 
-/// Cuts a byte stream into events. Accepts any split of the bytes. Lines end with LF or CRLF;
-/// comments and fields other than `data` are skipped; several data lines are joined with LF.
+/// Parses a byte stream, fed in chunks of any size, into events. Lines end with LF or CRLF.
+/// Comments and fields other than `data` are ignored. The data lines of an event are joined with
+/// LF.
 class SseParser {
  public:
   explicit SseParser(std::size_t maxEventBytes = kMaxEventBytes) : maxEventBytes_(maxEventBytes) {}
 
-  /// Takes @p bytes and appends the data of each event that they complete to @p events. Fails with
-  /// `TooLarge` once a line or an event passes the bound; the parser is unusable then.
+  /// Parses @p bytes and appends the data of each completed event to @p events. Fails with
+  /// `TooLarge` if a line or an event exceeds the size limit; the parser must not be used
+  /// afterwards.
   Status feed(std::string_view bytes, std::vector<std::string>& events);
 
-  /// True if bytes of an unfinished event are held.
+  /// Returns true if part of an incomplete event is buffered.
   bool hasPartialEvent() const { return !line_.empty() || hasData_; }
 
  private:
--- a/tests/serving/callers_loopback_test.cpp
+++ b/tests/serving/callers_loopback_test.cpp
@@ -80,7 +80,7 @@
     BOOST_TEST(runs() == ++expectedRuns);
     engine[0].clearFaults();
     engine[1].clearFaults();
-    // Keeps the breakers closed.
+    // A success resets the failure count of the circuit breaker, which would open otherwise.
     BOOST_TEST(caller.chat().status == 200);
     ++expectedRuns;
   }
@@ -183,7 +183,7 @@
   BOOST_TEST(caller.chat().status == 200);
   server.setDraining(true);
   BOOST_TEST(caller.chat().has("\"type\":\"draining\""));
-  BOOST_TEST(caller.read().status == 0);  // The connection has ended.
+  BOOST_TEST(caller.read().status == 0);  // The server has closed the connection.
   Caller another(server.port());
   BOOST_TEST(another.get("/readyz").has("draining"));
   server.setDraining(false);
--- a/tests/serving/fake_engine.h
+++ b/tests/serving/fake_engine.h
@@ -1,4 +1,4 @@
-// An engine on loopback whose next answers can be made faulty. One thread a connection.
+// HTTP engine on the loopback interface with fault injection. Uses one thread per connection.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -18,13 +18,13 @@
   None,
   ResetBeforeAnswer,  // Reads the request, then resets the connection.
   NoAnswer,           // Reads the request and never answers.
-  TruncatedBody,      // Closes before the framing ends.
+  TruncatedBody,      // Closes the connection before the end of the body.
   WrongIdInHeader,    // Another request's id in the header.
   WrongIdInBody,      // Another request's id in the body, or in the second event.
-  MissingEndEvent,    // A stream whose chunks end without `[DONE]`.
-  MissingLastChunk,   // `[DONE]`, but no last chunk.
-  TrailingBytes,      // Extra bytes after a whole answer.
-  NoFraming,          // Neither a length nor chunks.
+  MissingEndEvent,    // Ends the chunked stream without `[DONE]`.
+  MissingLastChunk,   // Sends `[DONE]`, but no last chunk.
+  TrailingBytes,      // Sends extra bytes after a complete answer.
+  NoFraming,          // Neither Content-Length nor chunked encoding.
   ServerError,        // Status 500.
   BadRequest,         // Status 400.
 };
@@ -65,7 +65,7 @@
     faults_.clear();
   }
 
-  // Ids of all requests received.
+  // Request ids of all calls received.
   std::vector<std::string> runs() {
     const std::lock_guard<std::mutex> lock(mutex_);
     return runs_;
@@ -78,7 +78,7 @@
     std::unique_lock<std::mutex> lock(mutex_);
     changed_.wait(lock, [&]() { return runs_.size() >= count; });
   }
-  // Waits until the peer has closed @p count connections on which the engine kept silent.
+  // Waits until the peer has closed @p count connections on which a `NoAnswer` fault was injected.
   void waitForAbandoned(std::size_t count) {
     std::unique_lock<std::mutex> lock(mutex_);
     changed_.wait(lock, [&]() { return abandoned_ >= count; });
--- a/tests/serving/recent_call_journal_test.cpp
+++ b/tests/serving/recent_call_journal_test.cpp
@@ -1,4 +1,4 @@
-// The last calls in memory: bounded in calls, steps and bytes.
+// Memory limits of the journal of recent calls: number of calls, steps per call, bytes per step.
 #include "serving/recent_call_journal.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/serving/serving_fixture.h
+++ b/tests/serving/serving_fixture.h
@@ -1,4 +1,4 @@
-// The serving path between a caller's socket and tiny engines; the cores are fakes.
+// Fixture for loopback tests of the serving path: a real server with fake engines and fake cores.
 #pragma once
 
 #include "fake_engine.h"
@@ -11,7 +11,7 @@
 
 namespace shedshed::test {
 
-// Runs tasks on one thread, like the host of the cores.
+// Runs tasks on one thread, like the core thread of a node.
 class CoreThread : public CoreExecutor {
  public:
   CoreThread() : thread_([this]() { run(); }) {}
@@ -22,7 +22,7 @@
     changed_.notify_all();
   }
   Time now() const override { return Time(std::chrono::steady_clock::now().time_since_epoch()); }
-  // Runs what is queued and stops.
+  // Runs the queued tasks and stops the thread.
   void stop() {
     if (thread_.joinable()) {
       post(nullptr);
@@ -69,8 +69,8 @@
   void release(std::uint64_t grantId) override { ++releases[grantId]; }
 
   std::atomic<bool> full{false};
-  std::atomic<bool> holdNext{false};               // The next request waits.
-  std::promise<std::function<void()>> resumeHeld;  // Lets it go on; call on the core thread.
+  std::atomic<bool> holdNext{false};               // Suspends the next request.
+  std::promise<std::function<void()>> resumeHeld;  // Resumes it; call on the core thread.
   std::uint64_t granted = 0;
   std::map<std::uint64_t, int> releases;
   SlotRequest lastRequest;
@@ -157,11 +157,11 @@
   std::string body;
   std::string retryAfter;
   std::string requestId;
-  bool whole = false;  // Its framing ended.
+  bool whole = false;  // The HTTP message was complete.
   bool has(const std::string& text) const { return body.find(text) != std::string::npos; }
 };
 
-// A caller with one connection; blocks.
+// Blocking HTTP client with one connection.
 class Caller {
  public:
   explicit Caller(std::uint16_t port) : socket_(io_) {
@@ -208,7 +208,8 @@
 
 inline const char* kRepeatable = "X-Repeatable: true\r\n";
 
-// Everything wired, with two engines. Checks at its end that every granted slot was released once.
+// A server with two engines. Its destructor checks that every granted slot was released exactly
+// once.
 struct ServingFixture {
   ServingFixture() {
     publish(false);
@@ -233,7 +234,7 @@
         SettingsTree::digestOfKey("key-a") + R"(","withdrawn":)" + (withdrawn ? "true" : "false") +
         "}]}}}";
     auto tree = SettingsTree::parse(json);
-    BOOST_REQUIRE_MESSAGE(tree, "settings are refused");
+    BOOST_REQUIRE_MESSAGE(tree, "the settings were rejected");
     settings.publish(std::make_shared<SettingsTree>(std::move(tree.value())));
   }
   std::size_t runs() { return engine[0].runs().size() + engine[1].runs().size(); }
@@ -242,7 +243,7 @@
     engine[0].fail(fault);
     engine[1].fail(fault);
   }
-  // The engine that a chat call goes to now.
+  // Returns the engine that the next chat call is routed to.
   FakeEngine& nextEngine() {
     const RouteQuery query{"m", hashPromptBlocks("m", "user\nhi\n"), 1.25, {}};
     const std::string chosen = router.choose(*source.engines, query, core.now()).value().engine;
