--- a/src/serving/call_filters.cpp
+++ b/src/serving/call_filters.cpp
@@ -7,11 +7,11 @@
 namespace shedshed {
 namespace {
 
-Error notProvedYet() {
-  return makeError(ErrorCode::NotReady, "no configuration has been proved yet");
+Error noVerifiedConfiguration() {
+  return makeError(ErrorCode::NotReady, "no configuration has been verified yet");
 }
 
-SlotRequest slotRequestOf(const CallContext& call) {
+SlotRequest makeSlotRequest(const CallContext& call) {
   SlotLimit limit;
   limit.pool = {"tenant", call.tenant};
   limit.failOpen = call.settings.failMode == FailMode::Open;
@@ -25,9 +25,9 @@
   return request;
 }
 
-std::string slotText(const SlotGrant::Slot& slot) {
+std::string describeSlot(const SlotGrant::Slot& slot) {
   const std::string pool = slot.pool.limiter + " " + slot.pool.key;
-  return slot.withoutSlot ? pool + ": no store answered, fails open"
+  return slot.withoutSlot ? pool + ": no store answered, admitted without a slot (fail open)"
                           : pool + ": number " + std::to_string(slot.number);
 }
 
@@ -42,17 +42,17 @@
   return FilterStep::Continue;
 }
 
-FilterStatus KeyFilter::apply(CallContext& call, boost::asio::yield_context) {
+FilterStatus ApiKeyFilter::apply(CallContext& call, boost::asio::yield_context) {
   const auto tree = services_.settings.read();
   if (tree == nullptr) {
-    return notProvedYet();
+    return noVerifiedConfiguration();
   }
   const auto tenant = tree->tenantOfKey(call.request.bearerKey);
   if (call.request.bearerKey.empty() || !tenant) {
     return makeError(ErrorCode::Unauthenticated, "a valid bearer key is required");
   }
   call.tenant = *tenant;
-  services_.journal->note(call.request.requestId, "key", "tenant " + call.tenant);
+  services_.journal->record(call.request.requestId, "key", "tenant " + call.tenant);
   return FilterStep::Continue;
 }
 
@@ -66,12 +66,12 @@
 FilterStatus TenantSettingsFilter::apply(CallContext& call, boost::asio::yield_context) {
   const auto tree = services_.settings.read();
   if (tree == nullptr) {
-    return notProvedYet();
+    return noVerifiedConfiguration();
   }
   const CallKind kind = call.request.target.kind;
-  call.settings = tree->effective(call.tenant, settingsRouteOf(kind));
+  call.settings = tree->effective(call.tenant, settingsRoute(kind));
   if (kind == CallKind::ChatCompletion && call.request.body.size() > call.settings.maxBodyBytes) {
-    return makeError(ErrorCode::TooLarge, "the body is over max_body_bytes");
+    return makeError(ErrorCode::TooLarge, "the body exceeds max_body_bytes");
   }
   return FilterStep::Continue;
 }
@@ -80,13 +80,13 @@
   const CallKind kind = call.request.target.kind;
   const bool newWork = kind == CallKind::ChatCompletion || kind == CallKind::BatchSubmit;
   if (newWork && services_.draining.load()) {
-    return makeError(ErrorCode::Draining, "this node takes no new calls");
+    return makeError(ErrorCode::Draining, "this node is draining and accepts no new calls");
   }
   return FilterStep::Continue;
 }
 
 FilterStatus SlotFilter::apply(CallContext& call, boost::asio::yield_context yield) {
-  const auto acquire = [this, request = slotRequestOf(call)](auto done) {
+  const auto acquire = [this, request = makeSlotRequest(call)](auto done) {
     services_.slots.acquire(request, done);
   };
   const auto grant = awaitCore<Result<SlotGrant>>(services_.core, yield, acquire);
@@ -94,12 +94,12 @@
     return grant.error();
   }
   for (const SlotGrant::Slot& slot : grant.value().slots) {
-    services_.journal->note(call.request.requestId, "slot", slotText(slot));
+    services_.journal->record(call.request.requestId, "slot", describeSlot(slot));
   }
   call.slot = SlotLease(services_.core, services_.slots, grant.value().grantId);
   if (call.abort.aborted()) {
     call.slot.release();
-    return makeError(ErrorCode::Cancelled, "the caller has gone");
+    return makeError(ErrorCode::Cancelled, "the caller has disconnected");
   }
   return FilterStep::Continue;
 }
@@ -128,13 +128,14 @@
 FilterChain makeChatChain(ServingServices& services) {
   FilterChain chain;
   chain.add(std::make_unique<ChatSyntaxFilter>());
-  chain.add(std::make_unique<KeyFilter>(services));
+  chain.add(std::make_unique<ApiKeyFilter>(services));
   chain.add(std::make_unique<SettingsLeaseFilter>(services));
   chain.add(std::make_unique<TenantSettingsFilter>(services));
   chain.add(std::make_unique<DrainFilter>(services));
   chain.add(std::make_unique<SlotFilter>(services));
-  // The wait for a slot may be long: the key and the configuration are proved anew.
-  chain.add(std::make_unique<KeyFilter>(services));
+  // The wait for a slot may be long: the key may have been withdrawn and the lease on the
+  // configuration may have expired, so both are checked again.
+  chain.add(std::make_unique<ApiKeyFilter>(services));
   chain.add(std::make_unique<SettingsLeaseFilter>(services));
   chain.add(std::make_unique<ForwardFilter>(services));
   return chain;
@@ -142,7 +143,7 @@
 
 FilterChain makeBatchChain(ServingServices& services) {
   FilterChain chain;
-  chain.add(std::make_unique<KeyFilter>(services));
+  chain.add(std::make_unique<ApiKeyFilter>(services));
   chain.add(std::make_unique<SettingsLeaseFilter>(services));
   chain.add(std::make_unique<TenantSettingsFilter>(services));
   chain.add(std::make_unique<DrainFilter>(services));
--- a/src/serving/caller_connection.h
+++ b/src/serving/caller_connection.h
@@ -1,5 +1,5 @@
 /// @file
-/// One connection of a caller.
+/// Serves the HTTP calls of one caller connection.
 #pragma once
 
 #include "serving/call_filter.h"
@@ -13,8 +13,8 @@
 
 namespace shedshed {
 
-/// What all connections of one server share.
-struct CallersShared {
+/// State shared by all connections of one server.
+struct CallersServerState {
   ServingServices& services;
   CallerLimits limits;
   FilterChain chatChain;
@@ -29,19 +29,19 @@
 class CallerConnection {
  public:
   /// @p socket's executor must be @p strand.
-  CallerConnection(CallersShared& shared, boost::asio::ip::tcp::socket socket,
+  CallerConnection(CallersServerState& shared, boost::asio::ip::tcp::socket socket,
                    const ServingStrand& strand);
   ~CallerConnection();
   CallerConnection(const CallerConnection&) = delete;
   CallerConnection& operator=(const CallerConnection&) = delete;
 
-  /// Returns when the connection is to be closed.
+  /// Serves calls until the connection must be closed.
   void run(boost::asio::yield_context yield);
 
  private:
   class Exchange;
 
-  CallersShared& shared_;
+  CallersServerState& shared_;
   boost::asio::ip::tcp::socket socket_;
   ServingStrand strand_;
 };
--- a/src/serving/circuit_breaker.h
+++ b/src/serving/circuit_breaker.h
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps calls away from an engine that has just failed several times.
+/// Circuit breaker that stops calls to an engine after consecutive failures.
 #pragma once
 
 #include "kernel/time.h"
@@ -9,34 +9,34 @@
 namespace shedshed {
 
 /// Consecutive failures that open a breaker.
-inline constexpr std::uint32_t kBreakerFailures = 3;
+inline constexpr std::uint32_t kBreakerFailureThreshold = 3;
 
-/// First pause of an open breaker; doubles with each failed trial.
-inline constexpr Duration kBreakerFirstPause = std::chrono::seconds(1);
+/// Time that a breaker first stays open; doubles with each failed trial call.
+inline constexpr Duration kBreakerInitialOpenDuration = std::chrono::seconds(1);
 
-/// Longest pause of an open breaker.
-inline constexpr Duration kBreakerLongestPause = std::chrono::seconds(30);
+/// Upper limit of the time that a breaker stays open.
+inline constexpr Duration kBreakerMaxOpenDuration = std::chrono::seconds(30);
 
-/// Circuit breaker of one engine: closed, open for a pause, then half-open for one trial call.
+/// Circuit breaker of one engine: closed, open for a time, then half-open for one trial call.
 class CircuitBreaker {
  public:
-  /// True if a call may be sent at @p now.
+  /// Returns true if a call may be sent at @p now.
   bool allows(Time now) const;
 
-  /// Notes that a call was sent. Past the pause it is the one trial.
-  void started(Time now);
+  /// Records that a call was sent. In the half-open state it is the trial call.
+  void onStarted(Time now);
 
-  void succeeded();
-  void failed(Time now);
+  void onSucceeded();
+  void onFailed(Time now);
 
-  /// Notes that a call ended without telling anything of the engine's health.
-  void abandoned() { trialRuns_ = false; }
+  /// Records that a call ended without evidence about the engine's health.
+  void onInconclusive() { trialInFlight_ = false; }
 
  private:
   std::uint32_t failures_ = 0;
-  Duration pause_{0};
+  Duration openDuration_{0};
   Time openUntil_{};
-  bool trialRuns_ = false;
+  bool trialInFlight_ = false;
 };
 
 }  // namespace shedshed
--- a/src/serving/engine_answer_readers.cpp
+++ b/src/serving/engine_answer_readers.cpp
@@ -7,14 +7,15 @@
 
 constexpr int kOk = 200;
 
-Error mismatch(const char* where) {
+Error idMismatch(const char* where) {
   return makeError(ErrorCode::ResponseMismatch,
-                   std::string("another request's id in the answer's ") + where, Ran::Unknown);
+                   std::string("request id mismatch in the engine's response ") + where,
+                   Ran::Unknown);
 }
 
 Status checkHeaderId(const EngineHttpHeader& header, const std::string& requestId) {
   if (header.requestId != requestId) {
-    return mismatch("header");
+    return idMismatch("header");
   }
   return okStatus();
 }
@@ -23,10 +24,11 @@
 Status checkBodyId(std::string_view text, const std::string& requestId) {
   const Result<JsonDocument> document = parseBodyObject(text);
   if (!document) {
-    return makeError(ErrorCode::EngineFailed, "the engine's answer is not JSON", Ran::Unknown);
+    return makeError(ErrorCode::EngineFailed, "the engine's response is not a JSON object",
+                     Ran::Unknown);
   }
   if (textMember(document.value().root(), "id") != requestId) {
-    return mismatch("body");
+    return idMismatch("body");
   }
   return okStatus();
 }
@@ -40,7 +42,7 @@
 
 Status WholeAnswerReader::onBody(std::string_view bytes, boost::asio::yield_context) {
   if (body_.size() + bytes.size() > kMaxWholeAnswerBytes) {
-    return makeError(ErrorCode::EngineFailed, "the engine's answer is over its bound",
+    return makeError(ErrorCode::EngineFailed, "the engine's response exceeds the size limit",
                      Ran::Unknown);
   }
   body_.append(bytes);
@@ -61,7 +63,8 @@
     return refusal_.onHeader(header);
   }
   if (!header.eventStream) {
-    return makeError(ErrorCode::EngineFailed, "the engine answered a stream with another type",
+    return makeError(ErrorCode::EngineFailed,
+                     "the engine's response to a streaming request is not an event stream",
                      Ran::Unknown);
   }
   return okStatus();
@@ -77,32 +80,33 @@
     return makeError(ErrorCode::EngineFailed, fed.error().detail, Ran::Unknown);
   }
   std::vector<std::string> checked;
-  Status verdict = okStatus();
+  Status status = okStatus();
   for (std::string& event : events) {
-    verdict = checkEvent(event);
-    if (!verdict) {
+    status = checkEvent(event);
+    if (!status) {
       break;
     }
-    if (!ended_) {
+    if (!endEventReceived_) {
       checked.push_back(std::move(event));
     }
   }
   if (!checked.empty()) {
-    sentOn_ = true;
+    forwarded_ = true;
     const Status sent = sink_.onEvents(checked, yield);
     if (!sent) {
       return sent;
     }
   }
-  return verdict;
+  return status;
 }
 
 Status StreamAnswerReader::checkEvent(const std::string& event) {
-  if (ended_) {
-    return makeError(ErrorCode::EngineFailed, "an event after the end of the stream", Ran::Unknown);
+  if (endEventReceived_) {
+    return makeError(ErrorCode::EngineFailed, "event received after the end of the stream",
+                     Ran::Unknown);
   }
   if (event == kEndOfStream) {
-    ended_ = true;
+    endEventReceived_ = true;
     return okStatus();
   }
   return checkBodyId(event, requestId_);
@@ -112,11 +116,11 @@
   if (refused_) {
     return refusal_.finish();
   }
-  if (!ended_ || parser_.hasPartialEvent()) {
+  if (!endEventReceived_ || parser_.hasPartialEvent()) {
     return makeError(ErrorCode::ResponseTruncated, "the stream ended without its end event",
                      Ran::Unknown);
   }
-  sentOn_ = true;
+  forwarded_ = true;
   return sink_.onEvents({kEndOfStream}, yield);
 }
 
--- a/src/serving/sse_parser.cpp
+++ b/src/serving/sse_parser.cpp
@@ -12,7 +12,7 @@
     const std::size_t end = bytes.find('\n');
     line_.append(bytes.substr(0, end));
     if (line_.size() + data_.size() > maxEventBytes_) {
-      return makeError(ErrorCode::TooLarge, "event over its bound", Ran::Unknown);
+      return makeError(ErrorCode::TooLarge, "the event exceeds its size limit", Ran::Unknown);
     }
     if (end == std::string_view::npos) {
       return okStatus();
@@ -21,13 +21,13 @@
     if (!line_.empty() && line_.back() == '\r') {
       line_.pop_back();
     }
-    takeLine(line_, events);
+    processLine(line_, events);
     line_.clear();
   }
   return okStatus();
 }
 
-void SseParser::takeLine(std::string_view line, std::vector<std::string>& events) {
+void SseParser::processLine(std::string_view line, std::vector<std::string>& events) {
   if (line.empty()) {
     if (hasData_) {
       events.push_back(std::move(data_));
