--- a/src/assembly/data_cores.cpp
+++ b/src/assembly/data_cores.cpp
@@ -30,10 +30,10 @@
 
 BatchRunnerOptions runnerOptions(const NodeOptions& options) {
   BatchRunnerOptions runner;
-  runner.retryPause = options.batches.retryPause;
-  runner.itemsPerBatch = options.batches.itemsPerBatch;
-  runner.itemsInAll = options.batches.itemsInAll;
-  runner.maxRunsPerItem = options.batches.mostRuns;
+  runner.retryDelay = options.batches.retryPause;
+  runner.maxItemsInFlightPerBatch = options.batches.itemsPerBatch;
+  runner.maxItemsInFlight = options.batches.itemsInAll;
+  runner.maxEngineCallsPerItem = options.batches.mostRuns;
   return runner;
 }
 
--- a/src/batch/batch_client_core.cpp
+++ b/src/batch/batch_client_core.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint32_t kMaxRedirects = 3;
 
 /// Answers that no retransmission of the request can change.
-bool isDefinite(ErrorCode code) {
+bool isFinalError(ErrorCode code) {
   switch (code) {
   case ErrorCode::NotFound:
   case ErrorCode::AlreadyExists:
@@ -29,12 +29,13 @@
 }
 
 /// Rejections of a submission that a retransmission may not meet a moment later.
-bool dependsOnMoment(ErrorCode code) {
+bool isTransientRejection(ErrorCode code) {
   return code == ErrorCode::StorageFull || code == ErrorCode::PoolFull ||
          code == ErrorCode::StoreUnavailable;
 }
 
-std::function<void(Result<BatchReply>)> statusOf(std::function<void(Result<BatchStatus>)> done) {
+std::function<void(Result<BatchReply>)>
+statusCallback(std::function<void(Result<BatchStatus>)> done) {
   return [done = std::move(done)](Result<BatchReply> reply) {
     if (!reply) {
       done(std::move(reply).error());
@@ -52,7 +53,7 @@
 
 void BatchClientCore::start() {
   // A restarted process never uses the numbers of an earlier one.
-  nextNumber_ = context_.random()();
+  nextRequestNumber_ = context_.random()();
 }
 
 void BatchClientCore::receive(const NodeId& from, const Message& message) {
@@ -101,7 +102,7 @@
 }
 
 std::vector<BatchClientCore::ChunkRange>
-BatchClientCore::split(const std::vector<std::string>& items) const {
+BatchClientCore::splitIntoChunks(const std::vector<std::string>& items) const {
   std::vector<ChunkRange> chunks;
   std::uint64_t bytes = 0;
   for (std::uint64_t position = 0; position < items.size(); ++position) {
@@ -139,13 +140,13 @@
   std::string hashes;
   appendItemHashes(hashes, submission.items);
   upload.digest = itemsDigest(hashes);
-  upload.chunks = split(submission.items);
+  upload.chunks = splitIntoChunks(submission.items);
   Request request;
   request.batchId = newBatchId(submission);
   upload.submission = std::move(submission);
   request.content = std::move(upload);
-  request.done = statusOf(std::move(done));
-  begin(std::move(request));
+  request.done = statusCallback(std::move(done));
+  startRequest(std::move(request));
 }
 
 void BatchClientCore::query(BatchQueryKind kind, const std::string& tenant,
@@ -165,17 +166,17 @@
   request.batchId = content.batchId;
   request.content = std::move(content);
   request.done = std::move(done);
-  begin(std::move(request));
+  startRequest(std::move(request));
 }
 
 void BatchClientCore::status(const std::string& tenant, const std::string& batchId,
                              std::function<void(Result<BatchStatus>)> done) {
-  query(BatchQueryKind::Status, tenant, batchId, 0, 0, statusOf(std::move(done)));
+  query(BatchQueryKind::Status, tenant, batchId, 0, 0, statusCallback(std::move(done)));
 }
 
 void BatchClientCore::cancel(const std::string& tenant, const std::string& batchId,
                              std::function<void(Result<BatchStatus>)> done) {
-  query(BatchQueryKind::Cancel, tenant, batchId, 0, 0, statusOf(std::move(done)));
+  query(BatchQueryKind::Cancel, tenant, batchId, 0, 0, statusCallback(std::move(done)));
 }
 
 void BatchClientCore::results(const std::string& tenant, const std::string& batchId,
@@ -226,8 +227,8 @@
   });
 }
 
-void BatchClientCore::begin(Request request) {
-  const std::uint64_t number = nextNumber_++;
+void BatchClientCore::startRequest(Request request) {
+  const std::uint64_t number = nextRequestNumber_++;
   request.lastProgress = context_.now();
   Request& stored = requests_[number] = std::move(request);
   sendRequest(number, stored);
@@ -250,7 +251,7 @@
 }
 
 void BatchClientCore::sendChunk(std::uint64_t number, Request& request, Upload& upload) {
-  const ChunkRange range = upload.chunks[upload.next];
+  const ChunkRange range = upload.chunks[upload.nextChunk];
   const auto begin = upload.submission.items.begin();
   SubmitChunk chunk;
   chunk.request = number;
@@ -260,8 +261,8 @@
   chunk.idempotent = upload.submission.idempotentItems;
   chunk.itemCount = upload.submission.items.size();
   chunk.digest = upload.digest;
-  chunk.chunk = upload.next;
-  chunk.last = upload.next + 1 == upload.chunks.size();
+  chunk.chunk = upload.nextChunk;
+  chunk.last = upload.nextChunk + 1 == upload.chunks.size();
   chunk.items.assign(begin + static_cast<std::ptrdiff_t>(range.first),
                      begin + static_cast<std::ptrdiff_t>(range.end));
   if (!upload.submission.names.empty()) {
@@ -303,14 +304,14 @@
 void BatchClientCore::onChunkStored(std::uint64_t number, Request& request,
                                     const BatchReply& reply) {
   Upload& upload = std::get<Upload>(request.content);
-  if (reply.nextChunk == upload.next || reply.nextChunk >= upload.chunks.size()) {
+  if (reply.nextChunk == upload.nextChunk || reply.nextChunk >= upload.chunks.size()) {
     // The chunk in flight is the one requested; a lost one is handled by the timer.
     return;
   }
-  if (reply.nextChunk > upload.next) {
+  if (reply.nextChunk > upload.nextChunk) {
     request.lastProgress = context_.now();
   }
-  upload.next = reply.nextChunk;
+  upload.nextChunk = reply.nextChunk;
   request.attempt = 0;
   sendRequest(number, request);
 }
@@ -338,10 +339,10 @@
     }
     return;
   }
-  if (!isDefinite(code)) {
+  if (!isFinalError(code)) {
     return;
   }
-  if (upload != nullptr && dependsOnMoment(code) && !upload->openCommits.empty()) {
+  if (upload != nullptr && isTransientRejection(code) && !upload->openCommits.empty()) {
     // Another transmission of the commit may still find capacity: its answer, or the deadline,
     // decides.
     return;
--- a/src/batch/batch_client_core.h
+++ b/src/batch/batch_client_core.h
@@ -62,7 +62,7 @@
     BatchSubmission submission;
     std::string digest;
     std::vector<ChunkRange> chunks;
-    std::uint64_t next = 0;
+    std::uint64_t nextChunk = 0;
     bool commitSent = false;
     /// Transmissions of the chunk that commits without a rejection so far.
     std::set<std::uint32_t> openCommits;
@@ -81,7 +81,7 @@
   void query(BatchQueryKind kind, const std::string& tenant, const std::string& batchId,
              std::uint64_t from, std::uint32_t limit, std::function<void(Result<BatchReply>)> done);
   void query(BatchQuery content, std::function<void(Result<BatchReply>)> done);
-  void begin(Request request);
+  void startRequest(Request request);
   void sendRequest(std::uint64_t number, Request& request);
   void sendChunk(std::uint64_t number, Request& request, Upload& upload);
   void onReply(const NodeId& from, BatchReply reply);
@@ -91,13 +91,13 @@
   /// Error of a request after its deadline: unknown if it may still take effect.
   static Error timeoutError(const Request& request);
   void finish(std::uint64_t number, Result<BatchReply> result);
-  std::vector<ChunkRange> split(const std::vector<std::string>& items) const;
+  std::vector<ChunkRange> splitIntoChunks(const std::vector<std::string>& items) const;
   std::string newBatchId(const BatchSubmission& submission);
 
   CoreContext& context_;
   OwnerLocator& locator_;
   BatchClientOptions options_;
-  std::uint64_t nextNumber_ = 0;
+  std::uint64_t nextRequestNumber_ = 0;
   std::map<std::uint64_t, Request> requests_;
 };
 
--- a/src/batch/batch_owner_core.cpp
+++ b/src/batch/batch_owner_core.cpp
@@ -76,7 +76,7 @@
                                      RecoveryKind) {
   writer_.begin(partition, epoch);
   uploads_.begin(partition);
-  reservations_.begin(partition);
+  reservations_.beginOwnership(partition);
   retention_.load(partition);
   table_.load(partition, epoch);
 }
@@ -84,7 +84,7 @@
 void BatchOwnerCore::ownershipLost(const PartitionId& partition) {
   writer_.end(partition);
   uploads_.drop(partition);
-  reservations_.drop(partition);
+  reservations_.endOwnership(partition);
   retention_.drop(partition);
   table_.drop(partition);
 }
--- a/src/batch/batch_runner_core.cpp
+++ b/src/batch/batch_runner_core.cpp
@@ -12,29 +12,29 @@
     : context_(context), locator_(locator), settings_(configuration), options_(options),
       runs_(context, locator), fetcher_(context, runs_, engines, options_),
       slots_(context, runs_, slots, settings_, options_),
-      items_(context, locator, runs_, fetcher_, slots_, engines, options_),
-      heartbeats_(context, locator, runs_, items_, options_) {}
+      executor_(context, locator, runs_, fetcher_, slots_, engines, options_),
+      heartbeats_(context, locator, runs_, executor_, options_) {}
 
 void BatchRunnerCore::start() {
   runs_.setIncarnation(context_.random()() | 1U);  // Never 0, which means "not known".
-  context_.startTimer(kTickTimer, options_.tick);
+  context_.startTimer(kTickTimer, options_.tickInterval);
 }
 
 void BatchRunnerCore::receive(const NodeId& from, const Message& message) {
   dispatchMessage<AssignRun>(message, [&](const AssignRun& assign) { onAssign(from, assign); }) ||
       dispatchMessage<RunHeartbeatReply>(
           message, [&](const RunHeartbeatReply& reply) { heartbeats_.onReply(from, reply); }) ||
-      dispatchMessage<ItemsPage>(message, [&](const ItemsPage& page) { onItems(page); }) ||
-      dispatchMessage<StartReply>(message,
-                                  [&](const StartReply& reply) { items_.onStartReply(reply); }) ||
-      dispatchMessage<FinishReply>(message,
-                                   [&](const FinishReply& reply) { items_.onFinishReply(reply); });
+      dispatchMessage<ItemsPage>(message, [&](const ItemsPage& page) { onItemsPage(page); }) ||
+      dispatchMessage<StartReply>(
+          message, [&](const StartReply& reply) { executor_.onStartReply(reply); }) ||
+      dispatchMessage<FinishReply>(
+          message, [&](const FinishReply& reply) { executor_.onFinishReply(reply); });
 }
 
 void BatchRunnerCore::timerExpired(TimerId timer) {
   if (timer == kTickTimer) {
     tick();
-    context_.startTimer(kTickTimer, options_.tick);
+    context_.startTimer(kTickTimer, options_.tickInterval);
   } else {
     retryRejected();
   }
@@ -65,7 +65,7 @@
   for (auto& [known, run] : runs_.runs()) {
     if (known.first == assign.batchId && !run.ended) {
       run.ended = true;
-      items_.stopStarting(known, run);
+      executor_.stopStarting(known, run);
     }
   }
   BatchRun& run = runs_.add(key);
@@ -76,9 +76,9 @@
   heartbeats_.send();
 }
 
-void BatchRunnerCore::onItems(const ItemsPage& page) {
-  if (fetcher_.onItems(page)) {
-    items_.startWaitingItems({page.batchId, page.runEpoch});
+void BatchRunnerCore::onItemsPage(const ItemsPage& page) {
+  if (fetcher_.onItemsPage(page)) {
+    executor_.startWaitingItems({page.batchId, page.runEpoch});
   }
 }
 
@@ -99,20 +99,20 @@
     if (run == nullptr) {
       continue;
     }
-    items_.resend(key, *run);
+    executor_.resend(key, *run);
     returnIfDrained(key, *run);
-    run->waiting.recallRequeued(context_.now());
-    items_.startWaitingItems(key);
+    run->waiting.returnDueItems(context_.now());
+    executor_.startWaitingItems(key);
     runs_.removeIfDone(key);
   }
 }
 
 void BatchRunnerCore::retryRejected() {
   for (auto& [key, run] : runs_.runs()) {
-    run.waiting.recallRequeued(context_.now());
+    run.waiting.returnDueItems(context_.now());
   }
   for (const RunKey& key : runs_.keys()) {
-    items_.startWaitingItems(key);
+    executor_.startWaitingItems(key);
   }
 }
 
--- a/src/batch/batch_runner_core.h
+++ b/src/batch/batch_runner_core.h
@@ -49,7 +49,7 @@
   static constexpr TimerId kTickTimer = 1;
 
   void onAssign(const NodeId& from, const AssignRun& assign);
-  void onItems(const ItemsPage& page);
+  void onItemsPage(const ItemsPage& page);
   /// Repeated with each tick until the reply to a heartbeat ends the run.
   void returnIfDrained(const RunKey& key, const BatchRun& run);
   void tick();
@@ -63,7 +63,7 @@
   RunTable runs_;
   ItemFetcher fetcher_;
   ItemSlots slots_;
-  ItemExecutor items_;
+  ItemExecutor executor_;
   RunHeartbeats heartbeats_;
 };
 
--- a/src/batch/batch_runner_options.h
+++ b/src/batch/batch_runner_options.h
@@ -10,24 +10,24 @@
 
 /// Options of `BatchRunnerCore`, shared by its parts.
 struct BatchRunnerOptions {
-  std::uint32_t itemsPerBatch = 16;  ///< Items of one batch in flight at once.
-  std::uint32_t itemsInAll = 64;     ///< Items of all batches in flight at once.
-  Duration tick = std::chrono::milliseconds(250);
-  Duration heartbeat = std::chrono::seconds(1);
+  std::uint32_t maxItemsInFlightPerBatch = 16;  ///< Items of one batch in flight at once.
+  std::uint32_t maxItemsInFlight = 64;          ///< Items of all batches in flight at once.
+  Duration tickInterval = std::chrono::milliseconds(250);
+  Duration heartbeatInterval = std::chrono::seconds(1);
   /// Without an acknowledged heartbeat sent within this time no item is started.
-  Duration lease = std::chrono::seconds(3);
+  Duration leaseDuration = std::chrono::seconds(3);
   /// An acknowledged start that was requested longer ago than this is reverted and not run: the
   /// batch may have been cancelled since.
   Duration maxStartAge = std::chrono::milliseconds(2500);
   /// Unacknowledged messages to the owner are repeated after this time.
-  Duration resend = std::chrono::seconds(1);
+  Duration resendInterval = std::chrono::seconds(1);
   /// Pause after an engine rejected an item without running it, and between two passes.
-  Duration retryPause = std::chrono::seconds(2);
+  Duration retryDelay = std::chrono::seconds(2);
   /// Engine calls for one idempotent item by this runner before its outcome is `Unknown`.
-  std::uint32_t maxRunsPerItem = 3;
+  std::uint32_t maxEngineCallsPerItem = 3;
 
   /// Items that are fetched from the owner at once.
-  std::uint32_t pageSize() const { return 2 * itemsPerBatch; }
+  std::uint32_t pageSize() const { return 2 * maxItemsInFlightPerBatch; }
 };
 
 }  // namespace shedshed
--- a/src/batch/item_executor.cpp
+++ b/src/batch/item_executor.cpp
@@ -42,7 +42,7 @@
     return entry.second.phase != AttemptPhase::Reporting;
   });
   // Unacknowledged results count as well: a lost owner must not let them pile up.
-  return active < options_.itemsPerBatch && itemsInFlight_ < options_.itemsInAll &&
+  return active < options_.maxItemsInFlightPerBatch && itemsInFlight_ < options_.maxItemsInFlight &&
          run.items.size() + run.waiting.requeued() < options_.pageSize();
 }
 
@@ -58,8 +58,10 @@
     return;
   }
   slots_.acquire(key, run, next.position,
-                 [this, key, position = next.position, attempt = item.attempt](
-                     const Result<SlotGrant>& grant) { onSlots(key, position, attempt, grant); });
+                 [this, key, position = next.position,
+                  attempt = item.attempt](const Result<SlotGrant>& grant) {
+                   onSlotReply(key, position, attempt, grant);
+                 });
 }
 
 ItemAttempt* ItemExecutor::findAttempt(BatchRun* run, std::uint64_t position,
@@ -72,16 +74,16 @@
   return same ? &found->second : nullptr;
 }
 
-void ItemExecutor::onSlots(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
-                           const Result<SlotGrant>& grant) {
+void ItemExecutor::onSlotReply(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
+                               const Result<SlotGrant>& grant) {
   BatchRun* run = runs_.find(key);
   ItemAttempt* item = findAttempt(run, position, attempt);
   if (item == nullptr) {
-    slots_.giveBack(grant);
+    slots_.releaseUnclaimed(grant);
     return;
   }
   if (grant) {
-    slots_.granted(*run, *item, grant.value());
+    slots_.onGranted(*run, *item, grant.value());
     if (runs_.mayStart(*run)) {
       requestStart(key, *run, position);
       startWaitingItems(key);
@@ -89,7 +91,7 @@
     }
     slots_.release(*run, *item);
   } else {
-    const Duration delay = slots_.rejected(*run, item->model);
+    const Duration delay = slots_.onRejected(*run, item->model);
     run->waiting.requeue({position, item->model, std::move(item->body), context_.now() + delay});
   }
   run->items.erase(position);
@@ -199,12 +201,13 @@
     return;
   }
   if (error.ran == Ran::No) {
-    run.admissions[run.items[position].model].pause(context_.now() + options_.retryPause);
+    run.admissions[run.items[position].model].pause(context_.now() + options_.retryDelay);
     --run.engineCallsByItem[position];
     revertStart(key, run, position, false);
     return;
   }
-  if (run.assignment.idempotent && run.engineCallsByItem[position] < options_.maxRunsPerItem) {
+  if (run.assignment.idempotent &&
+      run.engineCallsByItem[position] < options_.maxEngineCallsPerItem) {
     revertStart(key, run, position, true);
     return;
   }
@@ -256,7 +259,7 @@
     return;
   }
   const bool open = item.phase == AttemptPhase::Starting || item.phase == AttemptPhase::Reporting;
-  if (!open || context_.now() - item.lastSent < options_.resend) {
+  if (!open || context_.now() - item.lastSent < options_.resendInterval) {
     return;
   }
   item.lastSent = context_.now();
--- a/src/batch/item_executor.h
+++ b/src/batch/item_executor.h
@@ -44,8 +44,8 @@
   /// Returns the attempt if it is in flight, else null.
   static ItemAttempt* findAttempt(BatchRun* run, std::uint64_t position, std::uint64_t attempt);
   void beginItem(const RunKey& key, BatchRun& run, WaitingItem next);
-  void onSlots(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
-               const Result<SlotGrant>& grant);
+  void onSlotReply(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
+                   const Result<SlotGrant>& grant);
   void requestStart(const RunKey& key, BatchRun& run, std::uint64_t position);
   void revertUnknownStart(const RunKey& key, const StartReply& reply);
   void callEngine(const RunKey& key, BatchRun& run, std::uint64_t position);
--- a/src/batch/item_fetcher.cpp
+++ b/src/batch/item_fetcher.cpp
@@ -13,10 +13,10 @@
 
 void ItemFetcher::fetch(const RunKey& key, BatchRun& run) {
   const bool inFlight = run.fetchSent && context_.now() - *run.fetchSent < kFetchTimeout;
-  const bool passIsOver = run.fetchFrom == 0 && context_.now() < run.nextPass;
+  const bool betweenPasses = run.fetchFrom == 0 && context_.now() < run.nextPass;
   // Items whose model's pool is full stay in the queue; a few pages are searched for others.
   const bool full = run.waiting.queued() >= kMaxQueuedPages * options_.pageSize();
-  if (inFlight || passIsOver || full) {
+  if (inFlight || betweenPasses || full) {
     return;
   }
   const NodeId owner = runs_.ownerOf(run);
@@ -27,7 +27,7 @@
   context_.send(owner, FetchItems{runs_.idOf(key), run.fetchFrom, options_.pageSize()});
 }
 
-bool ItemFetcher::onItems(const ItemsPage& page) {
+bool ItemFetcher::onItemsPage(const ItemsPage& page) {
   BatchRun* run = runs_.find({page.batchId, page.runEpoch});
   if (run == nullptr || !run->fetchSent || page.from != run->fetchFrom) {
     return false;
@@ -42,7 +42,7 @@
   }
   if (page.next == 0) {
     // The pass is over; what became pending again is found by the next one, after a pause.
-    run->nextPass = context_.now() + options_.retryPause;
+    run->nextPass = context_.now() + options_.retryDelay;
   }
   return true;
 }
--- a/src/batch/item_fetcher.h
+++ b/src/batch/item_fetcher.h
@@ -22,7 +22,7 @@
   void fetch(const RunKey& key, BatchRun& run);
 
   /// Queues the items of a page. False if the page was not the one requested.
-  bool onItems(const ItemsPage& page);
+  bool onItemsPage(const ItemsPage& page);
 
  private:
   CoreContext& context_;
--- a/src/batch/item_slots.cpp
+++ b/src/batch/item_slots.cpp
@@ -38,13 +38,13 @@
   slots_.acquire(std::move(request), std::move(done));
 }
 
-void ItemSlots::granted(BatchRun& run, ItemAttempt& item, const SlotGrant& grant) {
-  run.admissions[item.model].granted(options_.itemsPerBatch);
+void ItemSlots::onGranted(BatchRun& run, ItemAttempt& item, const SlotGrant& grant) {
+  run.admissions[item.model].granted(options_.maxItemsInFlightPerBatch);
   item.grant = grant.grantId;
   item.suggestedEngine = grant.suggestedEngine();
 }
 
-Duration ItemSlots::rejected(BatchRun& run, const std::string& model) {
+Duration ItemSlots::onRejected(BatchRun& run, const std::string& model) {
   ItemAdmission& admission = run.admissions[model];
   const Duration requeueDelay = settings_.effective(run.assignment.tenant).requeueDelay;
   const Duration delay = admission.hasShare() ? admission.retryDelay(requeueDelay) : requeueDelay;
@@ -58,7 +58,7 @@
   return delay + jitter;
 }
 
-void ItemSlots::giveBack(const Result<SlotGrant>& grant) {
+void ItemSlots::releaseUnclaimed(const Result<SlotGrant>& grant) {
   if (grant) {
     slots_.release(grant.value().grantId);
   }
--- a/src/batch/item_slots.h
+++ b/src/batch/item_slots.h
@@ -27,16 +27,16 @@
       : context_(context), runs_(runs), slots_(slots), settings_(settings), options_(options) {}
 
   /// Requests slots for the item at @p position. After @p done, call `granted` or `rejected` if
-  /// the attempt is still in flight, else `giveBack`.
+  /// the attempt is still in flight, else `releaseUnclaimed`.
   void acquire(const RunKey& key, BatchRun& run, std::uint64_t position,
                std::function<void(const Result<SlotGrant>&)> done);
 
-  void granted(BatchRun& run, ItemAttempt& item, const SlotGrant& grant);
+  void onGranted(BatchRun& run, ItemAttempt& item, const SlotGrant& grant);
   /// @return the delay after which the item may request again, varied by up to half of it, so that
   /// the items of a burst do not return together
-  Duration rejected(BatchRun& run, const std::string& model);
+  Duration onRejected(BatchRun& run, const std::string& model);
   /// Releases a grant that no item waits for.
-  void giveBack(const Result<SlotGrant>& grant);
+  void releaseUnclaimed(const Result<SlotGrant>& grant);
   /// Releases the slots of an item, if it has any.
   void release(BatchRun& run, ItemAttempt& item);
 
--- a/src/batch/queued_token_quota.cpp
+++ b/src/batch/queued_token_quota.cpp
@@ -3,9 +3,9 @@
 namespace shedshed {
 namespace {
 
-constexpr TimerId kTickTimer = 1;
+constexpr TimerId kRebuildTimer = 1;
 /// A rebuild that takes longer is logged.
-constexpr Duration kSlowRebuild = std::chrono::seconds(2);
+constexpr Duration kSlowRebuildThreshold = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -29,8 +29,8 @@
 }
 
 void QueuedTokenQuota::timerExpired(TimerId) {
-  if (acts() && !unreported_.empty()) {
-    queryOwners();
+  if (refreshOwnership() && !unreported_.empty()) {
+    requestMissingReports();
   }
 }
 
@@ -38,7 +38,7 @@
   return epoch_ != 0 && store_.epoch(partition()) == epoch_ && unreported_.empty();
 }
 
-bool QueuedTokenQuota::acts() {
+bool QueuedTokenQuota::refreshOwnership() {
   const std::uint64_t epoch = store_.epoch(partition());
   if (epoch == 0) {
     epoch_ = 0;
@@ -52,21 +52,21 @@
   table_.clear();
   unreported_.clear();
   rebuildStartedAt_ = context_.now();
-  logged_ = false;
+  slowRebuildLogged_ = false;
   for (std::uint32_t index = 0; safeguards_.rebuildQuotaFromOwners && index < kPartitionCount;
        ++index) {
     unreported_.insert(PartitionId{TableKind::Batches, index});
   }
-  queryOwners();
+  requestMissingReports();
   return true;
 }
 
-void QueuedTokenQuota::queryOwners() {
+void QueuedTokenQuota::requestMissingReports() {
   if (unreported_.empty()) {
     return;
   }
-  if (!logged_ && context_.now() - rebuildStartedAt_ >= kSlowRebuild) {
-    logged_ = true;
+  if (!slowRebuildLogged_ && context_.now() - rebuildStartedAt_ >= kSlowRebuildThreshold) {
+    slowRebuildLogged_ = true;
     context_.logEvent(TraceEvent("QueuedTokenRebuildSlow", Severity::Warning)
                           .field("unanswered_partitions", unreported_.size())
                           .field("first_unanswered", unreported_.begin()->index));
@@ -78,18 +78,18 @@
   for (const NodeId& store : directory_.table()->known(NodeRole::Store)) {
     context_.send(store, request);
   }
-  context_.startTimer(kTickTimer, kQuotaRebuildRetry);
+  context_.startTimer(kRebuildTimer, kQuotaRebuildRetry);
 }
 
 void QueuedTokenQuota::onReport(const NodeId& from, const QueuedTokensReport& report) {
-  if (!acts()) {
-    ReserveQueuedTokens named;
-    named.number = report.number;
-    reply(from, named, ReserveOutcome::NotReady);
+  if (!refreshOwnership()) {
+    ReserveQueuedTokens request;
+    request.number = report.number;
+    reply(from, request, ReserveOutcome::NotReady);
     return;
   }
   for (const PartitionTokens& tokens : report.partitions) {
-    table_.adopt(tokens, report.number);
+    table_.applyReport(tokens, report.number);
     if (report.quotaEpoch == epoch_ && unreported_.erase(tokens.partition) != 0 &&
         unreported_.empty()) {
       context_.logEvent(TraceEvent("QueuedTokenRebuildFinished"));
@@ -98,7 +98,7 @@
 }
 
 void QueuedTokenQuota::onReserve(const NodeId& from, const ReserveQueuedTokens& request) {
-  if (!acts() || !unreported_.empty()) {
+  if (!refreshOwnership() || !unreported_.empty()) {
     context_.counters().add("queued_tokens_not_ready_total");
     reply(from, request, ReserveOutcome::NotReady);
     return;
--- a/src/batch/queued_token_quota.h
+++ b/src/batch/queued_token_quota.h
@@ -53,9 +53,9 @@
   void onReserve(const NodeId& from, const ReserveQueuedTokens& request);
   void onReport(const NodeId& from, const QueuedTokensReport& report);
   /// Starts a rebuild if this node has become the owner since. False if it is not the owner.
-  bool acts();
+  bool refreshOwnership();
   /// Asks all stores for the reports that are missing.
-  void queryOwners();
+  void requestMissingReports();
   void reply(const NodeId& to, const ReserveQueuedTokens& request, ReserveOutcome outcome);
 
   CoreContext& context_;
@@ -66,7 +66,7 @@
   QueuedTokenTable table_;
   std::uint64_t epoch_ = 0;
   Time rebuildStartedAt_{};
-  bool logged_ = false;               ///< That the rebuild is slow.
+  bool slowRebuildLogged_ = false;    ///< That the rebuild is slow.
   std::set<PartitionId> unreported_;  ///< Partitions without a report in this epoch.
 };
 
--- a/src/batch/queued_token_reservations.cpp
+++ b/src/batch/queued_token_reservations.cpp
@@ -16,15 +16,15 @@
 
 void QueuedTokenReservations::reserve(const PartitionId& partition, QueuedBatch batch) {
   const std::string batchId = batch.batchId;
-  Reservation& reservation = partitions_[partition][batchId];
+  Reservation& reservation = reservationsByPartition_[partition][batchId];
   reservation = Reservation{std::move(batch), 0, context_.now()};
   send(partition, reservation);
   context_.startTimer(kRetryTimer, kReservationRetry);
 }
 
 void QueuedTokenReservations::cancel(const PartitionId& partition, const std::string& batchId) {
-  const auto reservations = partitions_.find(partition);
-  if (reservations != partitions_.end()) {
+  const auto reservations = reservationsByPartition_.find(partition);
+  if (reservations != reservationsByPartition_.end()) {
     reservations->second.erase(batchId);
   }
 }
@@ -57,10 +57,10 @@
 }
 
 void QueuedTokenReservations::onReply(const NodeId& from, const ReserveQueuedTokensReply& reply) {
-  const bool moved = followHint(from, reply.quotaOwner);
+  const bool redirected = followHint(from, reply.quotaOwner);
   const PartitionId partition = partitionOfBatch(reply.batchId);
-  const auto reservations = partitions_.find(partition);
-  if (reservations == partitions_.end() || !store_.owns(partition)) {
+  const auto reservations = reservationsByPartition_.find(partition);
+  if (reservations == reservationsByPartition_.end() || !store_.owns(partition)) {
     return;
   }
   const auto found = reservations->second.find(reply.batchId);
@@ -68,7 +68,7 @@
     return;
   }
   if (reply.outcome == ReserveOutcome::NotReady) {
-    if (moved) {
+    if (redirected) {
       send(partition, found->second);
     }
     return;  // Otherwise the timer repeats the request.
@@ -83,24 +83,24 @@
 }
 
 void QueuedTokenReservations::retry() {
-  bool open = false;
+  bool hasOpen = false;
   ++attempt_;  // A reply takes far less than the time that has passed.
-  for (auto& [partition, reservations] : partitions_) {
-    std::vector<std::string> late;
+  for (auto& [partition, reservations] : reservationsByPartition_) {
+    std::vector<std::string> timedOut;
     for (auto& [batchId, reservation] : reservations) {
       if (context_.now() - reservation.requestedAt >= kReservationTimeout) {
-        late.push_back(batchId);
+        timedOut.push_back(batchId);
         continue;
       }
-      open = true;
+      hasOpen = true;
       send(partition, reservation);
     }
-    for (const std::string& batchId : late) {
+    for (const std::string& batchId : timedOut) {
       reservations.erase(batchId);
       listener_->reservationRejected(partition, batchId, ErrorCode::StoreUnavailable);
     }
   }
-  if (open) {
+  if (hasOpen) {
     context_.startTimer(kRetryTimer, kReservationRetry);
   }
 }
@@ -116,8 +116,8 @@
       tokens.batches.push_back({batchId, {batch.meta().tenant, batch.meta().route}, queued});
     }
   }
-  const auto reservations = partitions_.find(partition);
-  if (reservations != partitions_.end()) {
+  const auto reservations = reservationsByPartition_.find(partition);
+  if (reservations != reservationsByPartition_.end()) {
     for (const auto& entry : reservations->second) {
       tokens.batches.push_back(entry.second.batch);
     }
--- a/src/batch/queued_token_reservations.h
+++ b/src/batch/queued_token_reservations.h
@@ -49,8 +49,8 @@
   void setListener(ReservationListener& listener) { listener_ = &listener; }
 
   /// The ownership of @p partition begins or ends: its reservations are forgotten.
-  void begin(const PartitionId& partition) { partitions_[partition].clear(); }
-  void drop(const PartitionId& partition) { partitions_.erase(partition); }
+  void beginOwnership(const PartitionId& partition) { reservationsByPartition_[partition].clear(); }
+  void endOwnership(const PartitionId& partition) { reservationsByPartition_.erase(partition); }
 
   /// True if the queued tokens of @p route are limited.
   bool isLimited(const std::string& route) const { return settings_.queuedTokenLimit(route) != 0; }
@@ -91,7 +91,7 @@
   const BatchSettings& settings_;
   const BatchTable& table_;
   ReservationListener* listener_ = nullptr;
-  std::map<PartitionId, Reservations> partitions_;
+  std::map<PartitionId, Reservations> reservationsByPartition_;
   std::uint32_t attempt_ = 0;     ///< Retries without a reply of the quota.
   std::uint64_t lastNumber_ = 0;  ///< Of the messages to the quota.
 };
--- a/src/batch/queued_token_table.cpp
+++ b/src/batch/queued_token_table.cpp
@@ -4,7 +4,7 @@
 
 namespace shedshed {
 
-bool QueuedTokenTable::adopt(const PartitionTokens& report, std::uint64_t number) {
+bool QueuedTokenTable::applyReport(const PartitionTokens& report, std::uint64_t number) {
   Partition& partition = partitions_[report.partition];
   const bool sameOwner = report.epoch == partition.epoch;
   if (report.epoch < partition.epoch || (sameOwner && number <= partition.lastReport)) {
--- a/src/batch/queued_token_table.h
+++ b/src/batch/queued_token_table.h
@@ -18,7 +18,7 @@
   /// Takes a report numbered @p number. One of an older epoch, or an older one of the same epoch,
   /// is ignored.
   /// @return false if it was ignored
-  bool adopt(const PartitionTokens& report, std::uint64_t number);
+  bool applyReport(const PartitionTokens& report, std::uint64_t number);
 
   /// Counts the batch of @p request if it then fits under @p limit (0: no limit), and not at all if
   /// it does not: its owner takes only the answer to its latest request for a grant.
--- a/src/batch/run_heartbeats.h
+++ b/src/batch/run_heartbeats.h
@@ -18,9 +18,9 @@
 class RunHeartbeats {
  public:
   /// Keeps references; they must outlive it.
-  RunHeartbeats(CoreContext& context, OwnerLocator& locator, RunTable& runs, ItemExecutor& items,
+  RunHeartbeats(CoreContext& context, OwnerLocator& locator, RunTable& runs, ItemExecutor& executor,
                 const BatchRunnerOptions& options)
-      : context_(context), locator_(locator), runs_(runs), items_(items), options_(options) {}
+      : context_(context), locator_(locator), runs_(runs), executor_(executor), options_(options) {}
 
   /// Sends one heartbeat to each owner, for all of its runs that have not ended.
   void send();
@@ -30,16 +30,16 @@
   void onReply(const NodeId& from, const RunHeartbeatReply& reply);
 
  private:
-  void applyResult(const NodeId& from, Time sent, const RunHeartbeatResult& answer);
+  void applyResult(const NodeId& from, Time sent, const RunHeartbeatResult& result);
   RunReport reportOf(const RunKey& key, const BatchRun& run) const;
 
   CoreContext& context_;
   OwnerLocator& locator_;
   RunTable& runs_;
-  ItemExecutor& items_;
+  ItemExecutor& executor_;
   const BatchRunnerOptions& options_;
   std::uint64_t nextNumber_ = 1;
-  std::map<std::uint64_t, Time> sent_;  ///< By number of the heartbeat.
+  std::map<std::uint64_t, Time> sentAt_;  ///< By number of the heartbeat.
   Time lastSent_{};
 };
 
--- a/src/batch/waiting_items.cpp
+++ b/src/batch/waiting_items.cpp
@@ -4,7 +4,7 @@
 
 namespace shedshed {
 
-void WaitingItems::recallRequeued(Time now) {
+void WaitingItems::returnDueItems(Time now) {
   for (auto item = requeued_.begin(); item != requeued_.end();) {
     if (now < item->notBefore) {
       ++item;
@@ -27,9 +27,9 @@
 }
 
 bool WaitingItems::contains(std::uint64_t position) const {
-  const auto same = [position](const WaitingItem& item) { return item.position == position; };
-  return std::any_of(queue_.begin(), queue_.end(), same) ||
-         std::any_of(requeued_.begin(), requeued_.end(), same);
+  const auto atPosition = [position](const WaitingItem& item) { return item.position == position; };
+  return std::any_of(queue_.begin(), queue_.end(), atPosition) ||
+         std::any_of(requeued_.begin(), requeued_.end(), atPosition);
 }
 
 void WaitingItems::clear() {
--- a/src/batch/waiting_items.h
+++ b/src/batch/waiting_items.h
@@ -31,7 +31,7 @@
   void requeue(WaitingItem item) { requeued_.push_back(std::move(item)); }
 
   /// Moves the requeued items whose delay is over to the front of the queue.
-  void recallRequeued(Time now);
+  void returnDueItems(Time now);
 
   /// Removes and returns the first queued item that @p admitted accepts.
   std::optional<WaitingItem> takeFirst(const std::function<bool(const WaitingItem&)>& admitted);
--- a/tests/batch/queued_token_quota_model_test.cpp
+++ b/tests/batch/queued_token_quota_model_test.cpp
@@ -17,24 +17,26 @@
     R"("timeout_ms":1000,"service":"s","max_queued_tokens":100}}})";
 
 /// What a majority of replicas holds.
-struct Truth {
-  struct Row {
+struct ReplicatedState {
+  struct Partition {
     int owner = 0;
     std::uint64_t epoch = 1;
     std::map<std::string, std::string> rows;
   };
-  std::map<PartitionId, Row> partitions;
+  std::map<PartitionId, Partition> partitions;
 };
 
 /// One store's view: it believes to own a partition until it is told otherwise.
 class ModelStore : public PartitionStore {
  public:
-  ModelStore(Truth& truth, int index) : truth_(truth), index_(index) {}
+  ModelStore(ReplicatedState& replicated, int index) : replicated_(replicated), index_(index) {}
   void setListener(TableKind, PartitionListener& listener) override { listener_ = &listener; }
-  bool owns(const PartitionId& partition) const override { return believed_.count(partition) != 0; }
+  bool owns(const PartitionId& partition) const override {
+    return ownedEpochs_.count(partition) != 0;
+  }
   std::uint64_t epoch(const PartitionId& partition) const override {
-    const auto found = believed_.find(partition);
-    return found == believed_.end() ? 0 : found->second;
+    const auto found = ownedEpochs_.find(partition);
+    return found == ownedEpochs_.end() ? 0 : found->second;
   }
   NodeId ownerHint(const PartitionId& partition) const override {
     if (owns(partition)) {
@@ -48,17 +50,17 @@
     FakePartitionStore::apply(rows_[partition], entries);
     pending.push_back([this, partition, entries = std::move(entries), done = std::move(done),
                        epoch = epoch(partition)] {
-      Truth::Row& row = truth_.partitions.at(partition);
-      const bool current = row.epoch == epoch;
+      ReplicatedState::Partition& stored = replicated_.partitions.at(partition);
+      const bool current = stored.epoch == epoch;
       if (current) {
-        FakePartitionStore::apply(row.rows, entries);
+        FakePartitionStore::apply(stored.rows, entries);
       }
       done(current ? okStatus() : Status(makeError(ErrorCode::NotOwner)));
     });
   }
   void confirmOwnership(const PartitionId& partition, std::function<void(Status)> done) override {
     pending.push_back([this, partition, done = std::move(done), epoch = epoch(partition)] {
-      const bool current = truth_.partitions.at(partition).epoch == epoch;
+      const bool current = replicated_.partitions.at(partition).epoch == epoch;
       done(current ? okStatus() : Status(makeError(ErrorCode::NotOwner)));
     });
   }
@@ -79,27 +81,27 @@
       }
     }
   }
-  void take(const PartitionId& partition) {
-    Truth::Row& row = truth_.partitions[partition];
-    row.owner = index_;
-    rows_[partition] = row.rows;
-    believed_[partition] = ++row.epoch;
+  void takeOver(const PartitionId& partition) {
+    ReplicatedState::Partition& stored = replicated_.partitions[partition];
+    stored.owner = index_;
+    rows_[partition] = stored.rows;
+    ownedEpochs_[partition] = ++stored.epoch;
     if (partition.kind == TableKind::Batches) {
-      listener_->ownershipGained(partition, row.epoch, RecoveryKind::Complete);
+      listener_->ownershipGained(partition, stored.epoch, RecoveryKind::Complete);
     }
   }
   /// Learns what it has lost, and who owns.
-  void learn() {
-    for (const auto& [partition, row] : truth_.partitions) {
-      hints_[partition] = row.owner;
+  void refreshOwnership() {
+    for (const auto& [partition, stored] : replicated_.partitions) {
+      hints_[partition] = stored.owner;
     }
-    for (auto it = believed_.begin(); it != believed_.end();) {
-      if (truth_.partitions.at(it->first).epoch == it->second) {
+    for (auto it = ownedEpochs_.begin(); it != ownedEpochs_.end();) {
+      if (replicated_.partitions.at(it->first).epoch == it->second) {
         ++it;
         continue;
       }
       const PartitionId lost = it->first;
-      it = believed_.erase(it);
+      it = ownedEpochs_.erase(it);
       if (lost.kind == TableKind::Batches) {
         listener_->ownershipLost(lost);
       }
@@ -108,17 +110,17 @@
   std::deque<std::function<void()>> pending;
 
  private:
-  Truth& truth_;
+  ReplicatedState& replicated_;
   int index_;
   PartitionListener* listener_ = nullptr;
-  std::map<PartitionId, std::uint64_t> believed_;
+  std::map<PartitionId, std::uint64_t> ownedEpochs_;
   std::map<PartitionId, int> hints_;
   mutable std::map<PartitionId, std::map<std::string, std::string>> rows_;
 };
 
-class TokenModel {
+class QuotaSimulation {
  public:
-  TokenModel(std::uint64_t seed, BatchSafeguards safeguards) : random_(seed) {
+  QuotaSimulation(std::uint64_t seed, BatchSafeguards safeguards) : random_(seed) {
     harness_.random.seed(seed);
     configuration_.values[kSettingsRegister] = RegisterValue{1, kSettings};
     MemberList members;
@@ -132,7 +134,7 @@
     for (int index = 0; index < kStores; ++index) {
       const std::string name = "s" + std::to_string(index);
       directory_.set(name, NodeRole::Store, NodeState::Alive);
-      stores_.push_back(std::make_unique<ModelStore>(truth_, index));
+      stores_.push_back(std::make_unique<ModelStore>(replicated_, index));
       auto& ownerContext = harness_.context(name, ServiceId::BatchOwner);
       auto& quotaContext = harness_.context(name, ServiceId::WaitingTokens);
       owners_.push_back(std::make_unique<BatchOwnerCore>(ownerContext, *stores_.back(),
@@ -143,46 +145,46 @@
       harness_.attach(quotaContext, *quotas_.back());
     }
     for (std::uint32_t index = 0; index < kPartitionCount; ++index) {
-      truth_.partitions[PartitionId{TableKind::Batches, index}];
+      replicated_.partitions[PartitionId{TableKind::Batches, index}];
     }
-    truth_.partitions[QueuedTokenQuota::partition()];
+    replicated_.partitions[QueuedTokenQuota::partition()];
     for (auto& owner : owners_) {
       owner->start();
     }
-    for (const auto& entry : truth_.partitions) {
-      stores_[below(kStores)]->take(entry.first);
+    for (const auto& entry : replicated_.partitions) {
+      stores_[randomBelow(kStores)]->takeOver(entry.first);
     }
   }
 
   /// Runs the schedule. @return the most tokens that ever waited in accepted batches
   std::uint64_t run() {
-    std::uint64_t most = 0;
+    std::uint64_t maxQueued = 0;
     for (int step = 0; step < kSteps; ++step) {
-      act();
-      most = std::max(most, queuedTokens());
+      runStep();
+      maxQueued = std::max(maxQueued, queuedTokens());
     }
-    return most;
+    return maxQueued;
   }
   std::size_t accepted() const { return accepted_.size(); }
 
  private:
-  std::size_t below(std::size_t bound) { return random_() % bound; }
+  std::size_t randomBelow(std::size_t bound) { return random_() % bound; }
 
-  void act() {
-    switch (below(20)) {
+  void runStep() {
+    switch (randomBelow(20)) {
     case 0:
       submit();
       break;
     case 1:
-      cancelOne();
+      cancelBatch();
       break;
     case 2:
-      moveOne();
+      moveOwnership();
       break;
     case 3:
     case 11:
     case 12:
-      stores_[below(kStores)]->learn();
+      stores_[randomBelow(kStores)]->refreshOwnership();
       break;
     case 4:
     case 5:
@@ -194,27 +196,27 @@
     case 8:
     case 9:
     case 10:
-      complete();
+      completeWrites();
       break;
     default:
-      for (std::size_t count = below(40); count > 0; --count) {
-        deliver();
+      for (std::size_t count = randomBelow(40); count > 0; --count) {
+        deliverMessage();
       }
       break;
     }
   }
   void submit() {
     SubmitChunk chunk;
-    const bool again = !sent_.empty() && below(4) == 0;
+    const bool again = !sent_.empty() && randomBelow(4) == 0;
     if (again) {
-      chunk = sent_[below(sent_.size())];
+      chunk = sent_[randomBelow(sent_.size())];
     } else {
       chunk.request = ++lastRequest_;
       chunk.batchId = "b" + std::to_string(lastRequest_);
       chunk.itemCount = 1;
       chunk.items = {"item"};
       chunk.route = "r";
-      chunk.tokens = {20 + 10 * below(5)};
+      chunk.tokens = {20 + 10 * randomBelow(5)};
       chunk.last = true;
       std::string hashes;
       appendItemHashes(hashes, chunk.items);
@@ -222,66 +224,67 @@
       sent_.push_back(chunk);
     }
     const PartitionId partition = partitionOf(TableKind::Batches, chunk.batchId);
-    const int owner = truth_.partitions.at(partition).owner;
-    const std::size_t to = below(5) == 0 ? below(kStores) : static_cast<std::size_t>(owner);
+    const int owner = replicated_.partitions.at(partition).owner;
+    const std::size_t to =
+        randomBelow(5) == 0 ? randomBelow(kStores) : static_cast<std::size_t>(owner);
     harness_.queue.push_back(
         {NodeId{"front"}, NodeId{"s" + std::to_string(to)}, encodeMessage(chunk)});
   }
-  void cancelOne() {
+  void cancelBatch() {
     if (accepted_.empty()) {
       return;
     }
     auto chosen = accepted_.begin();
-    std::advance(chosen, static_cast<std::ptrdiff_t>(below(accepted_.size())));
+    std::advance(chosen, static_cast<std::ptrdiff_t>(randomBelow(accepted_.size())));
     BatchQuery query;
     query.kind = static_cast<std::uint8_t>(BatchQueryKind::Cancel);
     query.batchId = *chosen;
     ended_.insert(*chosen);
     const PartitionId partition = partitionOf(TableKind::Batches, query.batchId);
-    const int owner = truth_.partitions.at(partition).owner;
+    const int owner = replicated_.partitions.at(partition).owner;
     harness_.queue.push_back(
         {NodeId{"front"}, NodeId{"s" + std::to_string(owner)}, encodeMessage(query)});
   }
-  void moveOne() {
-    if (below(4) != 0) {
+  void moveOwnership() {
+    if (randomBelow(4) != 0) {
       return;
     }
-    const std::size_t to = below(kStores);
-    if (below(3) == 0) {
-      stores_[to]->take(QueuedTokenQuota::partition());
+    const std::size_t to = randomBelow(kStores);
+    if (randomBelow(3) == 0) {
+      stores_[to]->takeOver(QueuedTokenQuota::partition());
       return;
     }
     if (!sent_.empty()) {
-      const std::string& batchId = sent_[below(sent_.size())].batchId;
-      stores_[to]->take(partitionOf(TableKind::Batches, batchId));
+      const std::string& batchId = sent_[randomBelow(sent_.size())].batchId;
+      stores_[to]->takeOver(partitionOf(TableKind::Batches, batchId));
     }
   }
-  void complete() {
-    ModelStore& store = *stores_[below(kStores)];
-    for (std::size_t count = below(20); count > 0 && !store.pending.empty(); --count) {
+  void completeWrites() {
+    ModelStore& store = *stores_[randomBelow(kStores)];
+    for (std::size_t count = randomBelow(20); count > 0 && !store.pending.empty(); --count) {
       const auto done = std::move(store.pending.front());
       store.pending.pop_front();
       done();
     }
   }
-  void deliver() {
+  void deliverMessage() {
     if (harness_.queue.empty()) {
       return;
     }
     // Messages stay in their rough order; a few are far behind.
-    const std::size_t window = below(10) == 0 ? harness_.queue.size() : 3;
-    const std::size_t index = below(std::min(window, harness_.queue.size()));
-    if (below(15) == 0) {
+    const std::size_t window = randomBelow(10) == 0 ? harness_.queue.size() : 3;
+    const std::size_t index = randomBelow(std::min(window, harness_.queue.size()));
+    if (randomBelow(15) == 0) {
       harness_.queue.erase(harness_.queue.begin() + static_cast<std::ptrdiff_t>(index));
       return;
     }
-    harness_.deliverAt(index, below(15) == 0);
+    harness_.deliverAt(index, randomBelow(15) == 0);
   }
   std::uint64_t queuedTokens() {
     std::uint64_t total = 0;
     for (const SubmitChunk& chunk : sent_) {
       const PartitionId partition = partitionOf(TableKind::Batches, chunk.batchId);
-      if (truth_.partitions.at(partition).rows.count(metaKey(chunk.batchId)) == 0) {
+      if (replicated_.partitions.at(partition).rows.count(metaKey(chunk.batchId)) == 0) {
         continue;
       }
       accepted_.insert(chunk.batchId);
@@ -294,7 +297,7 @@
   RandomEngine random_;
   FakeDirectory directory_;
   FakeConfiguration configuration_;
-  Truth truth_;
+  ReplicatedState replicated_;
   std::vector<std::unique_ptr<ModelStore>> stores_;
   std::vector<std::unique_ptr<BatchOwnerCore>> owners_;
   std::vector<std::unique_ptr<QueuedTokenQuota>> quotas_;
@@ -306,14 +309,14 @@
 
 /// The most tokens over the limit that any seed shows, and the batches accepted by all.
 std::pair<std::uint64_t, std::size_t> runSeeds(const BatchSafeguards& safeguards) {
-  std::uint64_t worst = 0;
+  std::uint64_t maxQueued = 0;
   std::size_t accepted = 0;
   for (int seed = 1; seed <= kSeeds; ++seed) {
-    TokenModel model(static_cast<std::uint64_t>(seed), safeguards);
-    worst = std::max(worst, model.run());
-    accepted += model.accepted();
+    QuotaSimulation simulation(static_cast<std::uint64_t>(seed), safeguards);
+    maxQueued = std::max(maxQueued, simulation.run());
+    accepted += simulation.accepted();
   }
-  return {worst, accepted};
+  return {maxQueued, accepted};
 }
 
 /// Sends a reservation to a replaced quota owner that has not learnt of its loss. @return true if
@@ -322,13 +325,13 @@
   Harness harness;
   FakeDirectory directory;
   FakeConfiguration configuration;
-  Truth truth;
-  ModelStore first(truth, 0);
-  ModelStore second(truth, 1);
+  ReplicatedState replicated;
+  ModelStore first(replicated, 0);
+  ModelStore second(replicated, 1);
   HarnessContext& context = harness.context("s0", ServiceId::WaitingTokens);
   QueuedTokenQuota quota(context, first, configuration, directory, safeguards);
   harness.attach(context, quota);
-  first.take(QueuedTokenQuota::partition());
+  first.takeOver(QueuedTokenQuota::partition());
   QueuedTokensReport report;
   report.number = 1;
   report.quotaEpoch = first.epoch(QueuedTokenQuota::partition());
@@ -337,7 +340,7 @@
   }
   quota.receive(NodeId{"s1"}, encodeMessage(report));
   BOOST_REQUIRE(quota.isReady());
-  second.take(QueuedTokenQuota::partition());
+  second.takeOver(QueuedTokenQuota::partition());
   ReserveQueuedTokens request;
   request.number = 2;
   request.partition = PartitionId{TableKind::Batches, 0};
@@ -359,8 +362,8 @@
 BOOST_AUTO_TEST_SUITE(queued_token_quota_model)
 
 BOOST_AUTO_TEST_CASE(noScheduleExceedsTheLimit) {
-  const auto [worst, accepted] = runSeeds({});
-  BOOST_TEST(worst <= kLimit);
+  const auto [maxQueued, accepted] = runSeeds({});
+  BOOST_TEST(maxQueued <= kLimit);
   BOOST_TEST(accepted > 300U);
 }
 
@@ -375,14 +378,14 @@
   Harness harness;
   FakeDirectory directory;
   FakeConfiguration configuration;
-  Truth truth;
-  ModelStore store(truth, 0);
+  ReplicatedState replicated;
+  ModelStore store(replicated, 0);
   directory.set("s0", NodeRole::Store, NodeState::Alive);
   directory.set("s1", NodeRole::Store, NodeState::Dead);
   HarnessContext& context = harness.context("s0", ServiceId::WaitingTokens);
   QueuedTokenQuota quota(context, store, configuration, directory);
   harness.attach(context, quota);
-  store.take(QueuedTokenQuota::partition());
+  store.takeOver(QueuedTokenQuota::partition());
   quota.receive(NodeId{"s0"}, encodeMessage(QueuedTokensReport{}));
   const bool queried =
       std::any_of(harness.queue.begin(), harness.queue.end(), [](const auto& envelope) {
--- a/tests/batch/queued_token_table_test.cpp
+++ b/tests/batch/queued_token_table_test.cpp
@@ -36,16 +36,16 @@
   QueuedTokenTable table;
   table.reserve(reservation("older", 10, 1), 100);
   table.reserve(reservation("younger", 20, 3), 100);
-  BOOST_TEST(table.adopt(PartitionTokens{kPartition, 1, {}}, 2));
+  BOOST_TEST(table.applyReport(PartitionTokens{kPartition, 1, {}}, 2));
   BOOST_TEST(table.queuedTokens(kAccount) == 20U);
 }
 
 BOOST_AUTO_TEST_CASE(olderReportsAndEpochsAreIgnored) {
   QueuedTokenTable table;
   const PartitionTokens current{kPartition, 2, {{"batch", kAccount, 30}}};
-  BOOST_TEST(table.adopt(current, 5));
-  BOOST_TEST(!table.adopt(PartitionTokens{kPartition, 2, {}}, 4));
-  BOOST_TEST(!table.adopt(PartitionTokens{kPartition, 1, {}}, 9));
+  BOOST_TEST(table.applyReport(current, 5));
+  BOOST_TEST(!table.applyReport(PartitionTokens{kPartition, 2, {}}, 4));
+  BOOST_TEST(!table.applyReport(PartitionTokens{kPartition, 1, {}}, 9));
   BOOST_TEST((table.reserve(reservation("late", 1, 9, 1), 100) == ReserveOutcome::NotReady));
   BOOST_TEST(table.queuedTokens(kAccount) == 30U);
 }
--- a/tests/batch/waiting_items_test.cpp
+++ b/tests/batch/waiting_items_test.cpp
@@ -45,10 +45,10 @@
   WaitingItems items;
   items.add(itemAt(1));
   items.requeue(itemAt(2, "m", kStart + 5ms));
-  items.recallRequeued(kStart + 4ms);
+  items.returnDueItems(kStart + 4ms);
   BOOST_TEST(items.requeued() == 1U);
   BOOST_TEST(items.contains(2));
-  items.recallRequeued(kStart + 5ms);
+  items.returnDueItems(kStart + 5ms);
   BOOST_TEST(items.requeued() == 0U);
   BOOST_TEST(items.takeFirst(any)->position == 2U);
 }
