--- a/src/batch/batch_client.h
+++ b/src/batch/batch_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// The callers' side of durable batches.
+/// Client interface of durable batches.
 #pragma once
 
 #include "kernel/error.h"
@@ -15,26 +15,26 @@
 /// State of one item. `Done`, `Failed`, `Cancelled` and `Unknown` are final and never change.
 enum class ItemState : std::uint8_t {
   Pending = 1,
-  Started = 2,  ///< Durable before the first byte goes to an engine.
+  Started = 2,  ///< Durable before the first byte is sent to an engine.
   Done = 3,
-  Failed = 4,     ///< The engine answered with an error, or the item is invalid.
-  Cancelled = 5,  ///< Was never started.
-  Unknown = 6,    ///< Started by a runner that was lost; may not be repeated.
+  Failed = 4,     ///< The engine returned an error, or the item is invalid.
+  Cancelled = 5,  ///< Never started.
+  Unknown = 6,    ///< Started by a runner that was lost; must not be repeated.
 };
 
-/// Most items of a batch whose items have names: the commit record carries the names.
+/// Maximum number of items in a batch whose items have names. The commit record contains the names.
 inline constexpr std::size_t kMaxNamedItems = 1000;
 
-/// A batch as handed in.
+/// A batch to be submitted.
 struct BatchSubmission {
   std::string tenant;
-  std::string clientKey;           ///< The caller's own key; a resend returns the same batch.
-  bool idempotentItems = false;    ///< Items may be run again after a lost runner.
-  std::vector<std::string> items;  ///< Bodies, in order.
-  /// Names of the items, in the same order; empty if they have none. At most `kMaxNamedItems`.
+  std::string clientKey;           ///< Idempotency key; a resend returns the same batch.
+  bool idempotentItems = false;    ///< Items may be rerun after their runner is lost.
+  std::vector<std::string> items;  ///< Bodies, by position.
+  /// Names of the items, by position; empty if they have none. At most `kMaxNamedItems`.
   std::vector<std::string> names;
-  std::string route;  ///< Name of the route that took the batch; empty if none did.
-  /// Tokens of each item, in the same order, that count against the route's bound; may be empty.
+  std::string route;  ///< Name of the route that received the batch; empty if none did.
+  /// Tokens of each item, by position, that count towards the route's limit; may be empty.
   std::vector<std::uint64_t> tokens;
 };
 
@@ -50,31 +50,31 @@
   std::uint64_t cancelledItems = 0;
   std::uint64_t unknown = 0;
   bool cancelled = false;
-  bool resent = false;  ///< In the answer to a submission: it had been accepted before.
+  bool resent = false;  ///< In the reply to a submission: the batch had already been accepted.
   MSGPACK_DEFINE(id, tenant, itemCount, pending, started, done, failed, cancelledItems, unknown,
                  cancelled, resent);
 };
 
-/// One item's final result, at its fixed position.
+/// Final result of one item.
 struct ItemResult {
   std::uint64_t position = 0;
   ItemState state = ItemState::Pending;
-  std::string body;       ///< The engine's answer, for `Done`.
+  std::string body;       ///< The engine's response, for `Done`.
   std::string errorType;  ///< Stable error type, for `Failed` and `Unknown`.
   std::string name;       ///< Empty if the batch's items have no names.
   MSGPACK_DEFINE(position, state, body, errorType, name);
 };
 
-/// Results from a position on, without gaps: the list ends before the first unfinished item.
+/// Consecutive results from a position on. The list ends before the first unfinished item.
 struct ResultPage {
   std::vector<ItemResult> results;
-  std::uint64_t next = 0;       ///< Position to ask for next.
-  bool complete = false;        ///< All items have a final result and this page reached the end.
-  std::uint64_t itemCount = 0;  ///< Of the batch.
+  std::uint64_t next = 0;       ///< Position at which the next page starts.
+  bool complete = false;        ///< All items have a final result, and this is the last page.
+  std::uint64_t itemCount = 0;  ///< Number of items in the batch.
   MSGPACK_DEFINE(results, next, complete, itemCount);
 };
 
-/// An unfinished item's body.
+/// State and body of an unfinished item.
 struct UnfinishedItem {
   std::uint64_t position = 0;
   ItemState state = ItemState::Pending;
@@ -82,8 +82,8 @@
   MSGPACK_DEFINE(position, state, body);
 };
 
-/// Hands in, reads and cancels batches, from any data node. Core thread only. Every callback is
-/// called once. A caller sees only its own tenant's batches: others are `NotFound`.
+/// Submits, reads and cancels batches, from any data node. Core thread only. Every callback is
+/// called once. A caller sees only the batches of its own tenant; others are `NotFound`.
 class BatchClient {
  public:
   virtual ~BatchClient() = default;
--- a/src/batch/batch_client_core.cpp
+++ b/src/batch/batch_client_core.cpp
@@ -8,11 +8,11 @@
 namespace shedshed {
 namespace {
 
-/// Redirects followed at once between two timer events; two stores that each name the other must
-/// not make a storm.
+/// Maximum number of redirects followed between two timer events. Limits the messages caused by
+/// two stores that redirect to each other.
 constexpr std::uint32_t kMaxRedirects = 3;
 
-/// Answers that no retransmission of the request can change.
+/// True for errors that end a request, because a retransmission does not help.
 bool isFinalError(ErrorCode code) {
   switch (code) {
   case ErrorCode::NotFound:
@@ -28,7 +28,7 @@
   }
 }
 
-/// Rejections of a submission that a retransmission may not meet a moment later.
+/// True for rejections of a submission that another transmission may not encounter.
 bool isTransientRejection(ErrorCode code) {
   return code == ErrorCode::StorageFull || code == ErrorCode::PoolFull ||
          code == ErrorCode::StoreUnavailable;
@@ -52,7 +52,8 @@
     : context_(context), locator_(locator), options_(options) {}
 
 void BatchClientCore::start() {
-  // A restarted process never uses the numbers of an earlier one.
+  // A random start, so that a restarted process does not reuse the request numbers of the
+  // previous one.
   nextRequestNumber_ = context_.random()();
 }
 
@@ -78,7 +79,7 @@
 
 Error BatchClientCore::timeoutError(const Request& request) {
   if (const Upload* upload = std::get_if<Upload>(&request.content)) {
-    // Without the chunk that commits, the others never count.
+    // Chunks have no effect until the committing chunk arrives.
     return upload->commitSent ? makeError(ErrorCode::OutcomeUnknown, {}, Ran::Unknown)
                               : makeError(ErrorCode::StoreUnavailable);
   }
@@ -305,7 +306,7 @@
                                     const BatchReply& reply) {
   Upload& upload = std::get<Upload>(request.content);
   if (reply.nextChunk == upload.nextChunk || reply.nextChunk >= upload.chunks.size()) {
-    // The chunk in flight is the one requested; a lost one is handled by the timer.
+    // The requested chunk is already in flight. If it is lost, the timer resends it.
     return;
   }
   if (reply.nextChunk > upload.nextChunk) {
@@ -329,7 +330,7 @@
       return;
     }
     if (reply.owner.empty() || reply.owner == from) {
-      // No owner is known yet: the timer tries the next candidate.
+      // The owner is not known yet. The timer tries the next candidate.
       return;
     }
     locator_.redirected(partition, reply.owner);
@@ -343,8 +344,8 @@
     return;
   }
   if (upload != nullptr && isTransientRejection(code) && !upload->openCommits.empty()) {
-    // Another transmission of the commit may still find capacity: its answer, or the deadline,
-    // decides.
+    // Another transmission of the committing chunk may still be accepted: wait for its reply or
+    // the deadline.
     return;
   }
   finish(number, makeError(code, reply.detail));
--- a/src/batch/batch_client_core.h
+++ b/src/batch/batch_client_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// Callers' side of durable batches, on the data nodes.
+/// Client of the batch owners, on the data nodes.
 #pragma once
 
 #include "batch/batch_client.h"
@@ -13,26 +13,26 @@
 
 namespace shedshed {
 
-/// Sizes and times of the client.
+/// Options of `BatchClientCore`.
 struct BatchClientOptions {
-  /// A request without an answer is sent again, to the next candidate, after this time.
+  /// An unanswered request is resent to the next candidate after this time.
   Duration retryAfter = std::chrono::milliseconds(500);
-  /// A request without any progress for this long fails.
+  /// A request that makes no progress for this long fails.
   Duration deadline = std::chrono::seconds(10);
-  /// Bound of the bodies in one chunk, in bytes; a single larger item is a chunk of its own.
+  /// Maximum total size of the bodies in one chunk; a larger item is sent in a chunk of its own.
   std::uint64_t maxChunkBytes = 256U << 10U;
-  /// Bound of the items in one chunk.
+  /// Maximum number of items in one chunk.
   std::uint64_t maxChunkItems = 10000;
 };
 
-/// Sends each request until it is answered, to whichever store owns the batch.
+/// Sends each request to the store that owns the batch, and resends it until it is answered.
 ///
-/// A submission goes out one chunk at a time; the owner's answer names the chunk to send
-/// next, so that a new owner can ask for all of them again. The batch id stays the same on every
-/// resend, which makes a resend harmless.
+/// A submission is sent one chunk at a time. The owner's reply names the chunk to send next, so
+/// that a new owner can request all chunks again. Every resend has the same batch id and is
+/// therefore idempotent.
 class BatchClientCore : public Core, public BatchClient {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   BatchClientCore(CoreContext& context, OwnerLocator& locator, BatchClientOptions options = {});
 
   void start() override;
@@ -53,7 +53,7 @@
               std::function<void(Result<BatchStatus>)> done) override;
 
  private:
-  /// Range of items, [first, end).
+  /// Half-open range of item positions, [first, end).
   struct ChunkRange {
     std::uint64_t first = 0;
     std::uint64_t end = 0;
@@ -64,14 +64,14 @@
     std::vector<ChunkRange> chunks;
     std::uint64_t nextChunk = 0;
     bool commitSent = false;
-    /// Transmissions of the chunk that commits without a rejection so far.
+    /// Transmissions of the committing chunk that have not been rejected.
     std::set<std::uint32_t> openCommits;
   };
   struct Request {
     std::string batchId;
     std::variant<BatchQuery, Upload> content;
     std::uint32_t attempt = 0;
-    std::uint32_t transmissions = 0;  ///< Sent in all.
+    std::uint32_t transmissions = 0;  ///< Total number sent.
     std::uint32_t redirects = 0;      ///< Followed since the last timer event.
     NodeId lastTarget;                ///< Node of the last transmission.
     Time lastProgress{};
@@ -88,7 +88,8 @@
   void onFailure(const NodeId& from, std::uint64_t number, Request& request,
                  const BatchReply& reply);
   void onChunkStored(std::uint64_t number, Request& request, const BatchReply& reply);
-  /// Error of a request after its deadline: unknown if it may still take effect.
+  /// Returns the error of a request after its deadline: `OutcomeUnknown` if it may still take
+  /// effect.
   static Error timeoutError(const Request& request);
   void finish(std::uint64_t number, Result<BatchReply> result);
   std::vector<ChunkRange> splitIntoChunks(const std::vector<std::string>& items) const;
--- a/src/batch/batch_runner_core.cpp
+++ b/src/batch/batch_runner_core.cpp
@@ -16,7 +16,7 @@
       heartbeats_(context, locator, runs_, executor_, options_) {}
 
 void BatchRunnerCore::start() {
-  runs_.setIncarnation(context_.random()() | 1U);  // Never 0, which means "not known".
+  runs_.setIncarnation(context_.random()() | 1U);  // Never 0, which means "unknown".
   context_.startTimer(kTickTimer, options_.tickInterval);
 }
 
--- a/src/batch/batch_runner_core.h
+++ b/src/batch/batch_runner_core.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs the items of batches, on the data nodes.
+/// Runner of batch items, on the data nodes.
 #pragma once
 
 #include "batch/batch_runner_options.h"
@@ -15,20 +15,20 @@
 
 /// Runs batches that their owners assign to this node.
 ///
-/// Dispatches messages and timers to its parts: `RunTable` (the runs), `RunHeartbeats` (the lease
-/// under which items may start), `ItemFetcher` (pages of pending items), `ItemSlots` (slots) and
-/// `ItemExecutor` (start, engine, report).
+/// Dispatches messages and timers to its components: `RunTable` (the runs), `RunHeartbeats` (the
+/// lease under which items may start), `ItemFetcher` (pages of pending items), `ItemSlots` (slots)
+/// and `ItemExecutor` (start, engine call, report).
 ///
-/// An assignment may be old. It starts nothing by itself: the lease begins with the first reply to
-/// a heartbeat, from an owner that has proved its ownership. A run with a newer epoch ends all
-/// earlier runs of the batch here. Core thread only.
+/// An assignment may be outdated and therefore starts no item by itself: the lease begins with the
+/// first heartbeat reply, from an owner that has confirmed its ownership. A run with a newer epoch
+/// ends all earlier runs of the batch on this node. Core thread only.
 class BatchRunnerCore : public Core {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   BatchRunnerCore(CoreContext& context, OwnerLocator& locator, SlotClient& slots,
                   EngineRunner& engines, ConfigurationSource& configuration,
                   BatchRunnerOptions options = {});
-  // The parts refer to each other.
+  // The components hold references to each other.
   BatchRunnerCore(const BatchRunnerCore&) = delete;
   BatchRunnerCore& operator=(const BatchRunnerCore&) = delete;
 
@@ -36,13 +36,13 @@
   void receive(const NodeId& from, const Message& message) override;
   void timerExpired(TimerId timer) override;
 
-  /// Graceful shutdown: starts nothing any more, finishes what runs, and returns each run to its
-  /// owner once it is idle.
+  /// Starts a graceful shutdown: starts no more items, finishes those in flight, and returns each
+  /// run to its owner once it is idle.
   void drain();
-  /// True when no item is in flight and no result waits for its acknowledgement.
+  /// True if no item is in flight and no result awaits its acknowledgement.
   bool idle() const;
 
-  /// True while draining once the owners know of every run that it is over here.
+  /// While draining: true once every run has ended and its owner knows it.
   bool allRunsReturned() const;
 
  private:
@@ -50,10 +50,11 @@
 
   void onAssign(const NodeId& from, const AssignRun& assign);
   void onItemsPage(const ItemsPage& page);
-  /// Repeated with each tick until the reply to a heartbeat ends the run.
+  /// Returns an idle run to its owner while draining. Repeated on each tick until a heartbeat reply
+  /// ends the run.
   void returnIfDrained(const RunKey& key, const BatchRun& run);
   void tick();
-  /// Items whose slots were rejected request again.
+  /// Requests slots again for rejected items whose delay is over.
   void retryRejected();
 
   CoreContext& context_;
--- a/src/batch/batch_runner_options.h
+++ b/src/batch/batch_runner_options.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sizes and times of the runner of batches.
+/// Options of the batch runner.
 #pragma once
 
 #include "kernel/time.h"
@@ -8,25 +8,26 @@
 
 namespace shedshed {
 
-/// Options of `BatchRunnerCore`, shared by its parts.
+/// Options of `BatchRunnerCore`, shared by its components.
 struct BatchRunnerOptions {
-  std::uint32_t maxItemsInFlightPerBatch = 16;  ///< Items of one batch in flight at once.
-  std::uint32_t maxItemsInFlight = 64;          ///< Items of all batches in flight at once.
+  std::uint32_t maxItemsInFlightPerBatch = 16;  ///< Concurrent items of one batch.
+  std::uint32_t maxItemsInFlight = 64;          ///< Concurrent items of all batches.
   Duration tickInterval = std::chrono::milliseconds(250);
   Duration heartbeatInterval = std::chrono::seconds(1);
-  /// Without an acknowledged heartbeat sent within this time no item is started.
+  /// No item starts unless a heartbeat that was sent within this time has been acknowledged.
   Duration leaseDuration = std::chrono::seconds(3);
-  /// An acknowledged start that was requested longer ago than this is reverted and not run: the
-  /// batch may have been cancelled since.
+  /// A start that is acknowledged later than this after its request is reverted and not run,
+  /// because the batch may have been cancelled in the meantime.
   Duration maxStartAge = std::chrono::milliseconds(2500);
-  /// Unacknowledged messages to the owner are repeated after this time.
+  /// Unacknowledged messages to the owner are resent after this time.
   Duration resendInterval = std::chrono::seconds(1);
-  /// Pause after an engine rejected an item without running it, and between two passes.
+  /// Delay after an engine rejected an item without running it, and between two passes over the
+  /// pending items.
   Duration retryDelay = std::chrono::seconds(2);
-  /// Engine calls for one idempotent item by this runner before its outcome is `Unknown`.
+  /// Engine calls by this runner for one idempotent item before its outcome becomes `Unknown`.
   std::uint32_t maxEngineCallsPerItem = 3;
 
-  /// Items that are fetched from the owner at once.
+  /// Number of items requested from the owner in one page.
   std::uint32_t pageSize() const { return 2 * maxItemsInFlightPerBatch; }
 };
 
--- a/src/batch/item_executor.cpp
+++ b/src/batch/item_executor.cpp
@@ -7,11 +7,11 @@
 namespace shedshed {
 namespace {
 
-/// Lowest and highest HTTP status of success.
+/// Range of HTTP status codes that indicate success.
 constexpr int kSuccessFirst = 200;
 constexpr int kSuccessLast = 299;
 
-/// Errors that no later attempt changes.
+/// True for errors that every further attempt would return.
 bool isPermanent(ErrorCode code) {
   return code == ErrorCode::InvalidArgument || code == ErrorCode::TooLarge;
 }
@@ -41,7 +41,7 @@
   const auto active = std::count_if(run.items.begin(), run.items.end(), [](const auto& entry) {
     return entry.second.phase != AttemptPhase::Reporting;
   });
-  // Unacknowledged results count as well: a lost owner must not let them pile up.
+  // Unacknowledged results count as well, so that they do not accumulate while the owner is lost.
   return active < options_.maxItemsInFlightPerBatch && itemsInFlight_ < options_.maxItemsInFlight &&
          run.items.size() + run.waiting.requeued() < options_.pageSize();
 }
@@ -53,7 +53,7 @@
   item.model = std::move(next.model);
   ++itemsInFlight_;
   if (item.model.empty()) {
-    // Its one result is a failure; it needs no engine and so no slots.
+    // The item can only fail. It needs no engine and therefore no slots.
     requestStart(key, run, next.position);
     return;
   }
@@ -143,7 +143,7 @@
   callEngine(key, *run, reply.position);
 }
 
-/// A late duplicate of a start became durable at the owner; no attempt here runs for it.
+/// Reverts a start that became durable from a delayed duplicate, for an attempt that has ended.
 void ItemExecutor::revertUnknownStart(const RunKey& key, const StartReply& reply) {
   const NodeId owner = locator_.candidate(partitionOfBatch(reply.batchId), 0);
   if (!owner.empty()) {
@@ -254,7 +254,7 @@
                               ItemAttempt& item) {
   if (item.phase == AttemptPhase::Starting &&
       context_.now() - item.startRequestedAt > options_.maxStartAge) {
-    // Do not keep slots for an owner that does not reply.
+    // Do not hold slots while the owner does not reply.
     revertStart(key, run, position, false);
     return;
   }
@@ -264,7 +264,7 @@
   }
   item.lastSent = context_.now();
   if (run.ended) {
-    // Ended runs send no heartbeats that would find a new owner.
+    // Ended runs send no heartbeats, which would otherwise find the new owner.
     ++run.locatorAttempt;
   }
   const NodeId owner = runs_.ownerOf(run);
@@ -293,8 +293,7 @@
 void ItemExecutor::stopStarting(const RunKey& key, BatchRun& run) {
   run.waiting.clear();
   for (auto& [position, item] : run.items) {
-    // A start without a reply may or may not be durable: the owner must learn that this attempt
-    // will not run.
+    // An unacknowledged start may be durable: notify the owner that this attempt will not run.
     if (item.phase == AttemptPhase::Starting) {
       revertStart(key, run, position, false);
     }
--- a/src/batch/item_executor.h
+++ b/src/batch/item_executor.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs single items: slots, start, engine, report.
+/// Execution of single items: slots, start, engine call, report.
 #pragma once
 
 #include "batch/batch_runner_options.h"
@@ -10,38 +10,40 @@
 
 namespace shedshed {
 
-/// Takes items of a run through their phases: acquire slots, have the owner make `Started`
-/// durable, call the engine at once, release the slots, report until the owner acknowledges.
+/// Executes the phases of each item: acquires slots, requests that the owner make `Started`
+/// durable, calls the engine immediately, releases the slots, and reports the result until the
+/// owner acknowledges it.
 ///
-/// Each attempt has a number that this process never reuses: a reply with another number belongs
-/// to another attempt. An accepted start that is too old, or whose run may not start any more, is
-/// reverted and not run. If this process crashes, the owner resolves what it had started under the
+/// Each attempt has a number that this process never reuses, so that replies to other attempts are
+/// recognized. An accepted start that is too old, or whose run may no longer start items, is
+/// reverted and not run. If this process crashes, the owner resolves the started items under the
 /// next run epoch. Core thread only.
 class ItemExecutor {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   ItemExecutor(CoreContext& context, const OwnerLocator& locator, RunTable& runs,
                ItemFetcher& fetcher, ItemSlots& slots, EngineRunner& engines,
                const BatchRunnerOptions& options)
       : context_(context), locator_(locator), runs_(runs), fetcher_(fetcher), slots_(slots),
         engines_(engines), options_(options) {}
 
-  /// Starts waiting items of a run while it may start and has capacity; fetches more if none waits.
+  /// Starts waiting items while the run may start items and there is capacity; fetches more if none
+  /// can start.
   void startWaitingItems(const RunKey& key);
-  /// The run starts nothing any more: drops what waits, and reverts starts without a reply.
+  /// Stops the run from starting items: drops waiting items and reverts unacknowledged starts.
   void stopStarting(const RunKey& key, BatchRun& run);
-  /// Repeats the unacknowledged messages of a run, and reverts starts that are too old.
+  /// Resends the unacknowledged messages of a run and reverts starts that are too old.
   void resend(const RunKey& key, BatchRun& run);
 
   void onStartReply(const StartReply& reply);
   void onFinishReply(const FinishReply& reply);
 
-  /// The number that the next attempt will have. Attempts below it that are not in flight are over.
+  /// The number of the next attempt. Attempts with lower numbers that are not in flight have ended.
   std::uint64_t nextAttempt() const { return nextAttempt_; }
 
  private:
   bool hasCapacity(const BatchRun& run) const;
-  /// Returns the attempt if it is in flight, else null.
+  /// Returns the attempt, or null if it is not in flight.
   static ItemAttempt* findAttempt(BatchRun* run, std::uint64_t position, std::uint64_t attempt);
   void beginItem(const RunKey& key, BatchRun& run, WaitingItem next);
   void onSlotReply(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
@@ -54,7 +56,8 @@
   void onEngineError(const RunKey& key, BatchRun& run, std::uint64_t position, const Error& error);
   void finishItem(const RunKey& key, BatchRun& run, std::uint64_t position, ItemState state,
                   std::string body, ErrorCode code);
-  /// Reports that the item may run again. @p mayHaveRun: the attempt may have reached an engine.
+  /// Reports that the item may run again. @p mayHaveRun is true if the attempt may have reached an
+  /// engine.
   void revertStart(const RunKey& key, BatchRun& run, std::uint64_t position, bool mayHaveRun);
   /// Releases the slots and sends @p message until it is acknowledged.
   void report(BatchRun& run, ItemAttempt& item, Message message);
@@ -68,7 +71,7 @@
   EngineRunner& engines_;
   const BatchRunnerOptions& options_;
   std::uint64_t nextAttempt_ = 1;
-  std::uint32_t itemsInFlight_ = 0;  ///< Items that acquire, start or run, of all runs.
+  std::uint32_t itemsInFlight_ = 0;  ///< Items of all runs before the reporting phase.
 };
 
 }  // namespace shedshed
--- a/src/batch/item_fetcher.cpp
+++ b/src/batch/item_fetcher.cpp
@@ -3,10 +3,10 @@
 namespace shedshed {
 namespace {
 
-/// A page that has not arrived is requested again after this time.
+/// A missing page is requested again after this time.
 constexpr Duration kFetchTimeout = std::chrono::seconds(1);
 
-/// Pages of waiting items that a run keeps at most.
+/// Maximum number of pages in the queue of a run.
 constexpr std::size_t kMaxQueuedPages = 4;
 
 }  // namespace
@@ -14,7 +14,8 @@
 void ItemFetcher::fetch(const RunKey& key, BatchRun& run) {
   const bool inFlight = run.fetchSent && context_.now() - *run.fetchSent < kFetchTimeout;
   const bool betweenPasses = run.fetchFrom == 0 && context_.now() < run.nextPass;
-  // Items whose model's pool is full stay in the queue; a few pages are searched for others.
+  // Items stay in the queue while the pool of their model is full. Fetching a few pages more finds
+  // items of other models.
   const bool full = run.waiting.queued() >= kMaxQueuedPages * options_.pageSize();
   if (inFlight || betweenPasses || full) {
     return;
@@ -41,7 +42,7 @@
     }
   }
   if (page.next == 0) {
-    // The pass is over; what became pending again is found by the next one, after a pause.
+    // The pass is over. The next one, after a delay, finds items that became pending again.
     run->nextPass = context_.now() + options_.retryDelay;
   }
   return true;
--- a/src/batch/item_fetcher.h
+++ b/src/batch/item_fetcher.h
@@ -1,5 +1,5 @@
 /// @file
-/// Fetches the pending items of runs from the owner, page by page.
+/// Paged fetching of pending items from the owner of a batch.
 #pragma once
 
 #include "batch/batch_runner_options.h"
@@ -8,20 +8,21 @@
 
 namespace shedshed {
 
-/// Keeps the queue of each run filled. A pass goes over all positions; items that became pending
-/// again are found by the next pass. A page that is late or repeated is ignored by its position.
-/// Core thread only.
+/// Fills the queue of each run. A pass covers all positions; items that become pending again are
+/// found by the next pass. Delayed and duplicate pages are recognized by their position and
+/// ignored. Core thread only.
 class ItemFetcher {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   ItemFetcher(CoreContext& context, RunTable& runs, const EngineRunner& engines,
               const BatchRunnerOptions& options)
       : context_(context), runs_(runs), engines_(engines), options_(options) {}
 
-  /// Requests the next page unless one is in flight, the pass is over or the queue is full.
+  /// Requests the next page, unless one is in flight, the delay between two passes is not over or
+  /// the queue is full.
   void fetch(const RunKey& key, BatchRun& run);
 
-  /// Queues the items of a page. False if the page was not the one requested.
+  /// Queues the items of a page. Returns false if this page was not requested.
   bool onItemsPage(const ItemsPage& page);
 
  private:
--- a/src/batch/item_slots.cpp
+++ b/src/batch/item_slots.cpp
@@ -6,7 +6,7 @@
 namespace shedshed {
 namespace {
 
-/// Items by which a window of slots grows in the time after which a rejected item returns.
+/// Number of items by which the admission window grows during one requeue delay.
 constexpr int kWindowStepsPerRequeue = 10;
 
 }  // namespace
@@ -19,7 +19,7 @@
   request.requestId = key.first + "-" + std::to_string(position);
   request.serviceClass = SlotClass::BatchItem;
   SlotLimit limit;
-  limit.failOpen = false;  // Without a proof of idle capacity, live calls come first.
+  limit.failOpen = false;  // Live calls have priority unless idle capacity is confirmed.
   limit.timeToLive = settings.itemSlotTtl;
   limit.pool = {"tenant", run.assignment.tenant};
   request.limits.push_back(limit);
--- a/src/batch/item_slots.h
+++ b/src/batch/item_slots.h
@@ -1,5 +1,5 @@
 /// @file
-/// Slots of the items of a run.
+/// Acquisition and release of slots for the items of a run.
 #pragma once
 
 #include "batch/batch_run.h"
@@ -13,34 +13,34 @@
 
 namespace shedshed {
 
-/// Requests slots of the tenant's and the model's pool for one item, and gives them back.
-/// `ItemAdmission` of the item's model is notified of each request and its outcome. Core thread
+/// Acquires slots of the tenant's and the model's pool for single items, and releases them.
+/// Notifies the `ItemAdmission` of the item's model of each request and its outcome. Core thread
 /// only.
 class ItemSlots {
  public:
-  /// Expires when a rejected item of a run with a share may request again.
+  /// Expires when a rejected item of a run with a share may request slots again.
   static constexpr TimerId kRetryTimer = 2;
 
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   ItemSlots(CoreContext& context, RunTable& runs, SlotClient& slots, const BatchSettings& settings,
             const BatchRunnerOptions& options)
       : context_(context), runs_(runs), slots_(slots), settings_(settings), options_(options) {}
 
-  /// Requests slots for the item at @p position. After @p done, call `granted` or `rejected` if
+  /// Requests slots for the item at @p position. From @p done, call `onGranted` or `onRejected` if
   /// the attempt is still in flight, else `releaseUnclaimed`.
   void acquire(const RunKey& key, BatchRun& run, std::uint64_t position,
                std::function<void(const Result<SlotGrant>&)> done);
 
   void onGranted(BatchRun& run, ItemAttempt& item, const SlotGrant& grant);
-  /// @return the delay after which the item may request again, varied by up to half of it, so that
-  /// the items of a burst do not return together
+  /// @return the delay before the item may request slots again. A random jitter of up to half of
+  /// the delay is added, so that the items of a burst do not retry simultaneously.
   Duration onRejected(BatchRun& run, const std::string& model);
-  /// Releases a grant that no item waits for.
+  /// Releases a grant whose attempt is no longer in flight.
   void releaseUnclaimed(const Result<SlotGrant>& grant);
   /// Releases the slots of an item, if it has any.
   void release(BatchRun& run, ItemAttempt& item);
 
-  /// Items of a run that wait for slots or have them.
+  /// Number of items of a run that wait for slots or hold them.
   static std::uint32_t requestedSlots(const BatchRun& run);
 
  private:
--- a/src/batch/queued_token_messages.h
+++ b/src/batch/queued_token_messages.h
@@ -1,8 +1,7 @@
 /// @file
-/// Messages between the owners of batches and the quota of queued tokens.
+/// Messages between the owners of batches and the queued-token quota.
 ///
-/// All are idempotent: a request that arrives twice, or again after its reply was lost, has the
-/// effect of one.
+/// All messages are idempotent: a duplicate, or a retry after a lost reply, has no further effect.
 #pragma once
 
 #include "kernel/message.h"
@@ -17,9 +16,9 @@
 
 namespace shedshed {
 
-/// Whose tokens are counted together: those of one tenant on one route.
+/// Tokens are counted per account: one tenant on one route.
 struct TokenAccount {
-  std::string tenant;  ///< Empty if the settings name no tenants.
+  std::string tenant;  ///< Empty if the settings define no tenants.
   std::string route;
 
   bool operator==(const TokenAccount& other) const {
@@ -31,7 +30,7 @@
   MSGPACK_DEFINE(tenant, route);
 };
 
-/// The queued tokens of one batch: those of its items without a final state.
+/// Queued tokens of one batch: the sum over its items without a final state.
 struct QueuedBatch {
   std::string batchId;
   TokenAccount account;
@@ -39,8 +38,8 @@
   MSGPACK_DEFINE(batchId, account, tokens);
 };
 
-/// All batches with queued tokens in one partition, as its owner at `epoch` knows them, and those
-/// with an open reservation.
+/// All batches of one partition that have queued tokens or an open reservation, according to the
+/// owner at `epoch`.
 struct PartitionTokens {
   PartitionId partition;
   std::uint64_t epoch = 0;
@@ -48,25 +47,25 @@
   MSGPACK_DEFINE(partition, epoch, batches);
 };
 
-/// Owner of a batch → quota: may this batch be accepted?
+/// Owner of a batch → quota: requests a reservation before the batch is accepted.
 struct ReserveQueuedTokens {
   static constexpr ServiceId kService = ServiceId::WaitingTokens;
   static constexpr std::uint16_t kKind = 1;
-  std::uint64_t number = 0;  ///< Numbers all messages of one process to the quota.
+  std::uint64_t number = 0;  ///< Sequence number over all messages of one process to the quota.
   PartitionId partition;     ///< Of the batch.
-  std::uint64_t epoch = 0;   ///< At which the sender owns that partition.
+  std::uint64_t epoch = 0;   ///< Epoch at which the sender owns the partition.
   QueuedBatch batch;
   MSGPACK_DEFINE(number, partition, epoch, batch);
 };
 
 enum class ReserveOutcome : std::uint8_t {
   Granted = 1,
-  Full = 2,      ///< The tokens do not fit under the limit.
-  NotReady = 3,  ///< The receiver does not own the quota, or is rebuilding its counts: retry.
+  Full = 2,      ///< The tokens would exceed the limit.
+  NotReady = 3,  ///< The receiver does not own the quota or is rebuilding its counts; retry.
 };
 
-/// Quota → owner of a batch; also the reply to a report that reached a node that does not own the
-/// quota, with an empty batch id.
+/// Quota → owner of a batch. Also sent, with an empty batch id, in reply to a report that arrived
+/// at a node that does not own the quota.
 struct ReserveQueuedTokensReply {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 20;
@@ -74,28 +73,28 @@
   PartitionId partition;
   std::string batchId;
   ReserveOutcome outcome = ReserveOutcome::NotReady;
-  NodeId quotaOwner;  ///< With `NotReady`: the believed owner of the quota.
+  NodeId quotaOwner;  ///< With `NotReady`: the presumed owner of the quota.
   MSGPACK_DEFINE(number, partition, batchId, outcome, quotaOwner);
 };
 
-/// Owner of batches → quota: what is queued in the partitions that the sender owns.
+/// Owner of batches → quota: the queued tokens in the partitions that the sender owns.
 struct QueuedTokensReport {
   static constexpr ServiceId kService = ServiceId::WaitingTokens;
   static constexpr std::uint16_t kKind = 2;
   std::uint64_t number = 0;
-  /// Epoch of the `QueuedTokensRequest` that this answers, with the ownership proved after it
-  /// arrived; 0 in other reports.
+  /// Epoch of the `QueuedTokensRequest` that this report answers; 0 in periodic reports. The sender
+  /// confirmed its ownership after the request arrived.
   std::uint64_t quotaEpoch = 0;
   std::vector<PartitionTokens> partitions;
   MSGPACK_DEFINE(number, quotaEpoch, partitions);
 };
 
-/// A new owner of the quota → all stores: what is queued in the partitions that you own?
+/// New owner of the quota → all stores: requests a report on the partitions that they own.
 struct QueuedTokensRequest {
   static constexpr ServiceId kService = ServiceId::BatchOwner;
   static constexpr std::uint16_t kKind = 21;
   std::uint64_t quotaEpoch = 0;
-  std::vector<PartitionId> partitions;  ///< Those without a report yet.
+  std::vector<PartitionId> partitions;  ///< Partitions whose reports are missing.
   MSGPACK_DEFINE(quotaEpoch, partitions);
 };
 
--- a/src/batch/queued_token_quota.cpp
+++ b/src/batch/queued_token_quota.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr TimerId kRebuildTimer = 1;
-/// A rebuild that takes longer is logged.
+/// A rebuild that takes at least this long is logged.
 constexpr Duration kSlowRebuildThreshold = std::chrono::seconds(2);
 
 }  // namespace
@@ -74,7 +74,7 @@
   QueuedTokensRequest request;
   request.quotaEpoch = epoch_;
   request.partitions.assign(unreported_.begin(), unreported_.end());
-  // A store that is confirmed dead may have just restarted.
+  // Includes stores that are marked dead: they may have just restarted.
   for (const NodeId& store : directory_.table()->known(NodeRole::Store)) {
     context_.send(store, request);
   }
--- a/src/batch/queued_token_quota.h
+++ b/src/batch/queued_token_quota.h
@@ -1,5 +1,5 @@
 /// @file
-/// The singleton that limits the queued tokens of accepted batches.
+/// Limit on the queued tokens of accepted batches, enforced by one node of the fleet.
 #pragma once
 
 #include "batch/batch_safeguards.h"
@@ -13,36 +13,36 @@
 
 namespace shedshed {
 
-/// Interval at which a new owner of the quota repeats its queries for missing reports.
+/// Interval at which a new owner of the quota repeats its requests for missing reports.
 inline constexpr Duration kQuotaRebuildRetry = std::chrono::milliseconds(100);
 
-/// Runs on every store; acts on the owner of the partition of the name "waiting-tokens", under that
-/// partition's epoch.
+/// Runs on every store, but is active only on the owner of the partition that the key
+/// "waiting-tokens" maps to, under the epoch of that partition.
 ///
 /// The owner of a batch's partition requests a reservation before it writes the commit record, and
-/// reports several times a second what is queued in its partitions. The quota keeps its counts in
-/// memory only: a crash loses them, and the next owner of the quota rebuilds them. Why the limit
-/// holds when the ownership moves:
-/// - A new owner grants nothing before the proved owner of each partition of batches has reported
-///   what is queued there. Such a report names open reservations as well.
-/// - An old owner proves its ownership after it has counted a batch and before it grants. A grant
-///   that was proved before the takeover was requested before it, so that the batch is in the
+/// reports the queued tokens of its partitions several times per second. The quota keeps its counts
+/// in memory only: a crash loses them, and the next owner of the quota rebuilds them. Why the limit
+/// holds when the ownership of the quota moves:
+/// - A new owner grants nothing until the owner of each batch partition has confirmed its ownership
+///   and reported its queued tokens. These reports include open reservations.
+/// - An old owner confirms its ownership after it has counted a batch and before it grants. A grant
+///   that was confirmed before the takeover was requested before it, so that the batch is in the
 ///   report that the new owner waits for.
 /// Core thread only.
 class QueuedTokenQuota : public Core {
  public:
-  /// Keeps references to all; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   QueuedTokenQuota(CoreContext& context, PartitionStore& store, ConfigurationSource& configuration,
                    const Directory& directory, BatchSafeguards safeguards = {});
 
-  /// The partition whose owner acts.
+  /// The partition whose owner enforces the limit.
   static PartitionId partition();
 
   void start() override;
   void receive(const NodeId& from, const Message& message) override;
   void timerExpired(TimerId timer) override;
 
-  /// True if this node owns the quota and has the reports of all partitions.
+  /// True if this node owns the quota and has received the reports on all partitions.
   bool isReady() const;
   /// The tokens counted for @p account.
   std::uint64_t queuedTokens(const TokenAccount& account) const {
@@ -52,9 +52,9 @@
  private:
   void onReserve(const NodeId& from, const ReserveQueuedTokens& request);
   void onReport(const NodeId& from, const QueuedTokensReport& report);
-  /// Starts a rebuild if this node has become the owner since. False if it is not the owner.
+  /// Starts a rebuild if this node has become the owner. Returns false if it is not the owner.
   bool refreshOwnership();
-  /// Asks all stores for the reports that are missing.
+  /// Requests the missing reports from all stores.
   void requestMissingReports();
   void reply(const NodeId& to, const ReserveQueuedTokens& request, ReserveOutcome outcome);
 
@@ -66,7 +66,7 @@
   QueuedTokenTable table_;
   std::uint64_t epoch_ = 0;
   Time rebuildStartedAt_{};
-  bool slowRebuildLogged_ = false;    ///< That the rebuild is slow.
+  bool slowRebuildLogged_ = false;    ///< True once the slow rebuild was logged.
   std::set<PartitionId> unreported_;  ///< Partitions without a report in this epoch.
 };
 
--- a/src/batch/queued_token_reservations.cpp
+++ b/src/batch/queued_token_reservations.cpp
@@ -5,9 +5,9 @@
 namespace shedshed {
 namespace {
 
-/// An unanswered reservation is requested again after this time.
+/// An unanswered reservation request is repeated after this time.
 constexpr Duration kReservationRetry = std::chrono::milliseconds(200);
-/// A submission whose reservation takes longer is rejected: its sender may retry.
+/// A submission whose reservation takes longer is rejected; its sender may retry.
 constexpr Duration kReservationTimeout = std::chrono::milliseconds(1200);
 /// Interval of the reports to the quota.
 constexpr Duration kReportInterval = std::chrono::milliseconds(250);
@@ -71,7 +71,7 @@
     if (redirected) {
       send(partition, found->second);
     }
-    return;  // Otherwise the timer repeats the request.
+    return;  // If not sent here, the request is repeated by the timer.
   }
   attempt_ = 0;
   reservations->second.erase(found);
@@ -84,7 +84,7 @@
 
 void QueuedTokenReservations::retry() {
   bool hasOpen = false;
-  ++attempt_;  // A reply takes far less than the time that has passed.
+  ++attempt_;  // Replies take far less than `kReservationRetry`: try another node.
   for (auto& [partition, reservations] : reservationsByPartition_) {
     std::vector<std::string> timedOut;
     for (auto& [batchId, reservation] : reservations) {
--- a/src/batch/queued_token_table.cpp
+++ b/src/batch/queued_token_table.cpp
@@ -15,8 +15,9 @@
     batches[batch.batchId] = {batch, number};
   }
   for (auto& [batchId, entry] : partition.batches) {
-    // Requested after this report was written: the report cannot name it yet. One of an earlier
-    // epoch is in the report if it was committed, and cannot be committed any more if it is not.
+    // Keep reservations requested after the report was written, which it cannot include. A batch
+    // of an earlier epoch is in the report if it was committed; if not, it can no longer be
+    // committed.
     if (sameOwner && entry.number > number) {
       batches[batchId] = std::move(entry);
     }
@@ -32,7 +33,7 @@
   if (request.epoch < partition.epoch) {
     return ReserveOutcome::NotReady;
   }
-  // A batch that an earlier request counted already does not count against itself.
+  // A repeated request must not count its own batch twice.
   partition.batches.erase(request.batch.batchId);
   const bool fits =
       limit == 0 || queuedTokens(request.batch.account) + request.batch.tokens <= limit;
@@ -40,7 +41,7 @@
     return ReserveOutcome::Full;
   }
   if (request.epoch > partition.epoch) {
-    // The batches of the earlier epoch count until the new owner has reported which of them exist.
+    // Batches of the earlier epoch are counted until the new owner reports which of them exist.
     partition.epoch = request.epoch;
     partition.lastReport = 0;
   }
--- a/src/batch/queued_token_table.h
+++ b/src/batch/queued_token_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The queued tokens of all accepted batches of the fleet, by partition.
+/// Queued tokens of all accepted batches of the fleet, by partition.
 #pragma once
 
 #include "batch/queued_token_messages.h"
@@ -8,20 +8,20 @@
 
 namespace shedshed {
 
-/// The counts of the quota. A report replaces what was known of a partition; reservations that are
-/// younger than the report stay. Core thread only.
+/// The counts of the quota. A report replaces the entries of a partition, except for reservations
+/// that are newer than the report. Core thread only.
 class QueuedTokenTable {
  public:
-  /// Forgets everything.
   void clear() { partitions_.clear(); }
 
-  /// Takes a report numbered @p number. One of an older epoch, or an older one of the same epoch,
-  /// is ignored.
-  /// @return false if it was ignored
+  /// Applies the report with sequence number @p number. A report of an older epoch, or one of the
+  /// same epoch without a higher number, is ignored.
+  /// @return false if the report was ignored
   bool applyReport(const PartitionTokens& report, std::uint64_t number);
 
-  /// Counts the batch of @p request if it then fits under @p limit (0: no limit), and not at all if
-  /// it does not: its owner takes only the answer to its latest request for a grant.
+  /// Counts the batch of @p request if the total stays within @p limit (0: no limit). Otherwise the
+  /// batch is removed, even if an earlier request was granted: its owner accepts only the reply to
+  /// its latest request.
   /// @return `NotReady` if the sender's epoch is older than a known one
   ReserveOutcome reserve(const ReserveQueuedTokens& request, std::uint64_t limit);
 
@@ -31,7 +31,8 @@
  private:
   struct Entry {
     QueuedBatch batch;
-    std::uint64_t number = 0;  ///< Of the report or the reservation that counted it last.
+    /// Sequence number of the last report or reservation that counted the batch.
+    std::uint64_t number = 0;
   };
   struct Partition {
     std::uint64_t epoch = 0;
--- a/src/batch/run_heartbeats.cpp
+++ b/src/batch/run_heartbeats.cpp
@@ -5,7 +5,7 @@
 namespace shedshed {
 namespace {
 
-/// Heartbeats whose time of sending is remembered.
+/// Maximum number of heartbeats whose send time is kept.
 constexpr std::size_t kMaxTrackedHeartbeats = 256;
 
 }  // namespace
--- a/src/batch/run_heartbeats.h
+++ b/src/batch/run_heartbeats.h
@@ -1,5 +1,5 @@
 /// @file
-/// Heartbeats of the runner to the owners of its batches.
+/// Heartbeats from the runner to the owners of its batches.
 #pragma once
 
 #include "batch/batch_runner_options.h"
@@ -10,21 +10,22 @@
 
 namespace shedshed {
 
-/// Reports the runs of this node to their owners, and applies the verdicts.
+/// Reports the runs of this node to their owners, and applies the replies.
 ///
-/// A verdict of an owner that has proved its ownership extends the lease under which items may
-/// start. The lease counts from the moment that the heartbeat was sent, on this node's own clock:
-/// it ends before the owner may assign the run to another node. Core thread only.
+/// An `Active` reply, which an owner sends only after it has confirmed its ownership, extends the
+/// lease under which items may start. The lease is measured on this node's clock from the time at
+/// which the heartbeat was sent, so that it ends before the owner may assign the run to another
+/// node. Core thread only.
 class RunHeartbeats {
  public:
-  /// Keeps references; they must outlive it.
+  /// Holds references to the arguments, which must outlive this object.
   RunHeartbeats(CoreContext& context, OwnerLocator& locator, RunTable& runs, ItemExecutor& executor,
                 const BatchRunnerOptions& options)
       : context_(context), locator_(locator), runs_(runs), executor_(executor), options_(options) {}
 
-  /// Sends one heartbeat to each owner, for all of its runs that have not ended.
+  /// Sends one heartbeat to each owner, with all of its runs that have not ended.
   void send();
-  /// Sends if the interval is over.
+  /// Sends heartbeats if the interval has elapsed.
   void sendIfDue();
 
   void onReply(const NodeId& from, const RunHeartbeatReply& reply);
@@ -39,7 +40,7 @@
   ItemExecutor& executor_;
   const BatchRunnerOptions& options_;
   std::uint64_t nextNumber_ = 1;
-  std::map<std::uint64_t, Time> sentAt_;  ///< By number of the heartbeat.
+  std::map<std::uint64_t, Time> sentAt_;  ///< By heartbeat number.
   Time lastSent_{};
 };
 
--- a/src/batch/waiting_items.h
+++ b/src/batch/waiting_items.h
@@ -1,5 +1,5 @@
 /// @file
-/// Items of one run that are not started yet.
+/// Items of one run that have not been started.
 #pragma once
 
 #include "kernel/time.h"
@@ -12,28 +12,28 @@
 
 namespace shedshed {
 
-/// An item that waits to be started.
+/// An item waiting to be started.
 struct WaitingItem {
   std::uint64_t position = 0;
-  std::string model;  ///< Empty if the body names none: the item can only fail.
+  std::string model;  ///< Empty if the body specifies none; the item can then only fail.
   std::string body;
-  Time notBefore{};  ///< Of a requeued item.
+  Time notBefore{};  ///< Earliest time of the next slot request, for a requeued item.
 };
 
-/// A queue in the order of the batch, beside items whose slots were rejected and that wait for
-/// their delay. Core thread only.
+/// Queue of items in batch order, and a separate list of items whose slot request was rejected and
+/// that wait for their delay. Core thread only.
 class WaitingItems {
  public:
   /// Adds an item at the end of the queue.
   void add(WaitingItem item) { queue_.push_back(std::move(item)); }
 
-  /// Keeps an item back until its `notBefore`.
+  /// Holds an item until its `notBefore`.
   void requeue(WaitingItem item) { requeued_.push_back(std::move(item)); }
 
-  /// Moves the requeued items whose delay is over to the front of the queue.
+  /// Moves requeued items whose delay has elapsed to the front of the queue.
   void returnDueItems(Time now);
 
-  /// Removes and returns the first queued item that @p admitted accepts.
+  /// Removes and returns the first queued item for which @p admitted returns true.
   std::optional<WaitingItem> takeFirst(const std::function<bool(const WaitingItem&)>& admitted);
 
   bool contains(std::uint64_t position) const;
--- a/tests/batch/batch_runner_core_test.cpp
+++ b/tests/batch/batch_runner_core_test.cpp
@@ -1,11 +1,11 @@
-/// Runs, starts, results and cancels.
+/// Tests of runs, starts, results and cancellation on a fleet of fake nodes.
 #include "batch_fleet.h"
 
 namespace shedshed::test {
 
 namespace {
 
-/// Stops what the run's node says and hears, and lets the owner find it dead.
+/// Isolates the runner's node and marks it dead in the directory.
 void loseRunner(BatchFleet& fleet, const std::string& runner) {
   fleet.isolate(runner);
   fleet.directory.set(runner, NodeRole::Data, NodeState::Dead);
@@ -82,7 +82,7 @@
     fleet.slots.capacity = 1;
     fleet.harness.advance(1s);
     fleet.engines.holdAnswers = true;
-    // The write of the start is lost with its owner.
+    // The write that makes the start durable is lost together with its owner.
     fleet.table().holdWrites = true;
     fleet.harness.advance(16s);
     const std::size_t runsBefore = fleet.engines.runs.size();
@@ -208,7 +208,7 @@
     const std::string id = fleet.accepted(BatchFleet::batchOf(40));
     fleet.harness.advance(1s);
     BOOST_TEST(fleet.engines.runs.size() == 16U);
-    // Starts are under way when the cancel arrives.
+    // Starts are in flight when the cancellation arrives.
     fleet.table().holdWrites = true;
     for (int answered = 0; answered < 4; ++answered) {
       fleet.engines.answerNext();
@@ -275,8 +275,8 @@
   BOOST_TEST(fleet.slots.held.empty());
 }
 
-/// "Cancelled" says that an item never ran; one that may have and waited to run again may not be
-/// reported so.
+/// `Cancelled` guarantees that an item never ran. Guards against reporting it for an item that may
+/// have run and was waiting for its next attempt when the batch was cancelled.
 BOOST_AUTO_TEST_CASE(idempotentItemThatMayHaveRunIsNotReportedAsCancelled) {
   for (const bool ownerIsLost : {false, true}) {
     BatchFleet fleet;
@@ -307,7 +307,8 @@
   }
 }
 
-/// A fenced store that nobody tells of its loss must not keep a runner by its heartbeat answers.
+/// Guards against a runner that keeps its run alive on the heartbeat replies of a fenced store that
+/// was not notified of its lost ownership.
 BOOST_AUTO_TEST_CASE(runnerLeavesAFencedOwnerThatHasNotLearntOfIt) {
   for (const bool unacknowledgedSurvive : {false, true}) {
     BatchFleet fleet;
@@ -320,7 +321,7 @@
       fleet.engines.answerNext();
     }
     fleet.harness.advance(60s);
-    // The status is proved with a majority; a page may come from the fenced store's memory.
+    // The status is confirmed by a majority; a page may come from the memory of the fenced store.
     BOOST_TEST(fleet.status(id).value().done == 40U);
     BOOST_TEST(fleet.page(id, 0, 100).complete);
     BOOST_TEST(fleet.engines.maxRuns() == 1);
@@ -359,8 +360,9 @@
   BOOST_TEST(fleet.engines.maxRuns() == 1);
 }
 
-/// Losses, copies, reordering, changes of owner and of runner from a seed. Each unrepeatable item
-/// runs at most once, results read never change, and in the end every item has one.
+/// Seeded schedules of lost, duplicated and reordered messages, failovers and lost runners. Each
+/// non-idempotent item runs at most once, results never change once read, and finally every item
+/// has a result.
 BOOST_AUTO_TEST_CASE(randomFaultsNeitherRepeatNorChangeAnItem) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed) {
--- a/tests/batch/item_slots_test.cpp
+++ b/tests/batch/item_slots_test.cpp
@@ -1,4 +1,4 @@
-/// How many items of a batch are under way: refusals of slots, and batches side by side.
+/// Tests of the number of items in flight: rejected slot requests and concurrent batches.
 #include "batch_fleet.h"
 
 namespace shedshed::test {
@@ -37,7 +37,7 @@
     fleet.harness.advance(100ms);
     inUse += fleet.slots.held.size();
   }
-  // Most of the room stays in use, although the pool refuses again and again.
+  // At least three quarters of the capacity stay in use, although the pool rejects repeatedly.
   BOOST_TEST(inUse >= kSteps * kCapacity * 3 / 4);
   BOOST_TEST(fleet.engines.runs.size() >= 200U);
 }
--- a/tests/batch/queued_token_quota_model_test.cpp
+++ b/tests/batch/queued_token_quota_model_test.cpp
@@ -1,5 +1,5 @@
-// The bound of queued tokens under moving owners, a moving quota owner, and lost, late and doubled
-// messages: seeded schedules over three stores.
+/// Model test of the queued-token limit: seeded schedules over three stores with changing owners of
+/// batches and of the quota, and lost, delayed and duplicated messages.
 #include "batch/batch_owner_core.h"
 #include "batch/queued_token_quota.h"
 #include "batch_fleet.h"
@@ -16,7 +16,7 @@
     R"({"services":{"s":{}},"routes":{"r":{"host":"h","path_prefix":"/","kind":"batch",)"
     R"("timeout_ms":1000,"service":"s","max_queued_tokens":100}}})";
 
-/// What a majority of replicas holds.
+/// Partition state that is durable on a majority of replicas.
 struct ReplicatedState {
   struct Partition {
     int owner = 0;
@@ -26,7 +26,7 @@
   std::map<PartitionId, Partition> partitions;
 };
 
-/// One store's view: it believes to own a partition until it is told otherwise.
+/// Partition store of one node. It assumes that it still owns a partition until `refreshOwnership`.
 class ModelStore : public PartitionStore {
  public:
   ModelStore(ReplicatedState& replicated, int index) : replicated_(replicated), index_(index) {}
@@ -90,7 +90,7 @@
       listener_->ownershipGained(partition, stored.epoch, RecoveryKind::Complete);
     }
   }
-  /// Learns what it has lost, and who owns.
+  /// Drops lost partitions and learns the current owners.
   void refreshOwnership() {
     for (const auto& [partition, stored] : replicated_.partitions) {
       hints_[partition] = stored.owner;
@@ -156,7 +156,7 @@
     }
   }
 
-  /// Runs the schedule. @return the most tokens that ever waited in accepted batches
+  /// Runs the schedule. @return the maximum number of queued tokens in accepted batches
   std::uint64_t run() {
     std::uint64_t maxQueued = 0;
     for (int step = 0; step < kSteps; ++step) {
@@ -271,7 +271,7 @@
     if (harness_.queue.empty()) {
       return;
     }
-    // Messages stay in their rough order; a few are far behind.
+    // Mostly delivers messages approximately in order; sometimes picks any message in the queue.
     const std::size_t window = randomBelow(10) == 0 ? harness_.queue.size() : 3;
     const std::size_t index = randomBelow(std::min(window, harness_.queue.size()));
     if (randomBelow(15) == 0) {
@@ -307,7 +307,7 @@
   std::uint64_t lastRequest_ = 0;
 };
 
-/// The most tokens over the limit that any seed shows, and the batches accepted by all.
+/// Returns the maximum number of queued tokens over all seeds, and the total of accepted batches.
 std::pair<std::uint64_t, std::size_t> runSeeds(const BatchSafeguards& safeguards) {
   std::uint64_t maxQueued = 0;
   std::size_t accepted = 0;
@@ -319,8 +319,9 @@
   return {maxQueued, accepted};
 }
 
-/// Sends a reservation to a replaced quota owner that has not learnt of its loss. @return true if
-/// it grants
+/// Sends a reservation request to a replaced quota owner that was not notified of its lost
+/// ownership.
+/// @return true if it grants the request
 bool replacedQuotaOwnerGrants(const BatchSafeguards& safeguards) {
   Harness harness;
   FakeDirectory directory;
@@ -373,7 +374,8 @@
   BOOST_TEST(runSeeds(safeguards).first > kLimit);
 }
 
-/// After a loss of all power a store's directory may hold others dead for seconds.
+/// After a power loss of the whole fleet, the directory of a store may list other stores as dead
+/// for seconds. Guards against a rebuild that does not query them.
 BOOST_AUTO_TEST_CASE(aNewQuotaOwnerAlsoQueriesStoresThatAreConfirmedDead) {
   Harness harness;
   FakeDirectory directory;
--- a/tests/batch/queued_token_quota_test.cpp
+++ b/tests/batch/queued_token_quota_test.cpp
@@ -1,4 +1,4 @@
-// The queued tokens of a route stay below the route's bound.
+/// Tests of the limit on the queued tokens of a route.
 #include "batch/queued_token_quota.h"
 #include "batch_fleet.h"
 
@@ -9,7 +9,7 @@
     R"({"services":{"s":{}},"routes":{"r":{"host":"h","path_prefix":"/","kind":"batch",)"
     R"("timeout_ms":1000,"service":"s","max_queued_tokens":100}}})";
 
-/// A world whose settings bound the route "r" to 100 tokens, with a quota on each store.
+/// A fleet whose settings limit the route "r" to 100 queued tokens, with a quota on each store.
 struct QuotaFleet {
   QuotaFleet() {
     batchFleet.configuration.values[kSettingsRegister] = RegisterValue{1, kSettings};
@@ -35,7 +35,7 @@
     submission.tokens = {tokens, tokens};
     return submission;
   }
-  /// `Internal` if the batch was accepted.
+  /// Returns the error of the submission, or `Internal` if the batch was accepted.
   ErrorCode rejectionOf(const BatchSubmission& submission) {
     const auto answer = batchFleet.submit(submission);
     batchFleet.waitFor(*answer);
--- a/tests/batch/queued_token_table_test.cpp
+++ b/tests/batch/queued_token_table_test.cpp
@@ -1,4 +1,4 @@
-/// Counts of the quota by partition, from reports and reservations.
+/// Tests of the quota's counts from reports and reservations.
 #include "batch/queued_token_table.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/batch/waiting_items_test.cpp
+++ b/tests/batch/waiting_items_test.cpp
@@ -1,4 +1,4 @@
-/// The items of a run that are not started yet.
+/// Tests of the queue of items that have not been started.
 #include "batch/waiting_items.h"
 
 #include <boost/test/unit_test.hpp>
