--- a/src/batch/item_executor.cpp
+++ b/src/batch/item_executor.cpp
@@ -7,11 +7,11 @@
 namespace shedshed {
 namespace {
 
-/// Lowest and highest HTTP status of success.
+/// Range of HTTP status codes that indicate success.
 constexpr int kSuccessFirst = 200;
 constexpr int kSuccessLast = 299;
 
-/// Errors that no later attempt changes.
+/// True for errors that every further attempt would return.
 bool isPermanent(ErrorCode code) {
   return code == ErrorCode::InvalidArgument || code == ErrorCode::TooLarge;
 }
@@ -41,8 +41,8 @@
   const auto active = std::count_if(run.items.begin(), run.items.end(), [](const auto& entry) {
     return entry.second.phase != AttemptPhase::Reporting;
   });
-  // Unacknowledged results count as well: a lost owner must not let them pile up.
-  return active < options_.itemsPerBatch && itemsInFlight_ < options_.itemsInAll &&
+  // Unacknowledged results count as well, so that they do not accumulate while the owner is lost.
+  return active < options_.maxItemsInFlightPerBatch && itemsInFlight_ < options_.maxItemsInFlight &&
          run.items.size() + run.waiting.requeued() < options_.pageSize();
 }
 
@@ -53,13 +53,15 @@
   item.model = std::move(next.model);
   ++itemsInFlight_;
   if (item.model.empty()) {
-    // Its one result is a failure; it needs no engine and so no slots.
+    // The item can only fail. It needs no engine and therefore no slots.
     requestStart(key, run, next.position);
     return;
   }
   slots_.acquire(key, run, next.position,
-                 [this, key, position = next.position, attempt = item.attempt](
-                     const Result<SlotGrant>& grant) { onSlots(key, position, attempt, grant); });
+                 [this, key, position = next.position,
+                  attempt = item.attempt](const Result<SlotGrant>& grant) {
+                   onSlotReply(key, position, attempt, grant);
+                 });
 }
 
 ItemAttempt* ItemExecutor::findAttempt(BatchRun* run, std::uint64_t position,
@@ -72,16 +74,16 @@
   return same ? &found->second : nullptr;
 }
 
-void ItemExecutor::onSlots(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
-                           const Result<SlotGrant>& grant) {
+void ItemExecutor::onSlotReply(const RunKey& key, std::uint64_t position, std::uint64_t attempt,
+                               const Result<SlotGrant>& grant) {
   BatchRun* run = runs_.find(key);
   ItemAttempt* item = findAttempt(run, position, attempt);
   if (item == nullptr) {
-    slots_.giveBack(grant);
+    slots_.releaseUnclaimed(grant);
     return;
   }
   if (grant) {
-    slots_.granted(*run, *item, grant.value());
+    slots_.onGranted(*run, *item, grant.value());
     if (runs_.mayStart(*run)) {
       requestStart(key, *run, position);
       startWaitingItems(key);
@@ -89,7 +91,7 @@
     }
     slots_.release(*run, *item);
   } else {
-    const Duration delay = slots_.rejected(*run, item->model);
+    const Duration delay = slots_.onRejected(*run, item->model);
     run->waiting.requeue({position, item->model, std::move(item->body), context_.now() + delay});
   }
   run->items.erase(position);
@@ -141,7 +143,7 @@
   callEngine(key, *run, reply.position);
 }
 
-/// A late duplicate of a start became durable at the owner; no attempt here runs for it.
+/// Reverts a start that became durable from a delayed duplicate, for an attempt that has ended.
 void ItemExecutor::revertUnknownStart(const RunKey& key, const StartReply& reply) {
   const NodeId owner = locator_.candidate(partitionOfBatch(reply.batchId), 0);
   if (!owner.empty()) {
@@ -199,12 +201,13 @@
     return;
   }
   if (error.ran == Ran::No) {
-    run.admissions[run.items[position].model].pause(context_.now() + options_.retryPause);
+    run.admissions[run.items[position].model].pause(context_.now() + options_.retryDelay);
     --run.engineCallsByItem[position];
     revertStart(key, run, position, false);
     return;
   }
-  if (run.assignment.idempotent && run.engineCallsByItem[position] < options_.maxRunsPerItem) {
+  if (run.assignment.idempotent &&
+      run.engineCallsByItem[position] < options_.maxEngineCallsPerItem) {
     revertStart(key, run, position, true);
     return;
   }
@@ -251,17 +254,17 @@
                               ItemAttempt& item) {
   if (item.phase == AttemptPhase::Starting &&
       context_.now() - item.startRequestedAt > options_.maxStartAge) {
-    // Do not keep slots for an owner that does not reply.
+    // Do not hold slots while the owner does not reply.
     revertStart(key, run, position, false);
     return;
   }
   const bool open = item.phase == AttemptPhase::Starting || item.phase == AttemptPhase::Reporting;
-  if (!open || context_.now() - item.lastSent < options_.resend) {
+  if (!open || context_.now() - item.lastSent < options_.resendInterval) {
     return;
   }
   item.lastSent = context_.now();
   if (run.ended) {
-    // Ended runs send no heartbeats that would find a new owner.
+    // Ended runs send no heartbeats, which would otherwise find the new owner.
     ++run.locatorAttempt;
   }
   const NodeId owner = runs_.ownerOf(run);
@@ -290,8 +293,7 @@
 void ItemExecutor::stopStarting(const RunKey& key, BatchRun& run) {
   run.waiting.clear();
   for (auto& [position, item] : run.items) {
-    // A start without a reply may or may not be durable: the owner must learn that this attempt
-    // will not run.
+    // An unacknowledged start may be durable: notify the owner that this attempt will not run.
     if (item.phase == AttemptPhase::Starting) {
       revertStart(key, run, position, false);
     }
--- a/src/batch/item_fetcher.cpp
+++ b/src/batch/item_fetcher.cpp
@@ -3,20 +3,21 @@
 namespace shedshed {
 namespace {
 
-/// A page that has not arrived is requested again after this time.
+/// A missing page is requested again after this time.
 constexpr Duration kFetchTimeout = std::chrono::seconds(1);
 
-/// Pages of waiting items that a run keeps at most.
+/// Maximum number of pages in the queue of a run.
 constexpr std::size_t kMaxQueuedPages = 4;
 
 }  // namespace
 
 void ItemFetcher::fetch(const RunKey& key, BatchRun& run) {
   const bool inFlight = run.fetchSent && context_.now() - *run.fetchSent < kFetchTimeout;
-  const bool passIsOver = run.fetchFrom == 0 && context_.now() < run.nextPass;
-  // Items whose model's pool is full stay in the queue; a few pages are searched for others.
+  const bool betweenPasses = run.fetchFrom == 0 && context_.now() < run.nextPass;
+  // Items stay in the queue while the pool of their model is full. Fetching a few pages more finds
+  // items of other models.
   const bool full = run.waiting.queued() >= kMaxQueuedPages * options_.pageSize();
-  if (inFlight || passIsOver || full) {
+  if (inFlight || betweenPasses || full) {
     return;
   }
   const NodeId owner = runs_.ownerOf(run);
@@ -27,7 +28,7 @@
   context_.send(owner, FetchItems{runs_.idOf(key), run.fetchFrom, options_.pageSize()});
 }
 
-bool ItemFetcher::onItems(const ItemsPage& page) {
+bool ItemFetcher::onItemsPage(const ItemsPage& page) {
   BatchRun* run = runs_.find({page.batchId, page.runEpoch});
   if (run == nullptr || !run->fetchSent || page.from != run->fetchFrom) {
     return false;
@@ -41,8 +42,8 @@
     }
   }
   if (page.next == 0) {
-    // The pass is over; what became pending again is found by the next one, after a pause.
-    run->nextPass = context_.now() + options_.retryPause;
+    // The pass is over. The next one, after a delay, finds items that became pending again.
+    run->nextPass = context_.now() + options_.retryDelay;
   }
   return true;
 }
--- a/src/batch/item_slots.cpp
+++ b/src/batch/item_slots.cpp
@@ -6,7 +6,7 @@
 namespace shedshed {
 namespace {
 
-/// Items by which a window of slots grows in the time after which a rejected item returns.
+/// Number of items by which the admission window grows during one requeue delay.
 constexpr int kWindowStepsPerRequeue = 10;
 
 }  // namespace
@@ -19,7 +19,7 @@
   request.requestId = key.first + "-" + std::to_string(position);
   request.serviceClass = SlotClass::BatchItem;
   SlotLimit limit;
-  limit.failOpen = false;  // Without a proof of idle capacity, live calls come first.
+  limit.failOpen = false;  // Live calls have priority unless idle capacity is confirmed.
   limit.timeToLive = settings.itemSlotTtl;
   limit.pool = {"tenant", run.assignment.tenant};
   request.limits.push_back(limit);
@@ -38,13 +38,13 @@
   slots_.acquire(std::move(request), std::move(done));
 }
 
-void ItemSlots::granted(BatchRun& run, ItemAttempt& item, const SlotGrant& grant) {
-  run.admissions[item.model].granted(options_.itemsPerBatch);
+void ItemSlots::onGranted(BatchRun& run, ItemAttempt& item, const SlotGrant& grant) {
+  run.admissions[item.model].granted(options_.maxItemsInFlightPerBatch);
   item.grant = grant.grantId;
   item.suggestedEngine = grant.suggestedEngine();
 }
 
-Duration ItemSlots::rejected(BatchRun& run, const std::string& model) {
+Duration ItemSlots::onRejected(BatchRun& run, const std::string& model) {
   ItemAdmission& admission = run.admissions[model];
   const Duration requeueDelay = settings_.effective(run.assignment.tenant).requeueDelay;
   const Duration delay = admission.hasShare() ? admission.retryDelay(requeueDelay) : requeueDelay;
@@ -58,7 +58,7 @@
   return delay + jitter;
 }
 
-void ItemSlots::giveBack(const Result<SlotGrant>& grant) {
+void ItemSlots::releaseUnclaimed(const Result<SlotGrant>& grant) {
   if (grant) {
     slots_.release(grant.value().grantId);
   }
--- a/src/batch/queued_token_reservations.cpp
+++ b/src/batch/queued_token_reservations.cpp
@@ -5,9 +5,9 @@
 namespace shedshed {
 namespace {
 
-/// An unanswered reservation is requested again after this time.
+/// An unanswered reservation request is repeated after this time.
 constexpr Duration kReservationRetry = std::chrono::milliseconds(200);
-/// A submission whose reservation takes longer is rejected: its sender may retry.
+/// A submission whose reservation takes longer is rejected; its sender may retry.
 constexpr Duration kReservationTimeout = std::chrono::milliseconds(1200);
 /// Interval of the reports to the quota.
 constexpr Duration kReportInterval = std::chrono::milliseconds(250);
@@ -16,15 +16,15 @@
 
 void QueuedTokenReservations::reserve(const PartitionId& partition, QueuedBatch batch) {
   const std::string batchId = batch.batchId;
-  Reservation& reservation = partitions_[partition][batchId];
+  Reservation& reservation = reservationsByPartition_[partition][batchId];
   reservation = Reservation{std::move(batch), 0, context_.now()};
   send(partition, reservation);
   context_.startTimer(kRetryTimer, kReservationRetry);
 }
 
 void QueuedTokenReservations::cancel(const PartitionId& partition, const std::string& batchId) {
-  const auto reservations = partitions_.find(partition);
-  if (reservations != partitions_.end()) {
+  const auto reservations = reservationsByPartition_.find(partition);
+  if (reservations != reservationsByPartition_.end()) {
     reservations->second.erase(batchId);
   }
 }
@@ -57,10 +57,10 @@
 }
 
 void QueuedTokenReservations::onReply(const NodeId& from, const ReserveQueuedTokensReply& reply) {
-  const bool moved = followHint(from, reply.quotaOwner);
+  const bool redirected = followHint(from, reply.quotaOwner);
   const PartitionId partition = partitionOfBatch(reply.batchId);
-  const auto reservations = partitions_.find(partition);
-  if (reservations == partitions_.end() || !store_.owns(partition)) {
+  const auto reservations = reservationsByPartition_.find(partition);
+  if (reservations == reservationsByPartition_.end() || !store_.owns(partition)) {
     return;
   }
   const auto found = reservations->second.find(reply.batchId);
@@ -68,10 +68,10 @@
     return;
   }
   if (reply.outcome == ReserveOutcome::NotReady) {
-    if (moved) {
+    if (redirected) {
       send(partition, found->second);
     }
-    return;  // Otherwise the timer repeats the request.
+    return;  // If not sent here, the request is repeated by the timer.
   }
   attempt_ = 0;
   reservations->second.erase(found);
@@ -83,24 +83,24 @@
 }
 
 void QueuedTokenReservations::retry() {
-  bool open = false;
-  ++attempt_;  // A reply takes far less than the time that has passed.
-  for (auto& [partition, reservations] : partitions_) {
-    std::vector<std::string> late;
+  bool hasOpen = false;
+  ++attempt_;  // Replies take far less than `kReservationRetry`: try another node.
+  for (auto& [partition, reservations] : reservationsByPartition_) {
+    std::vector<std::string> timedOut;
     for (auto& [batchId, reservation] : reservations) {
       if (context_.now() - reservation.requestedAt >= kReservationTimeout) {
-        late.push_back(batchId);
+        timedOut.push_back(batchId);
         continue;
       }
-      open = true;
+      hasOpen = true;
       send(partition, reservation);
     }
-    for (const std::string& batchId : late) {
+    for (const std::string& batchId : timedOut) {
       reservations.erase(batchId);
       listener_->reservationRejected(partition, batchId, ErrorCode::StoreUnavailable);
     }
   }
-  if (open) {
+  if (hasOpen) {
     context_.startTimer(kRetryTimer, kReservationRetry);
   }
 }
@@ -116,8 +116,8 @@
       tokens.batches.push_back({batchId, {batch.meta().tenant, batch.meta().route}, queued});
     }
   }
-  const auto reservations = partitions_.find(partition);
-  if (reservations != partitions_.end()) {
+  const auto reservations = reservationsByPartition_.find(partition);
+  if (reservations != reservationsByPartition_.end()) {
     for (const auto& entry : reservations->second) {
       tokens.batches.push_back(entry.second.batch);
     }
