--- a/src/runtime/disk_writer.cpp
+++ b/src/runtime/disk_writer.cpp
@@ -15,19 +15,19 @@
 
 void DiskWriter::submit(std::vector<Mutation> mutations, Completion done) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  const std::uint64_t number = nextNumber_++;
+  const std::uint64_t sequence = nextSequence_++;
   for (const Mutation& mutation : mutations) {
-    waiting_[mutation.key] = Waiting{number, mutation.value};
+    pending_[mutation.key] = PendingMutation{sequence, mutation.value};
   }
-  queue_.push_back(Request{number, std::move(mutations), std::move(done)});
-  wake_.notify_one();
+  queue_.push_back(Request{sequence, std::move(mutations), std::move(done)});
+  workAvailable_.notify_one();
 }
 
 void DiskWriter::stop() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     stopping_ = true;
-    wake_.notify_one();
+    workAvailable_.notify_one();
   }
   if (thread_.joinable()) {
     thread_.join();
@@ -36,31 +36,31 @@
 
 void DiskWriter::run() {
   for (;;) {
-    std::vector<Request> group;
+    std::vector<Request> requests;
     {
       std::unique_lock<std::mutex> lock(mutex_);
-      wake_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
+      workAvailable_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
       if (queue_.empty()) {
         return;
       }
-      group.swap(queue_);
+      requests.swap(queue_);
     }
-    writeGroup(std::move(group));
+    commitRequests(std::move(requests));
   }
 }
 
-void DiskWriter::writeGroup(std::vector<Request> group) {
+void DiskWriter::commitRequests(std::vector<Request> requests) {
   std::vector<Status> statuses;
-  statuses.reserve(group.size());
-  for (const Request& request : group) {
+  statuses.reserve(requests.size());
+  for (const Request& request : requests) {
     statuses.push_back(records_.append(request.mutations));
   }
   const Status synced = records_.sync();
-  forgetWaiting(group);
+  removePending(requests);
   auto completions = std::make_shared<std::vector<std::pair<Completion, Status>>>();
-  for (std::size_t i = 0; i < group.size(); ++i) {
+  for (std::size_t i = 0; i < requests.size(); ++i) {
     const Status& appended = statuses[i];
-    completions->emplace_back(std::move(group[i].done), appended ? synced : appended);
+    completions->emplace_back(std::move(requests[i].done), appended ? synced : appended);
   }
   postToCore_([completions] {
     for (const auto& [done, status] : *completions) {
@@ -69,13 +69,13 @@
   });
 }
 
-void DiskWriter::forgetWaiting(const std::vector<Request>& group) {
+void DiskWriter::removePending(const std::vector<Request>& requests) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  for (const Request& request : group) {
+  for (const Request& request : requests) {
     for (const Mutation& mutation : request.mutations) {
-      const auto found = waiting_.find(mutation.key);
-      if (found != waiting_.end() && found->second.number == request.number) {
-        waiting_.erase(found);
+      const auto found = pending_.find(mutation.key);
+      if (found != pending_.end() && found->second.sequence == request.sequence) {
+        pending_.erase(found);
       }
     }
   }
@@ -84,8 +84,8 @@
 Result<std::optional<std::string>> DiskWriter::read(std::string_view key) const {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    const auto found = waiting_.find(key);
-    if (found != waiting_.end()) {
+    const auto found = pending_.find(key);
+    if (found != pending_.end()) {
       return found->second.value;
     }
   }
@@ -93,11 +93,11 @@
 }
 
 std::vector<std::string> DiskWriter::keys(std::string_view prefix) const {
-  // The lock is held across both look-ups: a row moves from `waiting_` to the records only after
+  // The lock is held across both look-ups: a row moves from `pending_` to the records only after
   // it was appended, so none is missed.
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<std::string> found = records_.keys(prefix);
-  for (auto it = waiting_.lower_bound(prefix); it != waiting_.end(); ++it) {
+  for (auto it = pending_.lower_bound(prefix); it != pending_.end(); ++it) {
     if (it->first.compare(0, prefix.size(), prefix) != 0) {
       break;
     }
--- a/src/runtime/disk_writer.h
+++ b/src/runtime/disk_writer.h
@@ -37,26 +37,26 @@
 
  private:
   struct Request {
-    std::uint64_t number;
+    std::uint64_t sequence;
     std::vector<Mutation> mutations;
     Completion done;
   };
-  struct Waiting {
-    std::uint64_t number;
+  struct PendingMutation {
+    std::uint64_t sequence;
     std::optional<std::string> value;
   };
 
   void run();
-  void writeGroup(std::vector<Request> group);
-  void forgetWaiting(const std::vector<Request>& group);
+  void commitRequests(std::vector<Request> requests);
+  void removePending(const std::vector<Request>& requests);
 
   DurableRecords& records_;
   std::function<void(std::function<void()>)> postToCore_;
   mutable std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable workAvailable_;
   std::vector<Request> queue_;
-  std::map<std::string, Waiting, std::less<>> waiting_;
-  std::uint64_t nextNumber_ = 1;
+  std::map<std::string, PendingMutation, std::less<>> pending_;
+  std::uint64_t nextSequence_ = 1;
   bool stopping_ = false;
   std::thread thread_;
 };
--- a/src/runtime/node_runtime.cpp
+++ b/src/runtime/node_runtime.cpp
@@ -15,7 +15,7 @@
 }
 
 /// The records of a node without a disk.
-class NoRecords : public RecordReader {
+class EmptyRecords : public RecordReader {
  public:
   Result<std::optional<std::string>> read(std::string_view) const override {
     return std::optional<std::string>();
@@ -23,7 +23,7 @@
   std::vector<std::string> keys(std::string_view) const override { return {}; }
 };
 
-const NoRecords kNoRecords;
+const EmptyRecords kEmptyRecords;
 
 }  // namespace
 
@@ -58,7 +58,7 @@
     if (runtime_.disk_) {
       return *runtime_.disk_;
     }
-    return kNoRecords;
+    return kEmptyRecords;
   }
   Counters& counters() override { return runtime_.metrics_; }
   void logEvent(const TraceEvent& event) override {
@@ -86,7 +86,7 @@
     : self_(std::move(self)), transport_(transport), metrics_(metrics), fatal_(std::move(fatal)),
       ownLoop_(sharedLoop == nullptr ? std::make_unique<boost::asio::io_context>() : nullptr),
       loop_(sharedLoop == nullptr ? *ownLoop_ : *sharedLoop),
-      work_(boost::asio::make_work_guard(loop_)), wakeUp_(loop_), random_(seededEngine()) {
+      work_(boost::asio::make_work_guard(loop_)), wakeTimer_(loop_), random_(seededEngine()) {
   if (records != nullptr) {
     disk_ = std::make_unique<DiskWriter>(
         *records, [this](std::function<void()> task) { post(std::move(task)); });
@@ -166,13 +166,13 @@
 }
 
 void NodeRuntime::armTimer() {
-  const std::optional<Time> earliest = timers_.earliest();
-  if (!earliest || *earliest >= armedFor_) {
+  const std::optional<Time> earliestDeadline = timers_.earliestDeadline();
+  if (!earliestDeadline || *earliestDeadline >= wakeTime_) {
     return;
   }
-  armedFor_ = *earliest;
-  wakeUp_.expires_at(std::chrono::steady_clock::time_point(armedFor_.time_since_epoch()));
-  wakeUp_.async_wait([this](const boost::system::error_code& error) {
+  wakeTime_ = *earliestDeadline;
+  wakeTimer_.expires_at(std::chrono::steady_clock::time_point(wakeTime_.time_since_epoch()));
+  wakeTimer_.async_wait([this](const boost::system::error_code& error) {
     if (!error) {
       fireTimers();
     }
@@ -180,9 +180,9 @@
 }
 
 void NodeRuntime::fireTimers() {
-  armedFor_ = Time::max();
+  wakeTime_ = Time::max();
   const Time now = monotonicNow();
-  while (const std::optional<TimerQueue::Timer> due = timers_.takeDue(now)) {
+  while (const std::optional<TimerQueue::Timer> due = timers_.popDue(now)) {
     contexts_.at(due->service)->core->timerExpired(due->id);
   }
   armTimer();
--- a/src/runtime/node_runtime.h
+++ b/src/runtime/node_runtime.h
@@ -75,8 +75,8 @@
   const std::unique_ptr<boost::asio::io_context> ownLoop_;  ///< Null on a shared event loop.
   boost::asio::io_context& loop_;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
-  boost::asio::steady_timer wakeUp_;
-  Time armedFor_ = Time::max();
+  boost::asio::steady_timer wakeTimer_;
+  Time wakeTime_ = Time::max();
   TimerQueue timers_;
   RandomEngine random_;
   std::map<ServiceId, std::unique_ptr<Context>> contexts_;
--- a/src/runtime/timer_queue.h
+++ b/src/runtime/timer_queue.h
@@ -36,7 +36,7 @@
   }
 
   /// The earliest deadline, or nullopt when no timer runs.
-  std::optional<Time> earliest() const {
+  std::optional<Time> earliestDeadline() const {
     const auto& byDeadline = timers_.get<ByDeadline>();
     if (byDeadline.empty()) {
       return std::nullopt;
@@ -45,7 +45,7 @@
   }
 
   /// Removes and returns the earliest timer that is due at @p now.
-  std::optional<Timer> takeDue(Time now) {
+  std::optional<Timer> popDue(Time now) {
     auto& byDeadline = timers_.get<ByDeadline>();
     if (byDeadline.empty() || byDeadline.begin()->deadline > now) {
       return std::nullopt;
--- a/src/storage/fake_file_system.cpp
+++ b/src/storage/fake_file_system.cpp
@@ -11,7 +11,7 @@
          path[folder.size()] == '/' && path.find('/', folder.size() + 1) == std::string::npos;
 }
 
-Error failed(const char* what) {
+Error storageFailed(const char* what) {
   return makeError(ErrorCode::StorageFailed, what);
 }
 
@@ -24,7 +24,7 @@
 
   Result<std::string> readAt(std::uint64_t offset, std::size_t bytes) const override {
     if (generation_ != disk_.generation_ || offset + bytes > content_->current.size()) {
-      return failed("read refused");
+      return storageFailed("read refused");
     }
     return content_->current.substr(offset, bytes);
   }
@@ -42,10 +42,10 @@
   }
 
   Status writeAt(std::uint64_t offset, std::string_view data) override {
-    const Status power = step();
+    const Status power = countOperation();
     const bool beyond = offset + data.size() > content_->current.size();
     if (!power || beyond || std::exchange(disk_.failWrite_, false)) {
-      return failed("write refused");
+      return storageFailed("write refused");
     }
     content_->current.replace(offset, data.size(), data);
     for (std::uint64_t at = offset / kFakeSectorBytes * kFakeSectorBytes; at < offset + data.size();
@@ -56,8 +56,8 @@
   }
 
   Status sync() override {
-    if (!step()) {
-      return failed("no power");
+    if (!countOperation()) {
+      return storageFailed("no power");
     }
     const bool fails = std::exchange(disk_.failSync_, false);
     for (const std::size_t sector : content_->dirtySectors) {
@@ -67,17 +67,17 @@
     }
     content_->dirtySectors.clear();
     if (fails) {
-      return failed("sync refused");
+      return storageFailed("sync refused");
     }
     return okStatus();
   }
 
  private:
-  Status step() {
+  Status countOperation() {
     if (generation_ != disk_.generation_) {
-      return failed("opened before the crash");
+      return storageFailed("opened before the crash");
     }
-    return disk_.step();
+    return disk_.countOperation();
   }
 
   FakeFileSystem& disk_;
@@ -120,8 +120,8 @@
 }
 
 Status FakeFileSystem::allocate(Content& content, std::uint64_t bytes) {
-  if (powerLeft_ == 0) {
-    return failed("no power");
+  if (operationsUntilPowerCut_ == 0) {
+    return storageFailed("no power");
   }
   const std::uint64_t others = allocatedBytes() - content.current.size();
   if (others + bytes > limitBytes_) {
@@ -132,11 +132,11 @@
   return okStatus();
 }
 
-Status FakeFileSystem::step() {
-  if (powerLeft_ == 0) {
-    return failed("no power");
+Status FakeFileSystem::countOperation() {
+  if (operationsUntilPowerCut_ == 0) {
+    return storageFailed("no power");
   }
-  --powerLeft_;
+  --operationsUntilPowerCut_;
   ++operations_;
   return okStatus();
 }
@@ -147,8 +147,8 @@
 
 Result<std::unique_ptr<File>> FakeFileSystem::openPreallocated(const std::string& path,
                                                                std::uint64_t bytes) {
-  if (powerLeft_ == 0) {
-    return failed("no power");
+  if (operationsUntilPowerCut_ == 0) {
+    return storageFailed("no power");
   }
   const auto known = names_.find(path);
   const std::shared_ptr<Content> content =
@@ -162,7 +162,7 @@
 }
 
 Status FakeFileSystem::syncFolder(const std::string& folder) {
-  const Status power = step();
+  const Status power = countOperation();
   if (!power) {
     return power.error();
   }
@@ -212,9 +212,9 @@
 }
 
 void FakeFileSystem::crash(RandomEngine& random) {
-  constexpr unsigned kShares = 4;  // Of the unsynced sectors, 0/4 to 4/4 survive on average.
-  const unsigned share = random() % (kShares + 1);
-  const auto survives = [&] { return random() % kShares < share; };
+  constexpr unsigned kSurvivalSteps = 4;  // Of the unsynced sectors, 0/4 to 4/4 survive on average.
+  const unsigned share = random() % (kSurvivalSteps + 1);
+  const auto survives = [&] { return random() % kSurvivalSteps < share; };
   std::set<std::string> all;
   for (const auto& [name, content] : names_) {
     all.insert(name);
@@ -245,7 +245,7 @@
   }
   names_ = after;
   durableNames_ = after;
-  powerLeft_ = std::numeric_limits<std::uint64_t>::max();
+  operationsUntilPowerCut_ = std::numeric_limits<std::uint64_t>::max();
   failSync_ = false;
   failWrite_ = false;
   endProcess();
@@ -262,7 +262,7 @@
   content.durable.at(offset) ^= static_cast<char>(1U << bit);
 }
 
-void FakeFileSystem::empty() {
+void FakeFileSystem::removeAllFiles() {
   names_.clear();
   durableNames_.clear();
   endProcess();
--- a/src/storage/fake_file_system.h
+++ b/src/storage/fake_file_system.h
@@ -37,7 +37,7 @@
 
   /// Cuts the power after @p operations more writes and syncs: from then on all fail until
   /// `crash`.
-  void cutPowerAfter(std::uint64_t operations) { powerLeft_ = operations; }
+  void cutPowerAfter(std::uint64_t operations) { operationsUntilPowerCut_ = operations; }
 
   /// Lets the next sync fail; what it should have written is marked clean but is lost at a crash,
   /// as on a kernel that drops dirty pages after a write error.
@@ -53,7 +53,7 @@
   void flipBit(const std::string& path, std::uint64_t offset, unsigned bit);
 
   /// Removes all files, as a replaced disk would.
-  void empty();
+  void removeAllFiles();
 
   std::uint64_t fileBytes(const std::string& path) const;
 
@@ -74,7 +74,7 @@
   };
   using Names = std::map<std::string, std::shared_ptr<Content>>;
 
-  Status step();
+  Status countOperation();
   Status allocate(Content& content, std::uint64_t bytes);
 
   Names names_;
@@ -82,7 +82,7 @@
   std::set<std::string> locks_;
   std::uint64_t generation_ = 0;
   std::uint64_t operations_ = 0;
-  std::uint64_t powerLeft_ = std::numeric_limits<std::uint64_t>::max();
+  std::uint64_t operationsUntilPowerCut_ = std::numeric_limits<std::uint64_t>::max();
   std::uint64_t limitBytes_ = std::numeric_limits<std::uint64_t>::max();
   bool failSync_ = false;
   bool failWrite_ = false;
--- a/src/storage/log_recovery.cpp
+++ b/src/storage/log_recovery.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-Error corrupt(const std::string& detail) {
+Error storageCorrupt(const std::string& detail) {
   return makeError(ErrorCode::StorageCorrupt, detail);
 }
 
@@ -91,7 +91,8 @@
     const std::uint64_t expected = newest > age ? newest - age : 0;
     const std::optional<SegmentHeader>& header = headers[slot];
     if (!header || header->segmentSequence != expected || header->storeId != position_.storeId) {
-      return corrupt("the header of " + SegmentFiles::fileName(slot) + " is lost or damaged");
+      return storageCorrupt("the header of " + SegmentFiles::fileName(slot) +
+                            " is lost or damaged");
     }
   }
   return okStatus();
@@ -110,8 +111,8 @@
   for (std::uint64_t sequence = first; sequence <= newest; ++sequence) {
     const SegmentHeader& header = *headers[files_.slotOf(sequence)];
     if (header.segmentSequence != sequence || header.firstSequence != position_.nextSequence) {
-      return corrupt("records are missing before " +
-                     SegmentFiles::fileName(files_.slotOf(sequence)));
+      return storageCorrupt("records are missing before " +
+                            SegmentFiles::fileName(files_.slotOf(sequence)));
     }
     const Result<std::string> content = files_.readSegment(sequence);
     if (!content) {
@@ -123,7 +124,7 @@
     }
     if (sequence == newest) {
       position_.offset = end.value();
-      return cutTail(content.value());
+      return zeroTail(content.value());
     }
   }
   return okStatus();
@@ -140,7 +141,7 @@
     const std::uint64_t payloadOffset = end + kRecordHeaderBytes;
     const std::string_view payload = content.substr(payloadOffset, record->payloadBytes);
     if (!decodePayload(payload)) {
-      return corrupt("a record is malformed");
+      return storageCorrupt("a record is malformed");
     }
     index_.apply(payload, header.segmentSequence, payloadOffset);
     end += recordBytes(record->payloadBytes);
@@ -152,12 +153,12 @@
 /// unreadable one had been synced proves damage. The others were unsynced at a power loss. All that
 /// follows is overwritten with zeros, also what is unreadable: a later, torn write could supply the
 /// very sectors that a cut record lacks, and bring it back.
-Status LogRecovery::cutTail(std::string_view content) {
+Status LogRecovery::zeroTail(std::string_view content) {
   const std::uint64_t end = position_.offset;
   for (std::uint64_t at = end; at < content.size(); at += kRecordAlignment) {
     const auto record = decodeRecord(content, at, position_.segmentSequence);
     if (record && record->syncedSequence >= position_.nextSequence) {
-      return corrupt("record " + std::to_string(position_.nextSequence) + " is damaged");
+      return storageCorrupt("record " + std::to_string(position_.nextSequence) + " is damaged");
     }
   }
   if (content.find_first_not_of('\0', end) == std::string_view::npos) {
--- a/src/storage/log_recovery.h
+++ b/src/storage/log_recovery.h
@@ -37,7 +37,7 @@
   Status replaySegments(const Headers& headers);
   /// Applies the records of one segment; returns where the first unreadable one begins.
   Result<std::uint64_t> replaySegment(const SegmentHeader& header, std::string_view content);
-  Status cutTail(std::string_view content);
+  Status zeroTail(std::string_view content);
   Result<bool> startsWithCompaction(std::uint64_t segmentSequence) const;
 
   SegmentFiles& files_;
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -16,40 +16,40 @@
 constexpr mode_t kFileMode = 0600;
 constexpr mode_t kFolderMode = 0700;
 
-Error systemError(const std::string& what, int number) {
-  const ErrorCode code = number == ENOSPC || number == EDQUOT ? ErrorCode::StorageFull
-                         : number == ENOENT                   ? ErrorCode::NotFound
-                                                              : ErrorCode::StorageFailed;
-  return makeError(code, what + ": " + std::generic_category().message(number));
+Error systemError(const std::string& what, int errorNumber) {
+  const ErrorCode code = errorNumber == ENOSPC || errorNumber == EDQUOT ? ErrorCode::StorageFull
+                         : errorNumber == ENOENT                        ? ErrorCode::NotFound
+                                                                        : ErrorCode::StorageFailed;
+  return makeError(code, what + ": " + std::generic_category().message(errorNumber));
 }
 
-class Descriptor {
+class FileDescriptor {
  public:
-  explicit Descriptor(int number) : number_(number) {}
-  ~Descriptor() {
-    if (number_ >= 0) {
-      ::close(number_);
+  explicit FileDescriptor(int fd) : fd_(fd) {}
+  ~FileDescriptor() {
+    if (fd_ >= 0) {
+      ::close(fd_);
     }
   }
-  Descriptor(const Descriptor&) = delete;
-  Descriptor& operator=(const Descriptor&) = delete;
-  int number() const { return number_; }
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
+  int fd() const { return fd_; }
 
  private:
-  int number_;
+  int fd_;
 };
 
 class PosixFile : public File {
  public:
-  PosixFile(std::string path, int number) : path_(std::move(path)), descriptor_(number) {}
+  PosixFile(std::string path, int fd) : path_(std::move(path)), descriptor_(fd) {}
 
-  int number() const { return descriptor_.number(); }
+  int fd() const { return descriptor_.fd(); }
 
   Result<std::string> readAt(std::uint64_t offset, std::size_t bytes) const override {
     std::string data(bytes, '\0');
     std::size_t done = 0;
     while (done < bytes) {
-      const ssize_t count = ::pread(number(), &data[done], bytes - done, offset + done);
+      const ssize_t count = ::pread(fd(), &data[done], bytes - done, offset + done);
       if (count < 0 && errno == EINTR) {
         continue;
       }
@@ -65,19 +65,19 @@
   }
 
   Status allocate(std::uint64_t bytes) override {
-    const int failure = ::posix_fallocate(number(), 0, static_cast<off_t>(bytes));
+    const int failure = ::posix_fallocate(fd(), 0, static_cast<off_t>(bytes));
     if (failure != 0) {
       return systemError("allocate " + path_, failure);
     }
     // The size is part of what fdatasync must find later: make it durable once, here.
-    if (::fsync(number()) != 0) {
+    if (::fsync(fd()) != 0) {
       return systemError("sync " + path_, errno);
     }
     return okStatus();
   }
 
   Status truncate(std::uint64_t bytes) override {
-    if (::ftruncate(number(), static_cast<off_t>(bytes)) != 0) {
+    if (::ftruncate(fd(), static_cast<off_t>(bytes)) != 0) {
       return systemError("truncate " + path_, errno);
     }
     return okStatus();
@@ -85,7 +85,7 @@
 
   Status writeAt(std::uint64_t offset, std::string_view data) override {
     while (!data.empty()) {
-      const ssize_t count = ::pwrite(number(), data.data(), data.size(), offset);
+      const ssize_t count = ::pwrite(fd(), data.data(), data.size(), offset);
       if (count < 0 && errno == EINTR) {
         continue;
       }
@@ -100,7 +100,7 @@
 
   Status sync() override {
     // Not retried, also not on EINTR: a second call may succeed although writes were dropped.
-    if (::fdatasync(number()) != 0) {
+    if (::fdatasync(fd()) != 0) {
       return systemError("sync " + path_, errno);
     }
     return okStatus();
@@ -108,15 +108,15 @@
 
  private:
   std::string path_;
-  Descriptor descriptor_;
+  FileDescriptor descriptor_;
 };
 
 class PosixLock : public FileLock {
  public:
-  explicit PosixLock(int number) : descriptor_(number) {}
+  explicit PosixLock(int fd) : descriptor_(fd) {}
 
  private:
-  Descriptor descriptor_;
+  FileDescriptor descriptor_;
 };
 
 }  // namespace
@@ -146,11 +146,11 @@
 
 Result<std::unique_ptr<File>> PosixFileSystem::openPreallocated(const std::string& path,
                                                                 std::uint64_t bytes) {
-  const int number = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
-  if (number < 0) {
+  const int fd = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
+  if (fd < 0) {
     return systemError("open " + path, errno);
   }
-  auto file = std::make_unique<PosixFile>(path, number);
+  auto file = std::make_unique<PosixFile>(path, fd);
   const Status allocated = file->allocate(bytes);
   if (!allocated) {
     return allocated.error();
@@ -159,8 +159,8 @@
 }
 
 Status PosixFileSystem::syncFolder(const std::string& folder) {
-  const Descriptor descriptor(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  if (descriptor.number() < 0 || ::fsync(descriptor.number()) != 0) {
+  const FileDescriptor descriptor(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  if (descriptor.fd() < 0 || ::fsync(descriptor.fd()) != 0) {
     return systemError("sync folder " + folder, errno);
   }
   return okStatus();
@@ -197,12 +197,12 @@
 }
 
 Result<std::unique_ptr<FileLock>> PosixFileSystem::lock(const std::string& path) {
-  const int number = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
-  if (number < 0) {
+  const int fd = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kFileMode);
+  if (fd < 0) {
     return systemError("open " + path, errno);
   }
-  auto lock = std::make_unique<PosixLock>(number);
-  if (::flock(number, LOCK_EX | LOCK_NB) != 0) {
+  auto lock = std::make_unique<PosixLock>(fd);
+  if (::flock(fd, LOCK_EX | LOCK_NB) != 0) {
     const int failure = errno;
     if (failure == EWOULDBLOCK) {
       return makeError(ErrorCode::AlreadyExists, "another process holds " + path);
--- a/src/wire/bounded_close.cpp
+++ b/src/wire/bounded_close.cpp
@@ -6,14 +6,14 @@
 
 namespace shedshed {
 
-bool closeWithin(std::chrono::milliseconds limit, std::function<void()> close) {
+bool closeWithin(std::chrono::milliseconds timeout, std::function<void()> close) {
   const auto closed = std::make_shared<std::promise<void>>();
   std::future<void> done = closed->get_future();
   std::thread closer([closed, close = std::move(close)] {
     close();
     closed->set_value();
   });
-  if (done.wait_for(limit) == std::future_status::ready) {
+  if (done.wait_for(timeout) == std::future_status::ready) {
     closer.join();
     return true;
   }
--- a/src/wire/bounded_close.h
+++ b/src/wire/bounded_close.h
@@ -12,6 +12,6 @@
 /// For sockets of nng: closing one can wait for ever for the library's own threads. False if
 /// @p close had not returned; its thread then stays until the process ends, so @p close must own
 /// what it uses.
-bool closeWithin(std::chrono::milliseconds limit, std::function<void()> close);
+bool closeWithin(std::chrono::milliseconds timeout, std::function<void()> close);
 
 }  // namespace shedshed
--- a/src/wire/listening.cpp
+++ b/src/wire/listening.cpp
@@ -9,19 +9,19 @@
   if (!endpoint) {
     return endpoint.error();
   }
-  boost::system::error_code failed;
-  acceptor.open(endpoint.value().protocol(), failed);
-  if (!failed) {
-    acceptor.set_option(boost::asio::socket_base::reuse_address(true), failed);
+  boost::system::error_code error;
+  acceptor.open(endpoint.value().protocol(), error);
+  if (!error) {
+    acceptor.set_option(boost::asio::socket_base::reuse_address(true), error);
   }
-  if (!failed) {
-    acceptor.bind(endpoint.value(), failed);
+  if (!error) {
+    acceptor.bind(endpoint.value(), error);
   }
-  if (!failed) {
-    acceptor.listen(boost::asio::socket_base::max_listen_connections, failed);
+  if (!error) {
+    acceptor.listen(boost::asio::socket_base::max_listen_connections, error);
   }
-  if (failed) {
-    return makeError(ErrorCode::InvalidArgument, address + ": " + failed.message());
+  if (error) {
+    return makeError(ErrorCode::InvalidArgument, address + ": " + error.message());
   }
   return okStatus();
 }
--- a/src/wire/nng_transport.cpp
+++ b/src/wire/nng_transport.cpp
@@ -11,29 +11,29 @@
 namespace shedshed {
 namespace {
 
-std::string urlOf(const NodeId& node) {
+std::string nodeUrl(const NodeId& node) {
   return "tcp://" + node.address;
 }
 
 /// Closing all sockets takes some milliseconds, unless the library waits for ever.
-constexpr std::chrono::milliseconds kCloseLimit{1000};
+constexpr std::chrono::milliseconds kCloseTimeout{1000};
 
 }  // namespace
 
 /// A PUSH socket that dials one peer and reconnects by itself.
 class NngTransport::Peer {
  public:
-  Peer(const NodeId& node, const NngTransportKnobs& knobs) {
+  Peer(const NodeId& node, const NngTransportOptions& options) {
     if (nng_push0_open(&socket_) != 0) {
       return;
     }
     open_ = true;
-    nng_socket_set_int(socket_, NNG_OPT_SENDBUF, knobs.sendQueueMessages);
+    nng_socket_set_int(socket_, NNG_OPT_SENDBUF, options.sendQueueMessages);
     nng_socket_set_ms(socket_, NNG_OPT_RECONNMINT,
-                      static_cast<nng_duration>(knobs.reconnectMin.count()));
+                      static_cast<nng_duration>(options.reconnectDelayMin.count()));
     nng_socket_set_ms(socket_, NNG_OPT_RECONNMAXT,
-                      static_cast<nng_duration>(knobs.reconnectMax.count()));
-    nng_dial(socket_, urlOf(node).c_str(), nullptr, NNG_FLAG_NONBLOCK);
+                      static_cast<nng_duration>(options.reconnectDelayMax.count()));
+    nng_dial(socket_, nodeUrl(node).c_str(), nullptr, NNG_FLAG_NONBLOCK);
   }
   ~Peer() {
     if (open_) {
@@ -72,8 +72,8 @@
       return makeError(ErrorCode::Internal, "cannot open a pull socket");
     }
     open_ = true;
-    nng_socket_set_size(socket_, NNG_OPT_RECVMAXSZ, owner_.knobs_.maxFrameBytes);
-    const std::string url = urlOf(owner_.self_);
+    nng_socket_set_size(socket_, NNG_OPT_RECVMAXSZ, owner_.options_.maxFrameBytes);
+    const std::string url = nodeUrl(owner_.self_);
     const int error = nng_listen(socket_, url.c_str(), nullptr, 0);
     if (error != 0) {
       return makeError(ErrorCode::InvalidArgument, url + ": " + nng_strerror(error));
@@ -107,9 +107,9 @@
   }
 
  private:
-  static void onReceive(void* argument) { static_cast<Listener*>(argument)->receiveDone(); }
+  static void onReceive(void* argument) { static_cast<Listener*>(argument)->onReceiveComplete(); }
 
-  void receiveDone() {
+  void onReceiveComplete() {
     if (nng_aio_result(aio_) != 0) {
       if (!closing_) {
         nng_recv_aio(socket_, aio_);
@@ -117,7 +117,7 @@
       return;
     }
     nng_msg* message = nng_aio_get_msg(aio_);
-    owner_.received(static_cast<const char*>(nng_msg_body(message)), nng_msg_len(message));
+    owner_.handleFrame(static_cast<const char*>(nng_msg_body(message)), nng_msg_len(message));
     nng_msg_free(message);
     nng_recv_aio(socket_, aio_);
   }
@@ -130,8 +130,8 @@
 };
 
 NngTransport::NngTransport(NodeId self, const FleetKey& key, Counters& counters,
-                           NngTransportKnobs knobs)
-    : self_(std::move(self)), key_(key), counters_(counters), knobs_(knobs) {}
+                           NngTransportOptions options)
+    : self_(std::move(self)), key_(key), counters_(counters), options_(options) {}
 
 NngTransport::~NngTransport() {
   stop();
@@ -156,7 +156,7 @@
   // Once one close of the library waits for ever, all of them do.
   const auto sockets = std::make_shared<std::pair<std::shared_ptr<Listener>, decltype(peers)>>(
       listener, std::move(peers));
-  const bool closed = closeWithin(kCloseLimit, [sockets] {
+  const bool closed = closeWithin(kCloseTimeout, [sockets] {
     if (sockets->first) {
       sockets->first->close();
     }
@@ -185,7 +185,7 @@
   closeIdlePeers(now);
   std::shared_ptr<Peer>& peer = peers_[to];
   if (!peer) {
-    peer = std::make_shared<Peer>(to, knobs_);
+    peer = std::make_shared<Peer>(to, options_);
   }
   peer->lastUse = now;
   return peer;
@@ -195,14 +195,14 @@
   if (now < nextIdleCheck_) {
     return;
   }
-  nextIdleCheck_ = now + knobs_.idleClose / 4;
+  nextIdleCheck_ = now + options_.idleTimeout / 4;
   for (auto it = peers_.begin(); it != peers_.end();) {
-    const bool idle = now - it->second->lastUse > knobs_.idleClose;
+    const bool idle = now - it->second->lastUse > options_.idleTimeout;
     it = idle ? peers_.erase(it) : std::next(it);
   }
 }
 
-void NngTransport::received(const char* bytes, std::size_t size) {
+void NngTransport::handleFrame(const char* bytes, std::size_t size) {
   Result<Frame> frame = decodeFrame(key_, std::string_view(bytes, size));
   if (!frame) {
     counters_.add("wire_refused_frames_total");
--- a/src/wire/nng_transport.h
+++ b/src/wire/nng_transport.h
@@ -14,19 +14,20 @@
 namespace shedshed {
 
 /// Knobs of `NngTransport`.
-struct NngTransportKnobs {
-  int sendQueueMessages = 256;                   ///< Per peer; the rest is dropped.
-  std::size_t maxFrameBytes = 16U << 20U;        ///< Larger frames close the connection.
-  std::chrono::milliseconds reconnectMin{50};    ///< First wait after a lost connection.
-  std::chrono::milliseconds reconnectMax{1000};  ///< Longest wait between tries.
-  std::chrono::seconds idleClose{120};           ///< Unused dialers are closed.
+struct NngTransportOptions {
+  int sendQueueMessages = 256;                        ///< Per peer; the rest is dropped.
+  std::size_t maxFrameBytes = 16U << 20U;             ///< Larger frames close the connection.
+  std::chrono::milliseconds reconnectDelayMin{50};    ///< First wait after a lost connection.
+  std::chrono::milliseconds reconnectDelayMax{1000};  ///< Longest wait between tries.
+  std::chrono::seconds idleTimeout{120};              ///< Unused dialers are closed.
 };
 
 /// PUSH/PULL fits one-way messages; REQ/REP would resend by itself, which cores must control.
 class NngTransport : public Transport {
  public:
   /// Does not own @p counters, which must be thread-safe.
-  NngTransport(NodeId self, const FleetKey& key, Counters& counters, NngTransportKnobs knobs = {});
+  NngTransport(NodeId self, const FleetKey& key, Counters& counters,
+               NngTransportOptions options = {});
   ~NngTransport() override;
 
   /// Fails with `InvalidArgument` when the address cannot be bound.
@@ -40,12 +41,12 @@
 
   std::shared_ptr<Peer> peerFor(const NodeId& to);
   void closeIdlePeers(std::chrono::steady_clock::time_point now);
-  void received(const char* bytes, std::size_t size);
+  void handleFrame(const char* bytes, std::size_t size);
 
   const NodeId self_;
   const FleetKey key_;
   Counters& counters_;
-  const NngTransportKnobs knobs_;
+  const NngTransportOptions options_;
   Receiver receiver_;
   std::unique_ptr<Listener> listener_;
   std::mutex peersMutex_;
--- a/src/wire/tcp_transport.cpp
+++ b/src/wire/tcp_transport.cpp
@@ -15,9 +15,9 @@
 namespace net = boost::asio;
 using boost::system::error_code;
 
-constexpr std::size_t kLengthBytes = 4;
+constexpr std::size_t kFrameLengthBytes = 4;
 /// Bytes asked of an incoming link at once.
-constexpr std::size_t kReadBytes = 64U << 10U;
+constexpr std::size_t kReadBufferBytes = 64U << 10U;
 
 void appendFrame(std::string& buffer, const std::string& frame) {
   const auto length = static_cast<std::uint32_t>(frame.size());
@@ -27,9 +27,9 @@
   buffer += frame;
 }
 
-std::uint32_t frameLength(std::string_view bytes) {
+std::uint32_t decodeFrameLength(std::string_view bytes) {
   std::uint32_t length = 0;
-  for (std::size_t index = 0; index < kLengthBytes; ++index) {
+  for (std::size_t index = 0; index < kFrameLengthBytes; ++index) {
     length = (length << 8U) | static_cast<unsigned char>(bytes[index]);
   }
   return length;
@@ -38,16 +38,17 @@
 }  // namespace
 
 /// A link that a peer opened; reads frames until it breaks.
-class TcpTransport::Incoming : public std::enable_shared_from_this<TcpTransport::Incoming> {
+class TcpTransport::IncomingConnection
+    : public std::enable_shared_from_this<TcpTransport::IncomingConnection> {
  public:
-  Incoming(TcpTransport& owner, net::ip::tcp::socket socket)
+  IncomingConnection(TcpTransport& owner, net::ip::tcp::socket socket)
       : owner_(owner), socket_(std::move(socket)) {}
 
   void start() {
-    setKeepAlive(socket_, owner_.knobs_.keepAliveSeconds, owner_.knobs_.keepAliveProbes);
-    error_code failed;
-    socket_.non_blocking(true, failed);
-    if (!failed) {
+    setKeepAlive(socket_, owner_.options_.keepAliveSeconds, owner_.options_.keepAliveProbes);
+    error_code error;
+    socket_.non_blocking(true, error);
+    if (!error) {
       waitForBytes();
     }
   }
@@ -55,8 +56,8 @@
  private:
   void waitForBytes() {
     socket_.async_wait(net::ip::tcp::socket::wait_read,
-                       [self = shared_from_this()](const error_code& failed) {
-                         if (!failed && !self->owner_.stopped_ && self->read()) {
+                       [self = shared_from_this()](const error_code& error) {
+                         if (!error && !self->owner_.stopped_ && self->read()) {
                            self->waitForBytes();
                          }
                        });
@@ -64,57 +65,58 @@
 
   /// Reads once and hands all whole frames on. False if the link must be closed.
   bool read() {
-    error_code failed;
-    const std::size_t size = socket_.read_some(net::buffer(owner_.readBuffer_), failed);
-    if (failed) {
-      return failed == net::error::would_block || failed == net::error::try_again;
+    error_code error;
+    const std::size_t size = socket_.read_some(net::buffer(owner_.readBuffer_), error);
+    if (error) {
+      return error == net::error::would_block || error == net::error::try_again;
     }
     const std::string_view bytes(owner_.readBuffer_.data(), size);
-    if (partial_.empty()) {
-      return takeFrames(bytes);
+    if (partialFrame_.empty()) {
+      return handleFrames(bytes);
     }
     std::string joined;
-    joined.swap(partial_);
+    joined.swap(partialFrame_);
     joined += bytes;
-    return takeFrames(joined);
+    return handleFrames(joined);
   }
 
   /// Hands all whole frames on and keeps the rest. False if a frame is too long.
-  bool takeFrames(std::string_view rest) {
-    while (rest.size() >= kLengthBytes) {
-      const std::uint32_t length = frameLength(rest);
-      if (length > owner_.knobs_.maxFrameBytes) {
+  bool handleFrames(std::string_view rest) {
+    while (rest.size() >= kFrameLengthBytes) {
+      const std::uint32_t length = decodeFrameLength(rest);
+      if (length > owner_.options_.maxFrameBytes) {
         owner_.counters_.add("wire_refused_frames_total");
         return false;
       }
-      if (rest.size() < kLengthBytes + length) {
+      if (rest.size() < kFrameLengthBytes + length) {
         break;
       }
-      owner_.received(rest.substr(kLengthBytes, length));
-      rest.remove_prefix(kLengthBytes + length);
+      owner_.handleFrame(rest.substr(kFrameLengthBytes, length));
+      rest.remove_prefix(kFrameLengthBytes + length);
     }
-    partial_ = rest;
+    partialFrame_ = rest;
     return true;
   }
 
   TcpTransport& owner_;
   net::ip::tcp::socket socket_;
-  std::string partial_;  ///< The beginning of a frame whose end has not arrived.
+  std::string partialFrame_;  ///< The beginning of a frame whose end has not arrived.
 };
 
 /// The link to one peer: connects when there is something to send.
-class TcpTransport::Outgoing : public std::enable_shared_from_this<TcpTransport::Outgoing> {
+class TcpTransport::OutgoingConnection
+    : public std::enable_shared_from_this<TcpTransport::OutgoingConnection> {
  public:
-  Outgoing(TcpTransport& owner, const NodeId& peer)
+  OutgoingConnection(TcpTransport& owner, const NodeId& peer)
       : owner_(owner), socket_(owner.loop_), timer_(owner.loop_),
         endpoint_(parseEndpoint(peer.address)) {}
 
   /// False if the message was dropped.
   bool send(const std::string& frame) {
-    if (!endpoint_ || waiting_.size() + frame.size() > owner_.knobs_.sendQueueBytes) {
+    if (!endpoint_ || queuedBytes_.size() + frame.size() > owner_.options_.sendQueueBytes) {
       return false;
     }
-    appendFrame(waiting_, frame);
+    appendFrame(queuedBytes_, frame);
     if (state_ == State::Closed) {
       connect();
     } else if (state_ == State::Open && !writeScheduled_) {
@@ -131,48 +133,48 @@
   }
 
  private:
-  enum class State { Closed, Connecting, Open, Pausing, Stopped };
+  enum class State { Closed, Connecting, Open, Backoff, Stopped };
 
   void connect() {
     state_ = State::Connecting;
-    const std::uint64_t round = ++round_;
+    const std::uint64_t attempt = ++attempt_;
     socket_ = net::ip::tcp::socket(owner_.loop_);
     socket_.async_connect(endpoint_.value(),
-                          [self = shared_from_this(), round](const error_code& failed) {
-                            self->connected(round, failed);
+                          [self = shared_from_this(), attempt](const error_code& error) {
+                            self->onConnected(attempt, error);
                           });
-    timer_.expires_after(owner_.knobs_.connectTimeout);
-    timer_.async_wait([self = shared_from_this(), round](const error_code& cancelled) {
-      if (!cancelled && self->round_ == round && self->state_ == State::Connecting) {
-        self->fail();
+    timer_.expires_after(owner_.options_.connectTimeout);
+    timer_.async_wait([self = shared_from_this(), attempt](const error_code& cancelled) {
+      if (!cancelled && self->attempt_ == attempt && self->state_ == State::Connecting) {
+        self->disconnect();
       }
     });
   }
 
-  void connected(std::uint64_t round, const error_code& failed) {
-    if (round != round_ || state_ != State::Connecting) {
+  void onConnected(std::uint64_t attempt, const error_code& error) {
+    if (attempt != attempt_ || state_ != State::Connecting) {
       return;
     }
     timer_.cancel();
-    if (failed) {
-      fail();
+    if (error) {
+      disconnect();
       return;
     }
     error_code ignored;
     socket_.set_option(net::ip::tcp::no_delay(true), ignored);
-    setUnackedTimeout(socket_, owner_.knobs_.unackedTimeout);
-    setKeepAlive(socket_, owner_.knobs_.keepAliveSeconds, owner_.knobs_.keepAliveProbes);
+    setUnackedTimeout(socket_, owner_.options_.unackedTimeout);
+    setKeepAlive(socket_, owner_.options_.keepAliveSeconds, owner_.options_.keepAliveProbes);
     state_ = State::Open;
-    watch(round);
+    waitForDisconnect(attempt);
     write();
   }
 
   /// A peer never writes on this link: readable means closed.
-  void watch(std::uint64_t round) {
+  void waitForDisconnect(std::uint64_t attempt) {
     socket_.async_wait(net::ip::tcp::socket::wait_read,
-                       [self = shared_from_this(), round](const error_code&) {
-                         if (self->round_ == round && self->state_ == State::Open) {
-                           self->fail();
+                       [self = shared_from_this(), attempt](const error_code&) {
+                         if (self->attempt_ == attempt && self->state_ == State::Open) {
+                           self->disconnect();
                          }
                        });
   }
@@ -189,45 +191,45 @@
   }
 
   void write() {
-    if (!writing_.empty() || waiting_.empty()) {
+    if (!bytesInFlight_.empty() || queuedBytes_.empty()) {
       return;
     }
-    writing_.swap(waiting_);
-    const std::uint64_t round = round_;
-    net::async_write(socket_, net::buffer(writing_),
-                     [self = shared_from_this(), round](const error_code& failed, std::size_t) {
-                       self->written(round, failed);
+    bytesInFlight_.swap(queuedBytes_);
+    const std::uint64_t attempt = attempt_;
+    net::async_write(socket_, net::buffer(bytesInFlight_),
+                     [self = shared_from_this(), attempt](const error_code& error, std::size_t) {
+                       self->onWritten(attempt, error);
                      });
   }
 
-  void written(std::uint64_t round, const error_code& failed) {
-    if (round != round_ || state_ != State::Open) {
+  void onWritten(std::uint64_t attempt, const error_code& error) {
+    if (attempt != attempt_ || state_ != State::Open) {
       return;
     }
-    if (failed) {
-      fail();
+    if (error) {
+      disconnect();
       return;
     }
-    writing_.clear();
+    bytesInFlight_.clear();
     write();
   }
 
   /// Drops what waits: an old message is worth less than a free link.
-  void fail() {
+  void disconnect() {
     owner_.counters_.add("wire_broken_links_total");
-    ++round_;
+    ++attempt_;
     error_code ignored;
     socket_.close(ignored);
-    waiting_.clear();
-    writing_.clear();
-    state_ = State::Pausing;
-    timer_.expires_after(owner_.knobs_.reconnectPause);
+    queuedBytes_.clear();
+    bytesInFlight_.clear();
+    state_ = State::Backoff;
+    timer_.expires_after(owner_.options_.reconnectDelay);
     timer_.async_wait([self = shared_from_this()](const error_code& cancelled) {
-      if (cancelled || self->state_ != State::Pausing) {
+      if (cancelled || self->state_ != State::Backoff) {
         return;
       }
       self->state_ = State::Closed;
-      if (!self->waiting_.empty()) {
+      if (!self->queuedBytes_.empty()) {
         self->connect();
       }
     });
@@ -238,16 +240,16 @@
   net::steady_timer timer_;
   const Result<net::ip::tcp::endpoint> endpoint_;
   State state_ = State::Closed;
-  std::uint64_t round_ = 0;
+  std::uint64_t attempt_ = 0;
   bool writeScheduled_ = false;
-  std::string waiting_;
-  std::string writing_;
+  std::string queuedBytes_;
+  std::string bytesInFlight_;
 };
 
 TcpTransport::TcpTransport(net::io_context& loop, NodeId self, const FleetKey& key,
-                           Counters& counters, TcpTransportKnobs knobs)
-    : loop_(loop), self_(std::move(self)), key_(key), counters_(counters), knobs_(knobs),
-      readBuffer_(kReadBytes) {}
+                           Counters& counters, TcpTransportOptions options)
+    : loop_(loop), self_(std::move(self)), key_(key), counters_(counters), options_(options),
+      readBuffer_(kReadBufferBytes) {}
 
 TcpTransport::~TcpTransport() {
   stop();
@@ -265,12 +267,12 @@
 }
 
 void TcpTransport::accept() {
-  acceptor_->async_accept([this](const error_code& failed, net::ip::tcp::socket socket) {
-    if (stopped_ || failed == net::error::operation_aborted) {
+  acceptor_->async_accept([this](const error_code& error, net::ip::tcp::socket socket) {
+    if (stopped_ || error == net::error::operation_aborted) {
       return;
     }
-    if (!failed) {
-      std::make_shared<Incoming>(*this, std::move(socket))->start();
+    if (!error) {
+      std::make_shared<IncomingConnection>(*this, std::move(socket))->start();
     }
     accept();
   });
@@ -285,7 +287,7 @@
   if (acceptor_) {
     acceptor_->close(ignored);
   }
-  for (const auto& entry : outgoing_) {
+  for (const auto& entry : outgoingConnections_) {
     entry.second->close();
   }
 }
@@ -297,16 +299,16 @@
   const std::string frame = encodeFrame(key_, Frame{self_, to, message});
   counters_.add("wire_sent_messages_total");
   counters_.add("wire_sent_bytes_total", static_cast<double>(frame.size()));
-  std::shared_ptr<Outgoing>& link = outgoing_[to];
-  if (!link) {
-    link = std::make_shared<Outgoing>(*this, to);
+  std::shared_ptr<OutgoingConnection>& connection = outgoingConnections_[to];
+  if (!connection) {
+    connection = std::make_shared<OutgoingConnection>(*this, to);
   }
-  if (!link->send(frame)) {
+  if (!connection->send(frame)) {
     counters_.add("wire_dropped_messages_total");
   }
 }
 
-void TcpTransport::received(std::string_view bytes) {
+void TcpTransport::handleFrame(std::string_view bytes) {
   Result<Frame> frame = decodeFrame(key_, bytes);
   if (!frame) {
     counters_.add("wire_refused_frames_total");
--- a/src/wire/tcp_transport.h
+++ b/src/wire/tcp_transport.h
@@ -16,11 +16,11 @@
 namespace shedshed {
 
 /// Knobs of `TcpTransport`.
-struct TcpTransportKnobs {
+struct TcpTransportOptions {
   std::size_t sendQueueBytes = 8U << 20U;          ///< Per peer; a message beyond it is dropped.
   std::size_t maxFrameBytes = 16U << 20U;          ///< A larger frame closes the link.
   std::chrono::milliseconds connectTimeout{700};   ///< Then the queue is dropped.
-  std::chrono::milliseconds reconnectPause{100};   ///< Between two tries to connect.
+  std::chrono::milliseconds reconnectDelay{100};   ///< Between two tries to connect.
   std::chrono::milliseconds unackedTimeout{1200};  ///< `TCP_USER_TIMEOUT` of a link.
   int keepAliveSeconds = 1;                        ///< Idle time and interval of the probes.
   int keepAliveProbes = 2;                         ///< Lost probes that close an idle link.
@@ -37,7 +37,7 @@
  public:
   /// Keeps references to @p loop and @p counters; they must outlive it.
   TcpTransport(boost::asio::io_context& loop, NodeId self, const FleetKey& key, Counters& counters,
-               TcpTransportKnobs knobs = {});
+               TcpTransportOptions options = {});
   ~TcpTransport() override;
 
   /// Fails with `InvalidArgument` when the address cannot be bound.
@@ -46,20 +46,20 @@
   void stop() override;
 
  private:
-  class Incoming;
-  class Outgoing;
+  class IncomingConnection;
+  class OutgoingConnection;
 
   void accept();
-  void received(std::string_view bytes);
+  void handleFrame(std::string_view bytes);
 
   boost::asio::io_context& loop_;
   const NodeId self_;
   const FleetKey key_;
   Counters& counters_;
-  const TcpTransportKnobs knobs_;
+  const TcpTransportOptions options_;
   Receiver receiver_;
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
-  std::map<NodeId, std::shared_ptr<Outgoing>> outgoing_;
+  std::map<NodeId, std::shared_ptr<OutgoingConnection>> outgoingConnections_;
   std::vector<char> readBuffer_;  ///< Of all incoming links: only one is read at a time.
   bool stopped_ = false;
 };
--- a/tests/runtime/runtime_test.cpp
+++ b/tests/runtime/runtime_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Records whose sync waits until the test lets it go on.
-class GatedRecords : public DurableRecords {
+class BlockingSyncRecords : public DurableRecords {
  public:
   Status append(const std::vector<Mutation>& mutations) override {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -20,7 +20,7 @@
     return okStatus();
   }
   Status sync() override {
-    gate.get_future().wait();
+    syncAllowed.get_future().wait();
     return okStatus();
   }
   Result<std::optional<std::string>> read(std::string_view key) const override {
@@ -31,14 +31,14 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     return memory_.keys(prefix);
   }
-  std::promise<void> gate;
+  std::promise<void> syncAllowed;
 
  private:
   mutable std::mutex mutex_;
   test::MemoryRecords memory_;
 };
 
-FleetKey keyOf(char digit) {
+FleetKey makeFleetKey(char digit) {
   return parseFleetKey(std::string(64, digit)).value();
 }
 
@@ -49,15 +49,15 @@
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(frame_round_trip_and_tampering) {
-  const std::string bytes = encodeFrame(keyOf('a'), sampleFrame());
-  const Result<Frame> frame = decodeFrame(keyOf('a'), bytes);
+  const std::string bytes = encodeFrame(makeFleetKey('a'), sampleFrame());
+  const Result<Frame> frame = decodeFrame(makeFleetKey('a'), bytes);
   BOOST_REQUIRE(frame.has_value());
   BOOST_TEST(frame.value().message.payload == "payload");
-  BOOST_TEST((decodeFrame(keyOf('b'), bytes).error().code == ErrorCode::Unauthenticated));
+  BOOST_TEST((decodeFrame(makeFleetKey('b'), bytes).error().code == ErrorCode::Unauthenticated));
   for (std::size_t i = 0; i < bytes.size(); ++i) {
     std::string damaged = bytes;
     damaged[i] ^= 1;
-    BOOST_TEST(decodeFrame(keyOf('a'), damaged).has_error());
+    BOOST_TEST(decodeFrame(makeFleetKey('a'), damaged).has_error());
   }
 }
 
@@ -76,16 +76,16 @@
   timers.start(ServiceId::Register, 2, base + std::chrono::seconds(1));
   timers.stop(ServiceId::Register, 2);
   timers.start(ServiceId::Register, 1, base + std::chrono::seconds(3));
-  BOOST_TEST(!timers.takeDue(base).has_value());
+  BOOST_TEST(!timers.popDue(base).has_value());
   const Time end = base + std::chrono::seconds(3);
-  BOOST_TEST((timers.takeDue(end)->service == ServiceId::Partition));
-  BOOST_TEST((timers.takeDue(end)->service == ServiceId::Directory));
-  BOOST_TEST((timers.takeDue(end)->service == ServiceId::Register));
-  BOOST_TEST(!timers.takeDue(end).has_value());
+  BOOST_TEST((timers.popDue(end)->service == ServiceId::Partition));
+  BOOST_TEST((timers.popDue(end)->service == ServiceId::Directory));
+  BOOST_TEST((timers.popDue(end)->service == ServiceId::Register));
+  BOOST_TEST(!timers.popDue(end).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(disk_writer_reads_what_waits_and_completes_only_after_the_sync) {
-  GatedRecords records;
+BOOST_AUTO_TEST_CASE(disk_writer_reads_pending_mutations_and_completes_only_after_the_sync) {
+  BlockingSyncRecords records;
   std::atomic<int> completed{0};
   std::promise<void> finished;
   DiskWriter writer(records, [&](std::function<void()> task) {
@@ -99,7 +99,7 @@
   BOOST_TEST(*writer.read("a/1").value() == "x");
   BOOST_TEST(writer.keys("a/").size() == 2U);
   BOOST_TEST(completed == 0);
-  records.gate.set_value();
+  records.syncAllowed.set_value();
   finished.get_future().wait();
   BOOST_TEST(completed == 1);
   BOOST_TEST(*writer.read("a/2").value() == "y");
--- a/tests/storage/log_structured_store_test.cpp
+++ b/tests/storage/log_structured_store_test.cpp
@@ -71,8 +71,8 @@
     }
     for (unsigned done = 0; done < groups; ++done) {
       const Group group = randomGroup(random_);
-      allowed_.push_back(allowed_.back());
-      applyGroup(allowed_.back(), group);
+      allowedStates_.push_back(allowedStates_.back());
+      applyGroup(allowedStates_.back(), group);
       if (!opened.value()->append(group)) {
         return;
       }
@@ -82,20 +82,21 @@
       if (!opened.value()->sync()) {
         return;
       }
-      allowed_.erase(allowed_.begin(), allowed_.end() - 1);
+      allowedStates_.erase(allowedStates_.begin(), allowedStates_.end() - 1);
     }
   }
 
   /// Crashes; returns whether the recovered state is one that is allowed.
-  bool survivesCrash() {
+  bool recoversAllowedState() {
     disk_.crash(random_);
     auto opened = openStore(disk_, random_, options_);
     if (!opened) {
       return false;
     }
     const Table found = contents(*opened.value());
-    const bool allowed = std::find(allowed_.begin(), allowed_.end(), found) != allowed_.end();
-    allowed_ = {found};
+    const bool allowed =
+        std::find(allowedStates_.begin(), allowedStates_.end(), found) != allowedStates_.end();
+    allowedStates_ = {found};
     return allowed;
   }
 
@@ -103,22 +104,23 @@
   FakeFileSystem& disk_;
   RandomEngine random_;
   LogStoreOptions options_;
-  std::vector<Table> allowed_ = {Table()};
+  std::vector<Table> allowedStates_ = {Table()};
 };
 
 /// Returns how many of the crashes, one after each disk operation, lost or mixed something.
-unsigned countBadCrashes(std::uint64_t seed, std::uint64_t operations, LogStoreOptions options) {
+unsigned countFailedRecoveries(std::uint64_t seed, std::uint64_t operations,
+                               LogStoreOptions options) {
   unsigned bad = 0;
   for (std::uint64_t operation = 0; operation < operations; ++operation) {
     FakeFileSystem disk;
     Workload workload(disk, seed + operation, options);
     disk.cutPowerAfter(operation);
     workload.run(400);
-    bool good = workload.survivesCrash();
+    bool good = workload.recoversAllowedState();
     // A second crash, soon after the recovery or during it.
     disk.cutPowerAfter(operation % 23);
     workload.run(400);
-    good = workload.survivesCrash() && good;
+    good = workload.recoversAllowedState() && good;
     bad += good ? 0 : 1;
   }
   return bad;
@@ -137,7 +139,7 @@
     seeds.push_back(seed);
   }
   for (const std::uint64_t seed : seeds) {
-    BOOST_TEST(countBadCrashes(seed * 1000, 300, smallOptions()) == 0U, "seed " << seed);
+    BOOST_TEST(countFailedRecoveries(seed * 1000, 300, smallOptions()) == 0U, "seed " << seed);
   }
 }
 
@@ -146,7 +148,7 @@
   options.syncBeforeReuse = false;
   unsigned bad = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    bad += countBadCrashes(seed * 1000, 300, options);
+    bad += countFailedRecoveries(seed * 1000, 300, options);
   }
   BOOST_TEST(bad > 0U);
 }
@@ -233,9 +235,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(lost_files_and_damaged_headers_are_not_taken_for_a_new_store) {
-  constexpr unsigned kAll = 4;
+  constexpr unsigned kSegmentCount = 4;
   for (unsigned groups = 0; groups < 120; ++groups) {
-    for (unsigned lost = 0; lost <= kAll; ++lost) {
+    for (unsigned lost = 0; lost <= kSegmentCount; ++lost) {
       FakeFileSystem disk;
       RandomEngine random(groups);
       auto before = openStore(disk, random).value();
@@ -245,9 +247,9 @@
       BOOST_REQUIRE(before->sync());
       before.reset();
       disk.endProcess();
-      for (unsigned slot = 0; slot < kAll; ++slot) {
+      for (unsigned slot = 0; slot < kSegmentCount; ++slot) {
         const std::string path = "data/ring-000" + std::to_string(slot);
-        if (lost == kAll) {
+        if (lost == kSegmentCount) {
           disk.flipBit(path, 20, 1);
         } else if (slot == lost) {
           BOOST_REQUIRE(disk.remove(path));
@@ -344,7 +346,7 @@
   BOOST_TEST(id.size() == kStoreIdBytes);
   disk.crash(random);
   BOOST_TEST(openStore(disk, random).value()->storeId() == id);
-  disk.empty();
+  disk.removeAllFiles();
   BOOST_TEST(openStore(disk, random).value()->storeId() != id);
 }
 
@@ -353,7 +355,7 @@
   RandomEngine random(5);
   disk.limitBytes(smallOptions().segmentBytes);
   BOOST_TEST((openStore(disk, random).error().code == ErrorCode::StorageFull));
-  disk.empty();
+  disk.removeAllFiles();
   disk.limitBytes(1 << 20);
   auto store = openStore(disk, random).value();
   BOOST_TEST((openStore(disk, random).error().code == ErrorCode::AlreadyExists));
--- a/tests/wire/bounded_close_test.cpp
+++ b/tests/wire/bounded_close_test.cpp
@@ -16,7 +16,7 @@
   BOOST_TEST(closed);
 }
 
-BOOST_AUTO_TEST_CASE(a_close_that_never_returns_holds_nobody_up) {
+BOOST_AUTO_TEST_CASE(a_close_that_never_returns_does_not_block_the_caller) {
   const auto release = std::make_shared<std::promise<void>>();
   const std::shared_future<void> released = release->get_future().share();
   const auto ended = std::make_shared<std::promise<void>>();
