--- a/src/runtime/disk_writer.cpp
+++ b/src/runtime/disk_writer.cpp
@@ -93,8 +93,8 @@
 }
 
 std::vector<std::string> DiskWriter::keys(std::string_view prefix) const {
-  // The lock is held across both look-ups: a row moves from `pending_` to the records only after
-  // it was appended, so none is missed.
+  // The lock is held across both lookups: a key is removed from `pending_` only after it was
+  // appended to the records, so none is missed.
   const std::lock_guard<std::mutex> lock(mutex_);
   std::vector<std::string> found = records_.keys(prefix);
   for (auto it = pending_.lower_bound(prefix); it != pending_.end(); ++it) {
--- a/src/runtime/disk_writer.h
+++ b/src/runtime/disk_writer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Group commit: persist requests of all cores share one sync of the ring.
+/// Group commit: persist requests of all cores share one sync of the log.
 #pragma once
 
 #include "storage/durable_records.h"
@@ -13,22 +13,22 @@
 
 namespace shedshed {
 
-/// Appends and syncs on a thread of its own, and answers reads that include what still waits.
+/// Appends and syncs on a separate thread. Reads include mutations that are still pending.
 class DiskWriter : public RecordReader {
  public:
   using Completion = std::function<void(const Status&)>;
 
-  /// @p complete runs completions on the core thread. Does not own @p records.
+  /// @p postToCore runs a task on the core thread. Does not own @p records.
   DiskWriter(DurableRecords& records, std::function<void(std::function<void()>)> postToCore);
   ~DiskWriter() override;
   DiskWriter(const DiskWriter&) = delete;
   DiskWriter& operator=(const DiskWriter&) = delete;
 
-  /// Queues one atomic group. @p done is called on the core thread, in the order of the calls,
+  /// Queues one atomic group. @p done is called on the core thread, in the order of submission,
   /// once the group is synced or has failed.
   void submit(std::vector<Mutation> mutations, Completion done);
 
-  /// Writes what waits and stops the thread.
+  /// Writes the queued requests and stops the thread.
   void stop();
 
   Result<std::optional<std::string>> read(std::string_view key) const override;
--- a/src/runtime/logging.h
+++ b/src/runtime/logging.h
@@ -1,5 +1,5 @@
 /// @file
-/// Log lines by log4cplus, on standard error. Only for changes of state; counters carry the rest.
+/// Logging with log4cplus to standard error. Only state changes are logged; metrics cover the rest.
 #pragma once
 
 #include "kernel/error.h"
--- a/src/runtime/metrics.cpp
+++ b/src/runtime/metrics.cpp
@@ -12,8 +12,8 @@
   return "shedshed_" + std::string(name);
 }
 
-/// Upper bounds of the latency buckets, in seconds; dense round the users' targets of 50 ms
-/// between tokens and 1.1 s to the first one.
+/// Upper bounds of the latency buckets, in seconds; denser around the latency targets of 50 ms
+/// between tokens and 1.1 s to the first token.
 prometheus::Histogram::BucketBoundaries latencyBuckets() {
   return {0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.8, 1.1, 1.5, 2.5, 5, 10, 30};
 }
--- a/src/runtime/metrics.h
+++ b/src/runtime/metrics.h
@@ -1,5 +1,5 @@
 /// @file
-/// The process's counters, gauges and histograms, kept by prometheus-cpp.
+/// Counters, gauges and histograms of the process, implemented with prometheus-cpp.
 #pragma once
 
 #include "kernel/core.h"
@@ -12,7 +12,7 @@
 
 namespace shedshed {
 
-/// Counters by name, created at their first use. Thread-safe.
+/// Metrics by name, created on first use. Thread-safe.
 class Metrics : public Counters {
  public:
   Metrics();
@@ -20,7 +20,7 @@
   void set(std::string_view name, double value) override;
   /// Adds @p seconds to the latency histogram @p name.
   void observe(std::string_view name, double seconds);
-  /// The exposition text of all metrics, prefixed "shedshed_".
+  /// Returns all metrics in the Prometheus text format, with the name prefix "shedshed_".
   std::string text() const;
 
  private:
--- a/src/runtime/node_runtime.cpp
+++ b/src/runtime/node_runtime.cpp
@@ -118,7 +118,7 @@
       }
     }
   });
-  // Whatever the transport delivers is queued behind the start of the cores.
+  // Messages that the transport delivers are queued after the start of the cores.
   const Status started = transport_.start(
       [this](const NodeId& from, Message message) { deliver(from, std::move(message)); });
   thread_ = std::thread([this] { loop_.run(); });
@@ -190,7 +190,7 @@
 
 void NodeRuntime::persist(Context& context, PersistId id, std::vector<Mutation> mutations) {
   if (!disk_) {
-    fatal_(makeError(ErrorCode::Internal, "persist on a node without a disk"));
+    fatal_(makeError(ErrorCode::Internal, "persist called on a node without a disk"));
     return;
   }
   disk_->submit(std::move(mutations), [this, &context, id](const Status& status) {
--- a/src/runtime/node_runtime.h
+++ b/src/runtime/node_runtime.h
@@ -1,5 +1,5 @@
 /// @file
-/// Hosts the cores of one node on a real clock, network and disk.
+/// Runs the cores of one node with the real clock, network and disk.
 #pragma once
 
 #include "kernel/core_host.h"
@@ -18,7 +18,7 @@
 
 namespace shedshed {
 
-/// Reads the process's monotonic clock. Any thread.
+/// Reads the process's monotonic clock. Thread-safe.
 Time monotonicNow();
 
 /// Runs all cores of one node on one thread.
@@ -26,7 +26,7 @@
 /// Order of use: construct, `context` for each core, `attach` each core, `start`, …, `stop`.
 class NodeRuntime : public CoreHost {
  public:
-  /// Called when the disk fails for good; the process must end (fail-stop): a node that cannot
+  /// Called on an unrecoverable disk failure. The process must end (fail-stop): a node that cannot
   /// sync must not answer from memory.
   using FatalHandler = std::function<void(const Error&)>;
 
@@ -34,7 +34,7 @@
   NodeRuntime(NodeId self, Transport& transport, DurableRecords* records, Metrics& metrics,
               FatalHandler fatal);
 
-  /// The same on the event loop @p loop, which must outlive it and which others may use as well:
+  /// Uses the event loop @p loop, which must outlive the runtime. Others may use the loop too;
   /// their handlers then run on the core thread.
   NodeRuntime(boost::asio::io_context& loop, NodeId self, Transport& transport,
               DurableRecords* records, Metrics& metrics, FatalHandler fatal);
@@ -51,10 +51,10 @@
   /// Stops the core thread, the transport and the disk thread.
   void stop();
 
-  /// Runs @p task on the core thread. Any thread.
+  /// Runs @p task on the core thread. Thread-safe.
   void post(std::function<void()> task);
 
-  /// Runs @p task on the core thread and waits for it. Not from the core thread.
+  /// Runs @p task on the core thread and waits for it. Must not be called on the core thread.
   void runAndWait(std::function<void()> task);
 
  private:
--- a/src/runtime/timer_queue.h
+++ b/src/runtime/timer_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// The timers of all cores of one node, found by owner and by deadline.
+/// The timers of all cores of one node, indexed by owner and by deadline.
 #pragma once
 
 #include "kernel/core.h"
@@ -35,7 +35,7 @@
     }
   }
 
-  /// The earliest deadline, or nullopt when no timer runs.
+  /// Returns the earliest deadline, or nullopt if no timer is running.
   std::optional<Time> earliestDeadline() const {
     const auto& byDeadline = timers_.get<ByDeadline>();
     if (byDeadline.empty()) {
--- a/src/storage/durable_records.h
+++ b/src/storage/durable_records.h
@@ -1,5 +1,5 @@
 /// @file
-/// A durable record store as its writer sees it.
+/// Write interface of a durable record store.
 #pragma once
 
 #include "kernel/core.h"
@@ -8,14 +8,14 @@
 
 namespace shedshed {
 
-/// Records that survive once synced. Implemented by `LogStructuredStore`. `append` and `sync` are
-/// called by one thread; the reading methods by any.
+/// Records that survive a crash once they are synced. Implemented by `LogStructuredStore`. `append`
+/// and `sync` must be called from a single thread; the read methods may be called from any thread.
 class DurableRecords : public RecordReader {
  public:
-  /// Appends one atomic group, visible to `read` at once.
+  /// Appends one atomic group of mutations, which is immediately visible to `read`.
   virtual Status append(const std::vector<Mutation>& mutations) = 0;
 
-  /// Makes all that was appended before durable.
+  /// Makes all previously appended groups durable.
   virtual Status sync() = 0;
 };
 
--- a/src/storage/fake_file_system.cpp
+++ b/src/storage/fake_file_system.cpp
@@ -24,7 +24,7 @@
 
   Result<std::string> readAt(std::uint64_t offset, std::size_t bytes) const override {
     if (generation_ != disk_.generation_ || offset + bytes > content_->current.size()) {
-      return storageFailed("read refused");
+      return storageFailed("read past the end of the file or after a crash");
     }
     return content_->current.substr(offset, bytes);
   }
@@ -45,7 +45,7 @@
     const Status power = countOperation();
     const bool beyond = offset + data.size() > content_->current.size();
     if (!power || beyond || std::exchange(disk_.failWrite_, false)) {
-      return storageFailed("write refused");
+      return storageFailed("simulated write failure");
     }
     content_->current.replace(offset, data.size(), data);
     for (std::uint64_t at = offset / kFakeSectorBytes * kFakeSectorBytes; at < offset + data.size();
@@ -57,7 +57,7 @@
 
   Status sync() override {
     if (!countOperation()) {
-      return storageFailed("no power");
+      return storageFailed("simulated power loss");
     }
     const bool fails = std::exchange(disk_.failSync_, false);
     for (const std::size_t sector : content_->dirtySectors) {
@@ -67,7 +67,7 @@
     }
     content_->dirtySectors.clear();
     if (fails) {
-      return storageFailed("sync refused");
+      return storageFailed("simulated sync failure");
     }
     return okStatus();
   }
@@ -75,7 +75,7 @@
  private:
   Status countOperation() {
     if (generation_ != disk_.generation_) {
-      return storageFailed("opened before the crash");
+      return storageFailed("file was opened before the simulated crash");
     }
     return disk_.countOperation();
   }
@@ -121,11 +121,11 @@
 
 Status FakeFileSystem::allocate(Content& content, std::uint64_t bytes) {
   if (operationsUntilPowerCut_ == 0) {
-    return storageFailed("no power");
+    return storageFailed("simulated power loss");
   }
   const std::uint64_t others = allocatedBytes() - content.current.size();
   if (others + bytes > limitBytes_) {
-    return makeError(ErrorCode::StorageFull, "no space");
+    return makeError(ErrorCode::StorageFull, "no space on the simulated disk");
   }
   content.current.resize(std::max<std::size_t>(content.current.size(), bytes));
   content.durable.resize(content.current.size());
@@ -134,7 +134,7 @@
 
 Status FakeFileSystem::countOperation() {
   if (operationsUntilPowerCut_ == 0) {
-    return storageFailed("no power");
+    return storageFailed("simulated power loss");
   }
   --operationsUntilPowerCut_;
   ++operations_;
@@ -148,7 +148,7 @@
 Result<std::unique_ptr<File>> FakeFileSystem::openPreallocated(const std::string& path,
                                                                std::uint64_t bytes) {
   if (operationsUntilPowerCut_ == 0) {
-    return storageFailed("no power");
+    return storageFailed("simulated power loss");
   }
   const auto known = names_.find(path);
   const std::shared_ptr<Content> content =
@@ -212,7 +212,8 @@
 }
 
 void FakeFileSystem::crash(RandomEngine& random) {
-  constexpr unsigned kSurvivalSteps = 4;  // Of the unsynced sectors, 0/4 to 4/4 survive on average.
+  // The survival probability of a crash is one of 0/4 to 4/4.
+  constexpr unsigned kSurvivalSteps = 4;
   const unsigned share = random() % (kSurvivalSteps + 1);
   const auto survives = [&] { return random() % kSurvivalSteps < share; };
   std::set<std::string> all;
--- a/src/storage/fake_file_system.h
+++ b/src/storage/fake_file_system.h
@@ -1,5 +1,5 @@
 /// @file
-/// A file system in memory that loses, tears and corrupts data on demand.
+/// In-memory file system that simulates power loss, torn writes and corruption.
 #pragma once
 
 #include "kernel/core.h"
@@ -15,8 +15,8 @@
 /// Unit that a disk writes atomically, in bytes.
 constexpr std::size_t kFakeSectorBytes = 512;
 
-/// Disk of a simulated node. Not thread-safe. It must outlive the files opened from it. Files
-/// that were opened before `crash` fail afterwards.
+/// Disk of a simulated node. Not thread-safe. It must outlive the files opened from it. Reads,
+/// writes and syncs fail on files that were opened before `crash` or `endProcess`.
 class FakeFileSystem : public FileSystem {
  public:
   Status createFolder(const std::string& folder) override;
@@ -28,39 +28,39 @@
   Status remove(const std::string& path) override;
   Result<std::unique_ptr<FileLock>> lock(const std::string& path) override;
 
-  /// Power loss: each unsynced sector and name independently survives or is lost; the share that
-  /// survives is drawn anew for each crash. Failures that were set are cleared, the power is back.
+  /// Simulates a power loss: each unsynced sector and file name independently survives or is lost,
+  /// with a survival probability drawn for each crash. Clears injected failures and restores the
+  /// power.
   void crash(RandomEngine& random);
 
-  /// End of the process alone: nothing is lost, unsynced data stays unsynced.
+  /// Simulates the end of the process alone: no data is lost, unsynced data stays unsynced.
   void endProcess();
 
-  /// Cuts the power after @p operations more writes and syncs: from then on all fail until
-  /// `crash`.
+  /// Cuts the power after @p operations more writes and syncs: further ones fail until `crash`.
   void cutPowerAfter(std::uint64_t operations) { operationsUntilPowerCut_ = operations; }
 
-  /// Lets the next sync fail; what it should have written is marked clean but is lost at a crash,
-  /// as on a kernel that drops dirty pages after a write error.
+  /// Makes the next sync fail. The sectors that it should have written are marked clean but are
+  /// lost at a crash, as on a kernel that drops dirty pages after a write error.
   void failNextSync() { failSync_ = true; }
 
-  /// Lets the next write fail.
+  /// Makes the next write fail.
   void failNextWrite() { failWrite_ = true; }
 
-  /// Refuses allocations that bring the total over @p bytes.
+  /// Rejects allocations that would raise the total size of all files above @p bytes.
   void limitBytes(std::uint64_t bytes) { limitBytes_ = bytes; }
 
-  /// Flips one bit of @p path, also on the disk.
+  /// Flips one bit of @p path in both the current and the durable content.
   void flipBit(const std::string& path, std::uint64_t offset, unsigned bit);
 
-  /// Removes all files, as a replaced disk would.
+  /// Simulates the replacement of the disk: removes all files and ends the process.
   void removeAllFiles();
 
   std::uint64_t fileBytes(const std::string& path) const;
 
-  /// Sizes of all files together.
+  /// Total size of all files, in bytes.
   std::uint64_t allocatedBytes() const;
 
-  /// Writes and syncs done so far.
+  /// Number of writes and syncs so far.
   std::uint64_t operations() const { return operations_; }
 
  private:
--- a/src/storage/file_system.h
+++ b/src/storage/file_system.h
@@ -1,6 +1,7 @@
 /// @file
-/// Files as storage needs them. `PosixFileSystem` is the real one, `FakeFileSystem` the one of the
-/// simulator and the tests. Failures are StorageFailed, StorageFull (no space) or NotFound.
+/// File system interface of the storage module. `PosixFileSystem` implements it with the operating
+/// system, `FakeFileSystem` in memory for the simulator and the tests. Unless stated otherwise,
+/// operations fail with StorageFailed, StorageFull (no space) or NotFound.
 #pragma once
 
 #include "kernel/error.h"
@@ -22,40 +23,40 @@
   virtual Result<std::string> readAt(std::uint64_t offset, std::size_t bytes) const = 0;
 
   /// Allocates the first @p bytes bytes, zero where never written, and makes the size durable.
-  /// StorageFull if the disk has no room. A larger file keeps its size.
+  /// Fails with StorageFull if the disk has no space. A larger file keeps its size.
   virtual Status allocate(std::uint64_t bytes) = 0;
 
-  /// Shortens the file to @p bytes bytes and returns the rest to the disk. Durable after `sync`.
+  /// Shortens the file to @p bytes bytes and frees the remaining space. Durable after `sync`.
   virtual Status truncate(std::uint64_t bytes) = 0;
 
   /// Writes all of @p data at @p offset. Durable only after `sync`.
   virtual Status writeAt(std::uint64_t offset, std::string_view data) = 0;
 
   /// Makes all earlier writes durable (fdatasync). After a failure the state of earlier writes is
-  /// unknown, and a later success proves nothing about them.
+  /// unknown, and a later successful sync does not imply that they are durable.
   virtual Status sync() = 0;
 };
 
-/// A lock file, held while the object lives.
+/// A lock file that is held for the lifetime of the object.
 class FileLock {
  public:
   virtual ~FileLock() = default;
 };
 
-/// Names and opens files. Paths are used as given.
+/// Creates, opens, lists, renames and removes files. Paths are used as given.
 class FileSystem {
  public:
   virtual ~FileSystem() = default;
 
-  /// Creates @p folder and its parents if absent, and makes their names durable.
+  /// Creates @p folder and its parents if absent, and makes their directory entries durable.
   virtual Status createFolder(const std::string& folder) = 0;
 
-  /// Opens @p path; creates it if absent. Its first @p bytes bytes are allocated, and zero where
-  /// never written. The name is durable only after `syncFolder`.
+  /// Opens @p path, or creates it if absent. Its first @p bytes bytes are allocated, and zero where
+  /// never written. The directory entry is durable only after `syncFolder`.
   virtual Result<std::unique_ptr<File>> openPreallocated(const std::string& path,
                                                          std::uint64_t bytes) = 0;
 
-  /// Makes the names in @p folder durable.
+  /// Makes the directory entries in @p folder durable.
   virtual Status syncFolder(const std::string& folder) = 0;
 
   /// Returns the names of the files in @p folder in ascending order.
@@ -64,7 +65,8 @@
   virtual Status rename(const std::string& from, const std::string& to) = 0;
   virtual Status remove(const std::string& path) = 0;
 
-  /// Takes the lock file @p path, without waiting. AlreadyExists if someone else holds it.
+  /// Acquires the lock file @p path without waiting. Fails with AlreadyExists if it is held
+  /// already.
   virtual Result<std::unique_ptr<FileLock>> lock(const std::string& path) = 0;
 };
 
--- a/src/storage/log_recovery.cpp
+++ b/src/storage/log_recovery.cpp
@@ -73,20 +73,21 @@
     }
     if (header->segmentBytes != options.segmentBytes ||
         header->segmentCount != options.segmentCount) {
-      return makeError(ErrorCode::InvalidArgument, "the store was created with other sizes");
+      return makeError(ErrorCode::InvalidArgument,
+                       "the store was created with another segment size or segment count");
     }
   }
   return okStatus();
 }
 
-/// Checks that every file is there in its latest use. The newest segment tells which use that is,
-/// as the files are used in turn; a disk writes a header's sector atomically, so a crash leaves the
-/// earlier or the later header.
+/// Checks that every file has the header of the last segment that was started in it. The newest
+/// segment determines the sequence expected in each slot, as the slots are used in rotation. A disk
+/// writes a header's sector atomically, so a crash leaves either the previous or the new header.
 Status LogRecovery::checkHeaders(const Headers& headers) const {
   const std::uint64_t count = files_.options().segmentCount;
   const std::uint64_t newest = position_.segmentSequence;
   for (std::uint64_t slot = 0; slot < count; ++slot) {
-    // The latest use of this slot up to the newest segment; 0 if it was not used yet.
+    // Sequence of the last segment in this slot; 0 if the slot was not used yet.
     const std::uint64_t age = (newest + count - slot) % count;
     const std::uint64_t expected = newest > age ? newest - age : 0;
     const std::optional<SegmentHeader>& header = headers[slot];
@@ -100,7 +101,7 @@
 
 Status LogRecovery::replaySegments(const Headers& headers) {
   const std::uint64_t newest = position_.segmentSequence;
-  // The oldest segment is still needed if its live records had not arrived in the newest one.
+  // The oldest segment is still needed if its live records were not compacted into the newest one.
   const Result<bool> compacted = startsWithCompaction(newest);
   if (!compacted) {
     return compacted.error();
@@ -149,10 +150,11 @@
   }
 }
 
-/// Looks for complete records after the first unreadable one. One that was written after the
-/// unreadable one had been synced proves damage. The others were unsynced at a power loss. All that
-/// follows is overwritten with zeros, also what is unreadable: a later, torn write could supply the
-/// very sectors that a cut record lacks, and bring it back.
+/// Scans for complete records after the first unreadable one. A record that was written after the
+/// unreadable one had been synced proves that synced data is damaged; the others were unsynced at a
+/// power loss. The rest of the segment is overwritten with zeros, including unreadable bytes:
+/// otherwise a later torn write could supply the sectors that a discarded record lacks and make it
+/// valid again.
 Status LogRecovery::zeroTail(std::string_view content) {
   const std::uint64_t end = position_.offset;
   for (std::uint64_t at = end; at < content.size(); at += kRecordAlignment) {
--- a/src/storage/log_recovery.h
+++ b/src/storage/log_recovery.h
@@ -15,16 +15,17 @@
 
 namespace shedshed {
 
-/// Builds the index from the segments, finds the end of the log and cuts a torn write there, or
-/// creates the store if the folder is empty. A crash at any step leaves a state that the next
-/// recovery accepts. Used once, before the first append.
+/// Builds the index from the segments, finds the end of the log and overwrites a torn write there
+/// with zeros, or creates the store if the folder is empty. A crash at any step leaves a state that
+/// the next recovery accepts. Used once, before the first append.
 class LogRecovery {
  public:
-  /// Keeps references; they must outlive it. @p index must be empty.
+  /// Does not own @p files and @p index, which must outlive it. @p index must be empty.
   LogRecovery(SegmentFiles& files, RecordIndex& index) : files_(files), index_(index) {}
 
-  /// Returns where the log ends. StorageCorrupt if a synced record or a header is lost or damaged;
-  /// InvalidArgument if the store was created with other sizes. The records may still be unsynced.
+  /// Returns the end of the log. Fails with StorageCorrupt if a synced record or a header is lost
+  /// or damaged, and with InvalidArgument if the store was created with other sizes. The recovered
+  /// records may still be unsynced.
   Result<LogPosition> run(RandomEngine& random);
 
  private:
--- a/src/storage/log_store_options.cpp
+++ b/src/storage/log_store_options.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t kMinSegments = 3;  ///< Active, oldest and spare.
 constexpr std::uint64_t kMinSegmentBytes = 2 * kFirstRecordOffset;
-constexpr std::uint64_t kMaxSegmentBytes = 1ULL << 30;  ///< Lengths are 32 bits wide.
+constexpr std::uint64_t kMaxSegmentBytes = 1ULL << 30;  ///< Lengths are stored in 32 bits.
 constexpr std::uint32_t kPercent = 100;
 
 }  // namespace
@@ -17,13 +17,14 @@
   const bool size = segmentBytes >= kMinSegmentBytes && segmentBytes <= kMaxSegmentBytes &&
                     segmentBytes % kRecordAlignment == 0;
   if (segmentCount < kMinSegments || !size || livePercent > kPercent) {
-    return makeError(ErrorCode::InvalidArgument, "sizes of the store out of range");
+    return makeError(ErrorCode::InvalidArgument,
+                     "segment size, segment count or live percentage out of range");
   }
   return okStatus();
 }
 
 std::uint64_t LogStoreOptions::maxPayloadBytes() const {
-  // Every segment starts with a compaction record, if only an empty one.
+  // Every segment starts with a compaction record, which may be empty.
   return segmentBytes - kFirstRecordOffset - recordBytes(0) - kRecordHeaderBytes;
 }
 
--- a/src/storage/log_structured_store.cpp
+++ b/src/storage/log_structured_store.cpp
@@ -53,8 +53,8 @@
 }
 
 Status LogStructuredStore::finishRecovery() {
-  // Recovered records may still be unsynced if only the process ended: readers take them for
-  // durable, so they must be.
+  // Recovered records may still be unsynced if only the process ended. Readers rely on them being
+  // durable, so they are synced first.
   const Status synced = writer_.syncActive();
   if (!synced || !writer_.isSegmentEmpty()) {
     return synced;
@@ -87,11 +87,11 @@
 }
 
 Status LogStructuredStore::makeRoom(std::uint64_t payloadBytes) {
-  // One turn through all files looks at every segment's live records once: if that made no room, no
-  // further turn will.
+  // One rotation through all files compacts every segment once. If that freed no space, another
+  // rotation will not either.
   for (std::uint32_t begun = 0; !writer_.fits(payloadBytes); ++begun) {
     if (begun == files_->options().segmentCount) {
-      return makeError(ErrorCode::StorageFull, "no segment has room for the group");
+      return makeError(ErrorCode::StorageFull, "no segment has enough space for the group");
     }
     const Status allocated = writer_.allocateNextSegment();
     if (!allocated) {
@@ -119,15 +119,15 @@
     appended = writer_.lastAppended();
     active = &writer_.activeSegment();
   }
-  // Earlier segments were synced when the active one was begun; the active one suffices.
+  // Earlier segments were synced before the active one was started, so syncing it suffices.
   const Status synced = active->sync();
   const std::lock_guard<std::mutex> writing(writeMutex_);
   if (!synced) {
     return poison(synced.error());
   }
   writer_.setSynced(appended);
-  // Left unsynced: it shows at recovery that what precedes it was synced, so that damage there is
-  // not taken for a torn write.
+  // The marker itself is not synced. It tells recovery that the records before it were synced, so
+  // that damage to them is not mistaken for a torn write.
   if (writer_.fits(0)) {
     const Status marked = writer_.append(RecordKind::SyncMarker, std::string());
     if (!marked) {
@@ -149,8 +149,8 @@
     if (value) {
       return std::optional<std::string>(std::move(value).value());
     }
-    // The file may have been reused since the look-up; then the record has moved. A second failure
-    // at the same location is real.
+    // The file may have been reused since the lookup, in which case the record has moved. A second
+    // failure at the same location is a real error.
     if (location->segmentSequence == failedSegment && location->offset == failedOffset) {
       return value.error();
     }
@@ -180,7 +180,8 @@
 
 Status LogStructuredStore::poison(const Error& error) {
   if (!poisoned_) {
-    poisoned_ = makeError(ErrorCode::StorageFailed, "poisoned by: " + error.detail);
+    poisoned_ = makeError(ErrorCode::StorageFailed,
+                          "store disabled by an earlier failure: " + error.detail);
   }
   return *poisoned_;
 }
@@ -196,9 +197,9 @@
     return makeError(ErrorCode::TooLarge, "the group is larger than a segment");
   }
   const std::uint64_t after = index_->liveBytesAfter(mutations);
-  // A group that frees room is accepted also when the store is full.
+  // A group that reduces the live bytes is accepted even if the store is full.
   if (after > options.maxLiveBytes() && after > index_->liveBytes()) {
-    return makeError(ErrorCode::StorageFull, "live records fill the store");
+    return makeError(ErrorCode::StorageFull, "live records exceed the capacity of the store");
   }
   return okStatus();
 }
--- a/src/storage/posix_file_system.cpp
+++ b/src/storage/posix_file_system.cpp
@@ -69,7 +69,7 @@
     if (failure != 0) {
       return systemError("allocate " + path_, failure);
     }
-    // The size is part of what fdatasync must find later: make it durable once, here.
+    // The new size must be durable before later calls of fdatasync, so it is synced once here.
     if (::fsync(fd()) != 0) {
       return systemError("sync " + path_, errno);
     }
@@ -99,7 +99,7 @@
   }
 
   Status sync() override {
-    // Not retried, also not on EINTR: a second call may succeed although writes were dropped.
+    // Not retried, even on EINTR: a second call may succeed although writes were dropped.
     if (::fdatasync(fd()) != 0) {
       return systemError("sync " + path_, errno);
     }
@@ -140,7 +140,7 @@
   if (::mkdir(path.c_str(), kFolderMode) != 0 && errno != EEXIST) {
     return systemError("create " + path.string(), errno);
   }
-  // The name of a new folder lives in its parent.
+  // The directory entry of a new folder is stored in its parent.
   return syncFolder(parent.string());
 }
 
--- a/src/storage/posix_file_system.h
+++ b/src/storage/posix_file_system.h
@@ -1,12 +1,12 @@
 /// @file
-/// The real file system.
+/// File system of the operating system.
 #pragma once
 
 #include "storage/file_system.h"
 
 namespace shedshed {
 
-/// Files of the operating system. Thread-safe.
+/// Implements `FileSystem` with POSIX calls. Thread-safe.
 class PosixFileSystem : public FileSystem {
  public:
   Status createFolder(const std::string& folder) override;
--- a/src/storage/record_index.h
+++ b/src/storage/record_index.h
@@ -1,5 +1,5 @@
 /// @file
-/// Where the newest version of each key is.
+/// Index of the newest version of each key.
 #pragma once
 
 #include "kernel/core.h"
@@ -16,7 +16,7 @@
 
 namespace shedshed {
 
-/// Where the newest value of a key is.
+/// Location of the newest value of a key.
 struct RecordLocation {
   std::optional<std::string> cached;  ///< The value itself, if it is small.
   std::uint64_t segmentSequence = 0;
@@ -25,18 +25,18 @@
   std::uint64_t checksum = 0;
 };
 
-/// Reads the value at @p location. StorageCorrupt if it fails its checksum.
+/// Reads the value at @p location. Fails with StorageCorrupt if its checksum does not match.
 Result<std::string> readValue(const SegmentFiles& files, const RecordLocation& location);
 
-/// The index of a log-structured store, in memory; recovery builds it anew from the segments.
-/// `apply` and `forEachIn` are called by one thread, the other methods by any. The lock is held for
-/// short steps in memory only.
+/// In-memory index of a log-structured store, rebuilt from the segments by recovery. `apply` and
+/// `forEachIn` must be called from a single thread, the other methods from any thread. The lock is
+/// held only for short in-memory operations.
 class RecordIndex {
  public:
   /// Values up to @p cachedValueBytes are kept in memory.
   explicit RecordIndex(std::uint64_t cachedValueBytes) : cachedValueBytes_(cachedValueBytes) {}
 
-  /// Applies the valid payload of a record, which lies at @p payloadOffset of its segment.
+  /// Applies the valid payload of a record, which starts at @p payloadOffset of its segment.
   void apply(std::string_view payload, std::uint64_t segmentSequence, std::uint64_t payloadOffset);
 
   std::optional<RecordLocation> find(std::string_view key) const;
@@ -44,14 +44,14 @@
   /// Returns the keys with @p prefix, ascending.
   std::vector<std::string> keys(std::string_view prefix) const;
 
-  /// Bytes that the newest versions of all keys take in payloads.
+  /// Payload bytes of the newest versions of all keys.
   std::uint64_t liveBytes() const;
 
-  /// What `liveBytes` would be after @p mutations.
+  /// Returns the value of `liveBytes` after @p mutations, without applying them.
   std::uint64_t liveBytesAfter(const std::vector<Mutation>& mutations) const;
 
-  /// Calls @p visit for the live records of a segment, ascending by key, until it fails. Takes no
-  /// lock: only the calling thread changes the index.
+  /// Calls @p visit for the live records of a segment, ascending by key, until it returns an error.
+  /// Takes no lock: only the calling thread changes the index.
   Status forEachIn(
       std::uint64_t segmentSequence,
       const std::function<Status(const std::string& key, const RecordLocation&)>& visit) const;
--- a/src/storage/segment_files.cpp
+++ b/src/storage/segment_files.cpp
@@ -38,7 +38,7 @@
   }
   lock_ = std::move(lock).value();
   for (std::uint32_t slot = 0; slot < options_.segmentCount; ++slot) {
-    // The rest of a file is allocated when it is used first.
+    // The rest of a file is allocated before its first use.
     auto opened = fileSystem.openPreallocated(folder_ + "/" + fileName(slot), kFirstRecordOffset);
     if (!opened) {
       return opened.error();
@@ -46,7 +46,7 @@
     files_.push_back(std::move(opened).value());
     allocated_.push_back(false);
   }
-  // Before any record: a file whose name is lost takes its records with it.
+  // Done before any record is written: a file that loses its directory entry loses its records.
   return fileSystem.syncFolder(folder_);
 }
 
@@ -118,7 +118,7 @@
   if (!written) {
     return written;
   }
-  // Synced before the first record, so that records never lie behind an earlier header.
+  // Synced before the first record, so that records never follow a stale header.
   return files_[slot]->sync();
 }
 
--- a/src/storage/segment_files.h
+++ b/src/storage/segment_files.h
@@ -13,13 +13,13 @@
 
 namespace shedshed {
 
-/// The segment files of one folder, used in turn: segment number n lives in slot n modulo the
-/// count. Holds the folder's lock while it lives. `readAt` of a segment may be called by any
-/// thread; all else by the writing thread.
+/// The segment files of one folder, used in rotation: segment n is stored in slot n modulo the
+/// segment count. Holds the folder's lock for its lifetime. `readAt` of a segment may be called
+/// from any thread, everything else only from the writing thread.
 class SegmentFiles {
  public:
-  /// Opens or creates the files in @p folder and makes their names durable. AlreadyExists if
-  /// another process has the folder open. The file system must outlive the object.
+  /// Opens or creates the files in @p folder and makes their directory entries durable. Fails with
+  /// AlreadyExists if another process has the folder open. The file system must outlive the object.
   static Result<std::unique_ptr<SegmentFiles>> open(FileSystem& fileSystem, std::string folder,
                                                     const LogStoreOptions& options);
 
@@ -41,7 +41,7 @@
   /// The file of a segment.
   File& segment(std::uint64_t segmentSequence) const { return *files_[slotOf(segmentSequence)]; }
 
-  /// Reads a segment from its header to its end.
+  /// Reads a whole segment, including its header.
   Result<std::string> readSegment(std::uint64_t segmentSequence) const;
 
   /// Reads the headers by slot; nullopt where a header fails its checksum.
@@ -54,11 +54,11 @@
   Status writeHeader(std::uint64_t slot, const std::string& storeId, std::uint64_t segmentSequence,
                      std::uint64_t firstSequence);
 
-  /// Gives the file of @p slot its full size, once. Changes nothing else. StorageFull if the disk
-  /// has no room.
+  /// Allocates the file of @p slot at its full size, unless it is known to have it. Changes nothing
+  /// else. Fails with StorageFull if the disk has no space.
   Status allocate(std::uint64_t slot);
 
-  /// Cuts the file of @p slot to its header, which gives the room back to the disk.
+  /// Truncates the file of @p slot to its header block, which frees the remaining space.
   Status release(std::uint64_t slot);
 
  private:
@@ -70,7 +70,7 @@
   const LogStoreOptions options_;
   std::unique_ptr<FileLock> lock_;
   std::vector<std::unique_ptr<File>> files_;
-  std::vector<bool> allocated_;  ///< By slot: known to have its full size.
+  std::vector<bool> allocated_;  ///< By slot; true if known to have its full size.
 };
 
 }  // namespace shedshed
--- a/src/storage/segment_format.h
+++ b/src/storage/segment_format.h
@@ -1,10 +1,10 @@
 /// @file
 /// Layout of a segment file of the log-structured store. Numbers are little-endian.
 ///
-/// A segment starts with a header in its first sector, in a block of its own. From
-/// `kFirstRecordOffset` on follow records without gaps; each is one atomic group of mutations and
-/// has one checksum, so a group is complete or absent. The checksum is seeded with the segment's
-/// sequence: what remains of an earlier use of the file never passes it.
+/// A segment starts with a header in its first sector, in a block of its own. Records follow from
+/// `kFirstRecordOffset` on without gaps. Each is one atomic group of mutations and has one
+/// checksum, so a group is either complete or absent. The checksum is seeded with the segment's
+/// sequence, so that records left from an earlier use of the file never pass it.
 #pragma once
 
 #include "kernel/core.h"
@@ -17,7 +17,8 @@
 
 namespace shedshed {
 
-/// Size of a segment header, in bytes. Below one sector, so that a disk writes it atomically.
+/// Size of a segment header, in bytes. Smaller than one sector, so that a disk writes it
+/// atomically.
 constexpr std::size_t kSegmentHeaderBytes = 128;
 
 /// Offset of the first record, in bytes.
@@ -35,8 +36,8 @@
 /// The header of a segment. It also repeats the sizes of the store, which never change.
 struct SegmentHeader {
   std::string storeId;
-  /// Counts the segments that were ever begun; modulo `segmentCount` it names the file. 0: the file
-  /// was not used yet.
+  /// Number of the segment since the creation of the store; modulo `segmentCount` it is the slot of
+  /// the file. 0 if the file was not used yet.
   std::uint64_t segmentSequence = 0;
   std::uint64_t firstSequence = 0;  ///< Sequence of the first record in this segment.
   std::uint64_t segmentBytes = 0;
@@ -54,7 +55,7 @@
   std::uint32_t payloadBytes = 0;
   RecordKind kind = RecordKind::Group;
   std::uint64_t sequence = 0;
-  std::uint64_t syncedSequence = 0;  ///< All up to it were synced before this one was written.
+  std::uint64_t syncedSequence = 0;  ///< All records up to it were synced before this one.
 };
 
 /// One mutation inside a payload. The views point into the payload.
@@ -87,8 +88,8 @@
 std::string encodeRecord(const RecordHeader& header, std::uint64_t segmentSequence,
                          std::string_view payload);
 
-/// Returns the header of the record at @p offset of @p segment; nullopt if none is there that
-/// passes its checksum.
+/// Returns the header of the record at @p offset of @p segment; nullopt if there is none with a
+/// valid checksum.
 std::optional<RecordHeader> decodeRecord(std::string_view segment, std::uint64_t offset,
                                          std::uint64_t segmentSequence);
 
--- a/src/storage/segment_writer.cpp
+++ b/src/storage/segment_writer.cpp
@@ -38,9 +38,10 @@
 }
 
 Status SegmentWriter::beginNextSegment() {
-  // The only step that overwrites records. The live records of the spare segment were compacted
-  // into the active one when that was begun. Once the active one is synced, the spare one is no
-  // longer needed: a crash before the sync finds it unchanged, a crash after it does not read it.
+  // This is the only step that overwrites records. The live records of the spare segment were
+  // compacted into the active one when that was started. Once the active one is synced, the spare
+  // one is no longer needed: a crash before the sync leaves it unchanged, and recovery from a crash
+  // after the sync does not read it.
   if (files_.options().syncBeforeReuse) {
     const Status synced = syncActive();
     if (!synced) {
@@ -69,7 +70,7 @@
     }
     payload = std::move(live).value();
   }
-  // It fits: these mutations and more shared the oldest segment with at least one record header.
+  // Always fits: the oldest segment held these mutations and at least one record header.
   const Status written = append(RecordKind::Compaction, payload);
   reclaimedSegments_ += reclaims ? 1 : 0;
   segmentsBegun_ = position_.segmentSequence;
--- a/src/storage/segment_writer.h
+++ b/src/storage/segment_writer.h
@@ -12,21 +12,21 @@
 
 namespace shedshed {
 
-/// Where the log of a store ends.
+/// The end of the log of a store.
 struct LogPosition {
   std::string storeId;
   std::uint64_t segmentSequence = 0;          ///< Of the active segment.
-  std::uint64_t offset = kFirstRecordOffset;  ///< Where the next record goes in that segment.
+  std::uint64_t offset = kFirstRecordOffset;  ///< Of the next record in that segment.
   std::uint64_t nextSequence = 1;             ///< Of the next record.
 };
 
-/// The write position of a store: appends records, begins segments and compacts the oldest one.
-/// After a failure the segment's content is unknown, and the caller must not write again.
+/// Appends records at the end of the log, starts segments and compacts the oldest one. After a
+/// failed write or sync the content of the segment is unknown, and the caller must not write again.
 ///
-/// Used by one thread at a time. `reclaimedSegments` and `segmentsBegun` may be called by any.
+/// Not thread-safe, except for `reclaimedSegments` and `segmentsBegun`.
 class SegmentWriter {
  public:
-  /// Keeps references; they must outlive it.
+  /// Does not own @p files and @p index, which must outlive it.
   SegmentWriter(SegmentFiles& files, RecordIndex& index, LogPosition position);
 
   const std::string& storeId() const { return position_.storeId; }
@@ -34,39 +34,41 @@
   /// True if the active segment has room for a record with a payload of this size.
   bool fits(std::uint64_t payloadBytes) const;
 
-  /// True if the active segment has no record yet: a crash came before its compaction record.
+  /// True if the active segment has no record: a crash came before its compaction record was
+  /// written.
   bool isSegmentEmpty() const { return position_.offset == kFirstRecordOffset; }
 
-  /// Appends one record that `fits`, and makes it visible in the index.
+  /// Appends one record, for which `fits` must hold, and applies it to the index.
   Status append(RecordKind kind, const std::string& payload);
 
-  /// Gives the next segment's file its full size. Changes nothing else, so StorageFull leaves the
-  /// writer usable.
+  /// Allocates the file of the next segment at its full size. Changes nothing else, so the writer
+  /// remains usable after StorageFull.
   Status allocateNextSegment();
 
-  /// Syncs the active segment, begins the next one and compacts the then oldest one into it.
+  /// Syncs the active segment, starts the next one and compacts the segment that is then the oldest
+  /// into it.
   Status beginNextSegment();
 
   /// Writes the live records of the oldest segment as the first record of the active one.
   Status compactOldest();
 
-  /// Makes all records durable. Earlier segments were synced when the active one was begun.
+  /// Makes all records durable. Earlier segments were synced before the active one was started.
   Status syncActive();
 
-  // For a sync that does not block the writer meanwhile.
+  // Allow the caller to sync without holding its lock.
   File& activeSegment() const { return files_.segment(position_.segmentSequence); }
   std::uint64_t lastAppended() const { return position_.nextSequence - 1; }
 
   /// True if a record other than a sync marker is not synced yet.
   bool hasUnsynced() const { return syncedSequence_ < lastRecord_; }
 
-  /// All records up to @p sequence were synced.
+  /// Notes that all records up to @p sequence were synced.
   void setSynced(std::uint64_t sequence);
 
-  /// Segments that were compacted since the start.
+  /// Segments compacted since the store was opened.
   std::uint64_t reclaimedSegments() const { return reclaimedSegments_; }
 
-  /// Segments that were begun since the store was created.
+  /// Segments started since the store was created.
   std::uint64_t segmentsBegun() const { return segmentsBegun_; }
 
  private:
--- a/src/storage/store_creation.cpp
+++ b/src/storage/store_creation.cpp
@@ -27,7 +27,7 @@
   // A disk writes the header's sector atomically, so an interrupted creation leaves zeros.
   if (!blank.value()) {
     return makeError(ErrorCode::StorageCorrupt,
-                     "the active segment lost its header in " + files_.folder());
+                     "no valid header of the active segment in " + files_.folder());
   }
   const Status checked = checkDiskHasRoom();
   if (!checked) {
@@ -41,7 +41,7 @@
   return storeId;
 }
 
-/// A disk that is too small is rejected now, not when the store has grown.
+/// Rejects a disk that is too small at creation, instead of failing when the store has grown.
 Status StoreCreation::checkDiskHasRoom() {
   for (std::uint64_t slot = 0; slot < files_.options().segmentCount; ++slot) {
     const Status allocated = files_.allocate(slot);
--- a/src/storage/store_creation.h
+++ b/src/storage/store_creation.h
@@ -7,23 +7,23 @@
 
 namespace shedshed {
 
-/// Creates a store in steps that a crash may interrupt anywhere: the header of segment 1 makes the
-/// store exist, the headers of the unused files follow before the first record. Used once, before
-/// recovery.
+/// Creates a store in steps that a crash may interrupt at any point: the store exists once the
+/// header of segment 1 is written; the headers of the unused files are written before the first
+/// record. Used once, before the segments are replayed.
 class StoreCreation {
  public:
-  /// Keeps a reference; it must outlive the object.
+  /// Does not own @p files, which must outlive the object.
   explicit StoreCreation(SegmentFiles& files) : files_(files) {}
 
-  /// Gives the first segment its header and with it the store a random id, which is returned.
-  /// StorageCorrupt if anything shows that there was a store here before: an empty store in its
-  /// place would forget what it acknowledged. StorageFull if the disk is too small for all
+  /// Writes the header of the first segment with a random store id, which is returned. Fails with
+  /// StorageCorrupt if the files show that there was a store before, since an empty store in its
+  /// place would lose acknowledged writes, and with StorageFull if the disk is too small for all
   /// segments.
   Result<std::string> begin(RandomEngine& random);
 
-  /// Gives the other files headers that say "not used yet", unless the store already holds records:
-  /// all headers were there before the first record, so that a lost file is told from an unused
-  /// one. @p headers are the present ones, by slot.
+  /// Writes headers that mark the other files as unused, unless the store already holds records:
+  /// all headers are written before the first record, so that a lost file can be told from an
+  /// unused one. @p headers are the existing ones, by slot.
   Status finish(const std::string& storeId,
                 const std::vector<std::optional<SegmentHeader>>& headers);
 
--- a/src/wire/bounded_close.h
+++ b/src/wire/bounded_close.h
@@ -1,5 +1,5 @@
 /// @file
-/// Ends something that may never return.
+/// Closes resources with a timeout.
 #pragma once
 
 #include <chrono>
@@ -7,11 +7,11 @@
 
 namespace shedshed {
 
-/// Runs @p close on a thread of its own and waits for it, at most for @p limit.
+/// Runs @p close on a separate thread and waits for it, at most for @p timeout.
 ///
-/// For sockets of nng: closing one can wait for ever for the library's own threads. False if
-/// @p close had not returned; its thread then stays until the process ends, so @p close must own
-/// what it uses.
+/// Used for nng sockets: closing one can block forever on the library's own threads. Returns false
+/// if @p close did not return in time; its thread then runs until the process ends, so @p close
+/// must own what it uses.
 bool closeWithin(std::chrono::milliseconds timeout, std::function<void()> close);
 
 }  // namespace shedshed
--- a/src/wire/nng_transport.cpp
+++ b/src/wire/nng_transport.cpp
@@ -15,12 +15,12 @@
   return "tcp://" + node.address;
 }
 
-/// Closing all sockets takes some milliseconds, unless the library waits for ever.
+/// Closing all sockets takes a few milliseconds, unless the library blocks forever.
 constexpr std::chrono::milliseconds kCloseTimeout{1000};
 
 }  // namespace
 
-/// A PUSH socket that dials one peer and reconnects by itself.
+/// A PUSH socket that dials one peer and reconnects automatically.
 class NngTransport::Peer {
  public:
   Peer(const NodeId& node, const NngTransportOptions& options) {
@@ -43,7 +43,7 @@
   Peer(const Peer&) = delete;
   Peer& operator=(const Peer&) = delete;
 
-  /// Returns false when the queue is full.
+  /// Returns false if the queue is full or the socket could not be opened.
   bool send(const std::string& bytes) {
     if (!open_) {
       return false;
@@ -98,7 +98,7 @@
     }
   }
 
-  /// After this the owner is not called any more.
+  /// The owner is not called after this returns.
   void stopReceiving() {
     closing_ = true;
     if (aio_ != nullptr) {
@@ -153,7 +153,8 @@
     const std::lock_guard<std::mutex> lock(peersMutex_);
     peers.swap(peers_);
   }
-  // Once one close of the library waits for ever, all of them do.
+  // Once one close blocks forever in the library, all others do too, so one timeout covers them
+  // all.
   const auto sockets = std::make_shared<std::pair<std::shared_ptr<Listener>, decltype(peers)>>(
       listener, std::move(peers));
   const bool closed = closeWithin(kCloseTimeout, [sockets] {
--- a/src/wire/nng_transport.h
+++ b/src/wire/nng_transport.h
@@ -1,5 +1,5 @@
 /// @file
-/// Internal messages over nng: one PULL listener a node, one PUSH dialer for each peer in use.
+/// Internal messages over nng: one PULL listener per node, one PUSH dialer per peer in use.
 #pragma once
 
 #include "kernel/core.h"
@@ -13,16 +13,17 @@
 
 namespace shedshed {
 
-/// Knobs of `NngTransport`.
+/// Options of `NngTransport`.
 struct NngTransportOptions {
-  int sendQueueMessages = 256;                        ///< Per peer; the rest is dropped.
+  int sendQueueMessages = 256;                        ///< Per peer; further messages are dropped.
   std::size_t maxFrameBytes = 16U << 20U;             ///< Larger frames close the connection.
-  std::chrono::milliseconds reconnectDelayMin{50};    ///< First wait after a lost connection.
-  std::chrono::milliseconds reconnectDelayMax{1000};  ///< Longest wait between tries.
-  std::chrono::seconds idleTimeout{120};              ///< Unused dialers are closed.
+  std::chrono::milliseconds reconnectDelayMin{50};    ///< First delay after a lost connection.
+  std::chrono::milliseconds reconnectDelayMax{1000};  ///< Longest delay between attempts.
+  std::chrono::seconds idleTimeout{120};              ///< Dialers unused for longer are closed.
 };
 
-/// PUSH/PULL fits one-way messages; REQ/REP would resend by itself, which cores must control.
+/// Uses PUSH/PULL for one-way messages; REQ/REP would resend on its own, but the cores must control
+/// retries.
 class NngTransport : public Transport {
  public:
   /// Does not own @p counters, which must be thread-safe.
--- a/src/wire/tcp_endpoint.h
+++ b/src/wire/tcp_endpoint.h
@@ -1,5 +1,5 @@
 /// @file
-/// Addresses and time-outs of TCP sockets.
+/// Addresses and timeouts of TCP sockets.
 #pragma once
 
 #include "kernel/error.h"
@@ -13,11 +13,13 @@
 /// Parses "a.b.c.d:port". Fails with `InvalidArgument`.
 Result<boost::asio::ip::tcp::endpoint> parseEndpoint(const std::string& address);
 
-/// Lets the system close @p socket when sent bytes stay unacknowledged for @p limit: a peer without
-/// power sends no reset. Failures to set it are ignored: the socket then waits longer.
+/// Makes the kernel close @p socket when sent data stays unacknowledged for @p timeout, since a
+/// peer that lost power sends no reset. A failure to set the option is ignored: the connection is
+/// then closed later.
 void setUnackedTimeout(boost::asio::ip::tcp::socket& socket, std::chrono::milliseconds timeout);
 
-/// Probes the idle @p socket every @p seconds and closes it after @p probes lost ones.
+/// Enables TCP keepalive: the idle @p socket is probed every @p seconds and closed after @p probes
+/// unanswered probes.
 void setKeepAlive(boost::asio::ip::tcp::socket& socket, int seconds, int probes);
 
 }  // namespace shedshed
--- a/src/wire/tcp_transport.cpp
+++ b/src/wire/tcp_transport.cpp
@@ -16,7 +16,7 @@
 using boost::system::error_code;
 
 constexpr std::size_t kFrameLengthBytes = 4;
-/// Bytes asked of an incoming link at once.
+/// Maximum size of one read from an incoming connection.
 constexpr std::size_t kReadBufferBytes = 64U << 10U;
 
 void appendFrame(std::string& buffer, const std::string& frame) {
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-/// A link that a peer opened; reads frames until it breaks.
+/// A connection that a peer opened; reads frames until it is closed.
 class TcpTransport::IncomingConnection
     : public std::enable_shared_from_this<TcpTransport::IncomingConnection> {
  public:
@@ -63,7 +63,7 @@
                        });
   }
 
-  /// Reads once and hands all whole frames on. False if the link must be closed.
+  /// Reads once and handles all complete frames. Returns false if the connection must be closed.
   bool read() {
     error_code error;
     const std::size_t size = socket_.read_some(net::buffer(owner_.readBuffer_), error);
@@ -80,7 +80,7 @@
     return handleFrames(joined);
   }
 
-  /// Hands all whole frames on and keeps the rest. False if a frame is too long.
+  /// Handles all complete frames and keeps the rest. Returns false if a frame is too long.
   bool handleFrames(std::string_view rest) {
     while (rest.size() >= kFrameLengthBytes) {
       const std::uint32_t length = decodeFrameLength(rest);
@@ -100,10 +100,10 @@
 
   TcpTransport& owner_;
   net::ip::tcp::socket socket_;
-  std::string partialFrame_;  ///< The beginning of a frame whose end has not arrived.
+  std::string partialFrame_;  ///< The start of a frame whose end has not arrived.
 };
 
-/// The link to one peer: connects when there is something to send.
+/// The connection to one peer, opened when there is something to send.
 class TcpTransport::OutgoingConnection
     : public std::enable_shared_from_this<TcpTransport::OutgoingConnection> {
  public:
@@ -111,7 +111,7 @@
       : owner_(owner), socket_(owner.loop_), timer_(owner.loop_),
         endpoint_(parseEndpoint(peer.address)) {}
 
-  /// False if the message was dropped.
+  /// Returns false if the message was dropped.
   bool send(const std::string& frame) {
     if (!endpoint_ || queuedBytes_.size() + frame.size() > owner_.options_.sendQueueBytes) {
       return false;
@@ -169,7 +169,7 @@
     write();
   }
 
-  /// A peer never writes on this link: readable means closed.
+  /// A peer never writes on this connection: readable means closed.
   void waitForDisconnect(std::uint64_t attempt) {
     socket_.async_wait(net::ip::tcp::socket::wait_read,
                        [self = shared_from_this(), attempt](const error_code&) {
@@ -179,7 +179,7 @@
                        });
   }
 
-  /// One write carries all that one turn of the event loop sends to this peer.
+  /// Sends all messages that one iteration of the event loop queues for this peer in one write.
   void scheduleWrite() {
     writeScheduled_ = true;
     net::post(owner_.loop_, [self = shared_from_this()] {
@@ -214,7 +214,7 @@
     write();
   }
 
-  /// Drops what waits: an old message is worth less than a free link.
+  /// Drops queued messages too: stale messages would only delay newer ones on the next connection.
   void disconnect() {
     owner_.counters_.add("wire_broken_links_total");
     ++attempt_;
--- a/src/wire/tcp_transport.h
+++ b/src/wire/tcp_transport.h
@@ -1,5 +1,5 @@
 /// @file
-/// Internal messages over TCP links on the event loop of the cores.
+/// Internal messages over TCP connections on the event loop of the cores.
 #pragma once
 
 #include "kernel/core.h"
@@ -15,27 +15,29 @@
 
 namespace shedshed {
 
-/// Knobs of `TcpTransport`.
+/// Options of `TcpTransport`.
 struct TcpTransportOptions {
-  std::size_t sendQueueBytes = 8U << 20U;          ///< Per peer; a message beyond it is dropped.
-  std::size_t maxFrameBytes = 16U << 20U;          ///< A larger frame closes the link.
-  std::chrono::milliseconds connectTimeout{700};   ///< Then the queue is dropped.
-  std::chrono::milliseconds reconnectDelay{100};   ///< Between two tries to connect.
-  std::chrono::milliseconds unackedTimeout{1200};  ///< `TCP_USER_TIMEOUT` of a link.
+  std::size_t sendQueueBytes = 8U << 20U;          ///< Per peer; further messages are dropped.
+  std::size_t maxFrameBytes = 16U << 20U;          ///< A larger frame closes the connection.
+  std::chrono::milliseconds connectTimeout{700};   ///< After it the queue is dropped.
+  std::chrono::milliseconds reconnectDelay{100};   ///< Between two connection attempts.
+  std::chrono::milliseconds unackedTimeout{1200};  ///< `TCP_USER_TIMEOUT` of a connection.
   int keepAliveSeconds = 1;                        ///< Idle time and interval of the probes.
-  int keepAliveProbes = 2;                         ///< Lost probes that close an idle link.
+  int keepAliveProbes = 2;  ///< Unanswered probes that close an idle connection.
 };
 
-/// One link for each direction: a node writes to the links that it opened and reads from those that
-/// it accepted. A frame is its length as four bytes, big-endian, and the bytes of `encodeFrame`.
+/// Uses one connection for each direction: a node writes to the connections that it opened and
+/// reads from those that it accepted. A frame is its length as four bytes, big-endian, followed by
+/// the bytes of `encodeFrame`.
 ///
-/// A peer that fell silent closes its links within `unackedTimeout`, so that messages flow again as
-/// soon as it is back; what was queued is dropped, which cores expect.
+/// A connection to an unresponsive peer is closed within `unackedTimeout`, so that messages are
+/// delivered again as soon as the peer is back. Queued messages are dropped, which cores expect.
 ///
-/// Threading: all calls on the thread that runs the event loop, but for construction.
+/// Threading: all methods except the constructor must be called on the thread that runs the event
+/// loop.
 class TcpTransport : public Transport {
  public:
-  /// Keeps references to @p loop and @p counters; they must outlive it.
+  /// Does not own @p loop and @p counters, which must outlive it.
   TcpTransport(boost::asio::io_context& loop, NodeId self, const FleetKey& key, Counters& counters,
                TcpTransportOptions options = {});
   ~TcpTransport() override;
@@ -60,7 +62,7 @@
   Receiver receiver_;
   std::unique_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
   std::map<NodeId, std::shared_ptr<OutgoingConnection>> outgoingConnections_;
-  std::vector<char> readBuffer_;  ///< Of all incoming links: only one is read at a time.
+  std::vector<char> readBuffer_;  ///< Shared by all incoming connections, read one at a time.
   bool stopped_ = false;
 };
 
--- a/src/wire/transport.h
+++ b/src/wire/transport.h
@@ -10,21 +10,21 @@
 namespace shedshed {
 
 /// Sends and receives internal messages. Delivery is best effort: a message may be lost, late or
-/// repeated; cores number and retry what matters.
+/// repeated; cores number their messages and retry those that matter.
 class Transport {
  public:
   using Receiver = std::function<void(const NodeId& from, Message message)>;
 
   virtual ~Transport() = default;
 
-  /// Begins to receive. @p receiver may be called by any thread of the transport.
+  /// Starts receiving. @p receiver may be called from any thread of the transport.
   virtual Status start(Receiver receiver) = 0;
 
   /// Queues @p message for @p to without blocking; drops it when the queue to that node is full.
-  /// Any thread.
+  /// Implementations may restrict the calling thread.
   virtual void send(const NodeId& to, const Message& message) = 0;
 
-  /// Stops receiving; no call of the receiver is made after it returns.
+  /// Stops receiving; the receiver is not called after this returns.
   virtual void stop() = 0;
 };
 
--- a/tests/runtime/runtime_test.cpp
+++ b/tests/runtime/runtime_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Records whose sync waits until the test lets it go on.
+/// Records whose sync blocks until the test sets `syncAllowed`.
 class BlockingSyncRecords : public DurableRecords {
  public:
   Status append(const std::vector<Mutation>& mutations) override {
--- a/tests/storage/log_structured_store_test.cpp
+++ b/tests/storage/log_structured_store_test.cpp
@@ -57,7 +57,7 @@
   return group;
 }
 
-/// A store under random groups, with the states that a crash may leave.
+/// Applies random groups to a store and tracks the states that recovery may return.
 class Workload {
  public:
   Workload(FakeFileSystem& disk, std::uint64_t seed, LogStoreOptions options)
@@ -86,7 +86,7 @@
     }
   }
 
-  /// Crashes; returns whether the recovered state is one that is allowed.
+  /// Simulates a power loss; returns whether the recovered state is an allowed one.
   bool recoversAllowedState() {
     disk_.crash(random_);
     auto opened = openStore(disk_, random_, options_);
@@ -107,7 +107,8 @@
   std::vector<Table> allowedStates_ = {Table()};
 };
 
-/// Returns how many of the crashes, one after each disk operation, lost or mixed something.
+/// Cuts the power after each of the first @p operations disk operations; returns the number of runs
+/// in which recovery failed, lost a synced group or returned part of a group.
 unsigned countFailedRecoveries(std::uint64_t seed, std::uint64_t operations,
                                LogStoreOptions options) {
   unsigned bad = 0;
@@ -133,7 +134,7 @@
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(a_crash_after_any_disk_operation_keeps_synced_groups_and_tears_none) {
-  // 82 and 141 once brought back a cut group by a torn write over its remains.
+  // With seeds 82 and 141 a torn write over the remains of a discarded group made it valid again.
   std::vector<std::uint64_t> seeds = {82, 141};
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     seeds.push_back(seed);
@@ -287,7 +288,7 @@
   }
   BOOST_TEST((last.error().code == ErrorCode::StorageFull));
   BOOST_TEST((contents(*store) == expected));
-  // Rewriting in place of the old versions stays possible, for many turns.
+  // Overwriting existing keys remains possible, over many rotations through the files.
   for (unsigned number = 0; number < 2000; ++number) {
     const Group group = {{"key" + std::to_string(number % expected.size()), filler(300)}};
     BOOST_REQUIRE(store->append(group));
@@ -365,7 +366,8 @@
   BOOST_TEST((openStore(disk, random, other).error().code == ErrorCode::InvalidArgument));
 }
 
-// A release that sizes new stores by the disk must open the stores of the one before.
+// A release that derives the sizes of new stores from the disk must open the stores of the release
+// before it.
 BOOST_AUTO_TEST_CASE(a_store_keeps_the_sizes_that_it_was_created_with) {
   FakeFileSystem disk;
   RandomEngine random(7);
@@ -381,7 +383,7 @@
 
 BOOST_AUTO_TEST_CASE(real_files_are_read_while_they_are_written_and_reopened) {
   const std::string root =
-      (std::filesystem::temp_directory_path() / ("ring_test_" + std::to_string(::getpid())))
+      (std::filesystem::temp_directory_path() / ("log_store_test_" + std::to_string(::getpid())))
           .string();
   PosixFileSystem disk;
   RandomEngine random(5);
@@ -415,7 +417,7 @@
   std::filesystem::remove_all(root);
 }
 
-// Preallocating all segments at the creation filled disks that many stores share.
+// Preallocating all segments when a store is created filled disks that many stores share.
 BOOST_AUTO_TEST_CASE(a_store_takes_no_more_of_the_disk_than_it_needs) {
   FakeFileSystem disk;
   RandomEngine random(7);
@@ -440,7 +442,8 @@
   BOOST_TEST(again.value()->read("key0").value().has_value());
 }
 
-// A full disk rejects the group that needs another segment; the store continues once there is room.
+// A group that needs another segment is rejected if the disk is full; the store continues once
+// there is space.
 BOOST_AUTO_TEST_CASE(a_disk_without_room_for_the_next_segment_rejects_and_recovers) {
   FakeFileSystem disk;
   RandomEngine random(7);
--- a/tests/storage/record_index_test.cpp
+++ b/tests/storage/record_index_test.cpp
@@ -1,4 +1,4 @@
-// Locations and live bytes of the newest versions.
+// Tests that the index locates the newest versions and counts their live bytes.
 #include "storage/record_index.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/storage/segment_format_test.cpp
+++ b/tests/storage/segment_format_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of a segment, which a later release must still read.
+// Guards against changes of the on-disk format, which later releases must still read.
 #include "storage/segment_format.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/wire/bounded_close_test.cpp
+++ b/tests/wire/bounded_close_test.cpp
@@ -1,4 +1,4 @@
-// A process that had drained did not end: closing a socket of nng waited for ever.
+// Guards against a drained process that does not exit because closing an nng socket blocks forever.
 #include "wire/bounded_close.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/wire/tcp_transport_test.cpp
+++ b/tests/wire/tcp_transport_test.cpp
@@ -10,7 +10,7 @@
 
 namespace net = boost::asio;
 
-/// A port that was free a moment ago.
+/// Returns a loopback address whose port was unused at the time of the call.
 NodeId unusedAddress(net::io_context& loop) {
   net::ip::tcp::acceptor probe(loop, {net::ip::make_address_v4("127.0.0.1"), 0});
   return NodeId{"127.0.0.1:" + std::to_string(probe.local_endpoint().port())};
