--- a/src/runtime/disk_writer.h
+++ b/src/runtime/disk_writer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Group commit: persist requests of all cores share one sync of the ring.
+/// Group commit: persist requests of all cores share one sync of the log.
 #pragma once
 
 #include "storage/durable_records.h"
@@ -13,22 +13,22 @@
 
 namespace shedshed {
 
-/// Appends and syncs on a thread of its own, and answers reads that include what still waits.
+/// Appends and syncs on a separate thread. Reads include mutations that are still pending.
 class DiskWriter : public RecordReader {
  public:
   using Completion = std::function<void(const Status&)>;
 
-  /// @p complete runs completions on the core thread. Does not own @p records.
+  /// @p postToCore runs a task on the core thread. Does not own @p records.
   DiskWriter(DurableRecords& records, std::function<void(std::function<void()>)> postToCore);
   ~DiskWriter() override;
   DiskWriter(const DiskWriter&) = delete;
   DiskWriter& operator=(const DiskWriter&) = delete;
 
-  /// Queues one atomic group. @p done is called on the core thread, in the order of the calls,
+  /// Queues one atomic group. @p done is called on the core thread, in the order of submission,
   /// once the group is synced or has failed.
   void submit(std::vector<Mutation> mutations, Completion done);
 
-  /// Writes what waits and stops the thread.
+  /// Writes the queued requests and stops the thread.
   void stop();
 
   Result<std::optional<std::string>> read(std::string_view key) const override;
@@ -37,26 +37,26 @@
 
  private:
   struct Request {
-    std::uint64_t number;
+    std::uint64_t sequence;
     std::vector<Mutation> mutations;
     Completion done;
   };
-  struct Waiting {
-    std::uint64_t number;
+  struct PendingMutation {
+    std::uint64_t sequence;
     std::optional<std::string> value;
   };
 
   void run();
-  void writeGroup(std::vector<Request> group);
-  void forgetWaiting(const std::vector<Request>& group);
+  void commitRequests(std::vector<Request> requests);
+  void removePending(const std::vector<Request>& requests);
 
   DurableRecords& records_;
   std::function<void(std::function<void()>)> postToCore_;
   mutable std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable workAvailable_;
   std::vector<Request> queue_;
-  std::map<std::string, Waiting, std::less<>> waiting_;
-  std::uint64_t nextNumber_ = 1;
+  std::map<std::string, PendingMutation, std::less<>> pending_;
+  std::uint64_t nextSequence_ = 1;
   bool stopping_ = false;
   std::thread thread_;
 };
--- a/src/runtime/timer_queue.h
+++ b/src/runtime/timer_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// The timers of all cores of one node, found by owner and by deadline.
+/// The timers of all cores of one node, indexed by owner and by deadline.
 #pragma once
 
 #include "kernel/core.h"
@@ -35,8 +35,8 @@
     }
   }
 
-  /// The earliest deadline, or nullopt when no timer runs.
-  std::optional<Time> earliest() const {
+  /// Returns the earliest deadline, or nullopt if no timer is running.
+  std::optional<Time> earliestDeadline() const {
     const auto& byDeadline = timers_.get<ByDeadline>();
     if (byDeadline.empty()) {
       return std::nullopt;
@@ -45,7 +45,7 @@
   }
 
   /// Removes and returns the earliest timer that is due at @p now.
-  std::optional<Timer> takeDue(Time now) {
+  std::optional<Timer> popDue(Time now) {
     auto& byDeadline = timers_.get<ByDeadline>();
     if (byDeadline.empty() || byDeadline.begin()->deadline > now) {
       return std::nullopt;
--- a/src/storage/log_recovery.cpp
+++ b/src/storage/log_recovery.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-Error corrupt(const std::string& detail) {
+Error storageCorrupt(const std::string& detail) {
   return makeError(ErrorCode::StorageCorrupt, detail);
 }
 
@@ -73,25 +73,27 @@
     }
     if (header->segmentBytes != options.segmentBytes ||
         header->segmentCount != options.segmentCount) {
-      return makeError(ErrorCode::InvalidArgument, "the store was created with other sizes");
+      return makeError(ErrorCode::InvalidArgument,
+                       "the store was created with another segment size or segment count");
     }
   }
   return okStatus();
 }
 
-/// Checks that every file is there in its latest use. The newest segment tells which use that is,
-/// as the files are used in turn; a disk writes a header's sector atomically, so a crash leaves the
-/// earlier or the later header.
+/// Checks that every file has the header of the last segment that was started in it. The newest
+/// segment determines the sequence expected in each slot, as the slots are used in rotation. A disk
+/// writes a header's sector atomically, so a crash leaves either the previous or the new header.
 Status LogRecovery::checkHeaders(const Headers& headers) const {
   const std::uint64_t count = files_.options().segmentCount;
   const std::uint64_t newest = position_.segmentSequence;
   for (std::uint64_t slot = 0; slot < count; ++slot) {
-    // The latest use of this slot up to the newest segment; 0 if it was not used yet.
+    // Sequence of the last segment in this slot; 0 if the slot was not used yet.
     const std::uint64_t age = (newest + count - slot) % count;
     const std::uint64_t expected = newest > age ? newest - age : 0;
     const std::optional<SegmentHeader>& header = headers[slot];
     if (!header || header->segmentSequence != expected || header->storeId != position_.storeId) {
-      return corrupt("the header of " + SegmentFiles::fileName(slot) + " is lost or damaged");
+      return storageCorrupt("the header of " + SegmentFiles::fileName(slot) +
+                            " is lost or damaged");
     }
   }
   return okStatus();
@@ -99,7 +101,7 @@
 
 Status LogRecovery::replaySegments(const Headers& headers) {
   const std::uint64_t newest = position_.segmentSequence;
-  // The oldest segment is still needed if its live records had not arrived in the newest one.
+  // The oldest segment is still needed if its live records were not compacted into the newest one.
   const Result<bool> compacted = startsWithCompaction(newest);
   if (!compacted) {
     return compacted.error();
@@ -110,8 +112,8 @@
   for (std::uint64_t sequence = first; sequence <= newest; ++sequence) {
     const SegmentHeader& header = *headers[files_.slotOf(sequence)];
     if (header.segmentSequence != sequence || header.firstSequence != position_.nextSequence) {
-      return corrupt("records are missing before " +
-                     SegmentFiles::fileName(files_.slotOf(sequence)));
+      return storageCorrupt("records are missing before " +
+                            SegmentFiles::fileName(files_.slotOf(sequence)));
     }
     const Result<std::string> content = files_.readSegment(sequence);
     if (!content) {
@@ -123,7 +125,7 @@
     }
     if (sequence == newest) {
       position_.offset = end.value();
-      return cutTail(content.value());
+      return zeroTail(content.value());
     }
   }
   return okStatus();
@@ -140,7 +142,7 @@
     const std::uint64_t payloadOffset = end + kRecordHeaderBytes;
     const std::string_view payload = content.substr(payloadOffset, record->payloadBytes);
     if (!decodePayload(payload)) {
-      return corrupt("a record is malformed");
+      return storageCorrupt("a record is malformed");
     }
     index_.apply(payload, header.segmentSequence, payloadOffset);
     end += recordBytes(record->payloadBytes);
@@ -148,16 +150,17 @@
   }
 }
 
-/// Looks for complete records after the first unreadable one. One that was written after the
-/// unreadable one had been synced proves damage. The others were unsynced at a power loss. All that
-/// follows is overwritten with zeros, also what is unreadable: a later, torn write could supply the
-/// very sectors that a cut record lacks, and bring it back.
-Status LogRecovery::cutTail(std::string_view content) {
+/// Scans for complete records after the first unreadable one. A record that was written after the
+/// unreadable one had been synced proves that synced data is damaged; the others were unsynced at a
+/// power loss. The rest of the segment is overwritten with zeros, including unreadable bytes:
+/// otherwise a later torn write could supply the sectors that a discarded record lacks and make it
+/// valid again.
+Status LogRecovery::zeroTail(std::string_view content) {
   const std::uint64_t end = position_.offset;
   for (std::uint64_t at = end; at < content.size(); at += kRecordAlignment) {
     const auto record = decodeRecord(content, at, position_.segmentSequence);
     if (record && record->syncedSequence >= position_.nextSequence) {
-      return corrupt("record " + std::to_string(position_.nextSequence) + " is damaged");
+      return storageCorrupt("record " + std::to_string(position_.nextSequence) + " is damaged");
     }
   }
   if (content.find_first_not_of('\0', end) == std::string_view::npos) {
--- a/src/wire/nng_transport.h
+++ b/src/wire/nng_transport.h
@@ -1,5 +1,5 @@
 /// @file
-/// Internal messages over nng: one PULL listener a node, one PUSH dialer for each peer in use.
+/// Internal messages over nng: one PULL listener per node, one PUSH dialer per peer in use.
 #pragma once
 
 #include "kernel/core.h"
@@ -13,20 +13,22 @@
 
 namespace shedshed {
 
-/// Knobs of `NngTransport`.
-struct NngTransportKnobs {
-  int sendQueueMessages = 256;                   ///< Per peer; the rest is dropped.
-  std::size_t maxFrameBytes = 16U << 20U;        ///< Larger frames close the connection.
-  std::chrono::milliseconds reconnectMin{50};    ///< First wait after a lost connection.
-  std::chrono::milliseconds reconnectMax{1000};  ///< Longest wait between tries.
-  std::chrono::seconds idleClose{120};           ///< Unused dialers are closed.
+/// Options of `NngTransport`.
+struct NngTransportOptions {
+  int sendQueueMessages = 256;                        ///< Per peer; further messages are dropped.
+  std::size_t maxFrameBytes = 16U << 20U;             ///< Larger frames close the connection.
+  std::chrono::milliseconds reconnectDelayMin{50};    ///< First delay after a lost connection.
+  std::chrono::milliseconds reconnectDelayMax{1000};  ///< Longest delay between attempts.
+  std::chrono::seconds idleTimeout{120};              ///< Dialers unused for longer are closed.
 };
 
-/// PUSH/PULL fits one-way messages; REQ/REP would resend by itself, which cores must control.
+/// Uses PUSH/PULL for one-way messages; REQ/REP would resend on its own, but the cores must control
+/// retries.
 class NngTransport : public Transport {
  public:
   /// Does not own @p counters, which must be thread-safe.
-  NngTransport(NodeId self, const FleetKey& key, Counters& counters, NngTransportKnobs knobs = {});
+  NngTransport(NodeId self, const FleetKey& key, Counters& counters,
+               NngTransportOptions options = {});
   ~NngTransport() override;
 
   /// Fails with `InvalidArgument` when the address cannot be bound.
@@ -40,12 +42,12 @@
 
   std::shared_ptr<Peer> peerFor(const NodeId& to);
   void closeIdlePeers(std::chrono::steady_clock::time_point now);
-  void received(const char* bytes, std::size_t size);
+  void handleFrame(const char* bytes, std::size_t size);
 
   const NodeId self_;
   const FleetKey key_;
   Counters& counters_;
-  const NngTransportKnobs knobs_;
+  const NngTransportOptions options_;
   Receiver receiver_;
   std::unique_ptr<Listener> listener_;
   std::mutex peersMutex_;
--- a/tests/storage/log_structured_store_test.cpp
+++ b/tests/storage/log_structured_store_test.cpp
@@ -57,7 +57,7 @@
   return group;
 }
 
-/// A store under random groups, with the states that a crash may leave.
+/// Applies random groups to a store and tracks the states that recovery may return.
 class Workload {
  public:
   Workload(FakeFileSystem& disk, std::uint64_t seed, LogStoreOptions options)
@@ -71,8 +71,8 @@
     }
     for (unsigned done = 0; done < groups; ++done) {
       const Group group = randomGroup(random_);
-      allowed_.push_back(allowed_.back());
-      applyGroup(allowed_.back(), group);
+      allowedStates_.push_back(allowedStates_.back());
+      applyGroup(allowedStates_.back(), group);
       if (!opened.value()->append(group)) {
         return;
       }
@@ -82,20 +82,21 @@
       if (!opened.value()->sync()) {
         return;
       }
-      allowed_.erase(allowed_.begin(), allowed_.end() - 1);
+      allowedStates_.erase(allowedStates_.begin(), allowedStates_.end() - 1);
     }
   }
 
-  /// Crashes; returns whether the recovered state is one that is allowed.
-  bool survivesCrash() {
+  /// Simulates a power loss; returns whether the recovered state is an allowed one.
+  bool recoversAllowedState() {
     disk_.crash(random_);
     auto opened = openStore(disk_, random_, options_);
     if (!opened) {
       return false;
     }
     const Table found = contents(*opened.value());
-    const bool allowed = std::find(allowed_.begin(), allowed_.end(), found) != allowed_.end();
-    allowed_ = {found};
+    const bool allowed =
+        std::find(allowedStates_.begin(), allowedStates_.end(), found) != allowedStates_.end();
+    allowedStates_ = {found};
     return allowed;
   }
 
@@ -103,22 +104,24 @@
   FakeFileSystem& disk_;
   RandomEngine random_;
   LogStoreOptions options_;
-  std::vector<Table> allowed_ = {Table()};
+  std::vector<Table> allowedStates_ = {Table()};
 };
 
-/// Returns how many of the crashes, one after each disk operation, lost or mixed something.
-unsigned countBadCrashes(std::uint64_t seed, std::uint64_t operations, LogStoreOptions options) {
+/// Cuts the power after each of the first @p operations disk operations; returns the number of runs
+/// in which recovery failed, lost a synced group or returned part of a group.
+unsigned countFailedRecoveries(std::uint64_t seed, std::uint64_t operations,
+                               LogStoreOptions options) {
   unsigned bad = 0;
   for (std::uint64_t operation = 0; operation < operations; ++operation) {
     FakeFileSystem disk;
     Workload workload(disk, seed + operation, options);
     disk.cutPowerAfter(operation);
     workload.run(400);
-    bool good = workload.survivesCrash();
+    bool good = workload.recoversAllowedState();
     // A second crash, soon after the recovery or during it.
     disk.cutPowerAfter(operation % 23);
     workload.run(400);
-    good = workload.survivesCrash() && good;
+    good = workload.recoversAllowedState() && good;
     bad += good ? 0 : 1;
   }
   return bad;
@@ -131,13 +134,13 @@
 }  // namespace
 
 BOOST_AUTO_TEST_CASE(a_crash_after_any_disk_operation_keeps_synced_groups_and_tears_none) {
-  // 82 and 141 once brought back a cut group by a torn write over its remains.
+  // With seeds 82 and 141 a torn write over the remains of a discarded group made it valid again.
   std::vector<std::uint64_t> seeds = {82, 141};
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     seeds.push_back(seed);
   }
   for (const std::uint64_t seed : seeds) {
-    BOOST_TEST(countBadCrashes(seed * 1000, 300, smallOptions()) == 0U, "seed " << seed);
+    BOOST_TEST(countFailedRecoveries(seed * 1000, 300, smallOptions()) == 0U, "seed " << seed);
   }
 }
 
@@ -146,7 +149,7 @@
   options.syncBeforeReuse = false;
   unsigned bad = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    bad += countBadCrashes(seed * 1000, 300, options);
+    bad += countFailedRecoveries(seed * 1000, 300, options);
   }
   BOOST_TEST(bad > 0U);
 }
@@ -233,9 +236,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(lost_files_and_damaged_headers_are_not_taken_for_a_new_store) {
-  constexpr unsigned kAll = 4;
+  constexpr unsigned kSegmentCount = 4;
   for (unsigned groups = 0; groups < 120; ++groups) {
-    for (unsigned lost = 0; lost <= kAll; ++lost) {
+    for (unsigned lost = 0; lost <= kSegmentCount; ++lost) {
       FakeFileSystem disk;
       RandomEngine random(groups);
       auto before = openStore(disk, random).value();
@@ -245,9 +248,9 @@
       BOOST_REQUIRE(before->sync());
       before.reset();
       disk.endProcess();
-      for (unsigned slot = 0; slot < kAll; ++slot) {
+      for (unsigned slot = 0; slot < kSegmentCount; ++slot) {
         const std::string path = "data/ring-000" + std::to_string(slot);
-        if (lost == kAll) {
+        if (lost == kSegmentCount) {
           disk.flipBit(path, 20, 1);
         } else if (slot == lost) {
           BOOST_REQUIRE(disk.remove(path));
@@ -285,7 +288,7 @@
   }
   BOOST_TEST((last.error().code == ErrorCode::StorageFull));
   BOOST_TEST((contents(*store) == expected));
-  // Rewriting in place of the old versions stays possible, for many turns.
+  // Overwriting existing keys remains possible, over many rotations through the files.
   for (unsigned number = 0; number < 2000; ++number) {
     const Group group = {{"key" + std::to_string(number % expected.size()), filler(300)}};
     BOOST_REQUIRE(store->append(group));
@@ -344,7 +347,7 @@
   BOOST_TEST(id.size() == kStoreIdBytes);
   disk.crash(random);
   BOOST_TEST(openStore(disk, random).value()->storeId() == id);
-  disk.empty();
+  disk.removeAllFiles();
   BOOST_TEST(openStore(disk, random).value()->storeId() != id);
 }
 
@@ -353,7 +356,7 @@
   RandomEngine random(5);
   disk.limitBytes(smallOptions().segmentBytes);
   BOOST_TEST((openStore(disk, random).error().code == ErrorCode::StorageFull));
-  disk.empty();
+  disk.removeAllFiles();
   disk.limitBytes(1 << 20);
   auto store = openStore(disk, random).value();
   BOOST_TEST((openStore(disk, random).error().code == ErrorCode::AlreadyExists));
@@ -363,7 +366,8 @@
   BOOST_TEST((openStore(disk, random, other).error().code == ErrorCode::InvalidArgument));
 }
 
-// A release that sizes new stores by the disk must open the stores of the one before.
+// A release that derives the sizes of new stores from the disk must open the stores of the release
+// before it.
 BOOST_AUTO_TEST_CASE(a_store_keeps_the_sizes_that_it_was_created_with) {
   FakeFileSystem disk;
   RandomEngine random(7);
@@ -379,7 +383,7 @@
 
 BOOST_AUTO_TEST_CASE(real_files_are_read_while_they_are_written_and_reopened) {
   const std::string root =
-      (std::filesystem::temp_directory_path() / ("ring_test_" + std::to_string(::getpid())))
+      (std::filesystem::temp_directory_path() / ("log_store_test_" + std::to_string(::getpid())))
           .string();
   PosixFileSystem disk;
   RandomEngine random(5);
@@ -413,7 +417,7 @@
   std::filesystem::remove_all(root);
 }
 
-// Preallocating all segments at the creation filled disks that many stores share.
+// Preallocating all segments when a store is created filled disks that many stores share.
 BOOST_AUTO_TEST_CASE(a_store_takes_no_more_of_the_disk_than_it_needs) {
   FakeFileSystem disk;
   RandomEngine random(7);
@@ -438,7 +442,8 @@
   BOOST_TEST(again.value()->read("key0").value().has_value());
 }
 
-// A full disk rejects the group that needs another segment; the store continues once there is room.
+// A group that needs another segment is rejected if the disk is full; the store continues once
+// there is space.
 BOOST_AUTO_TEST_CASE(a_disk_without_room_for_the_next_segment_rejects_and_recovers) {
   FakeFileSystem disk;
   RandomEngine random(7);
--- a/tests/wire/bounded_close_test.cpp
+++ b/tests/wire/bounded_close_test.cpp
@@ -1,4 +1,4 @@
-// A process that had drained did not end: closing a socket of nng waited for ever.
+// Guards against a drained process that does not exit because closing an nng socket blocks forever.
 #include "wire/bounded_close.h"
 
 #include <boost/test/unit_test.hpp>
@@ -16,7 +16,7 @@
   BOOST_TEST(closed);
 }
 
-BOOST_AUTO_TEST_CASE(a_close_that_never_returns_holds_nobody_up) {
+BOOST_AUTO_TEST_CASE(a_close_that_never_returns_does_not_block_the_caller) {
   const auto release = std::make_shared<std::promise<void>>();
   const std::shared_future<void> released = release->get_future().share();
   const auto ended = std::make_shared<std::promise<void>>();
