--- a/src/engines/checked_engines.cpp
+++ b/src/engines/checked_engines.cpp
@@ -14,25 +14,25 @@
   for (const ListedEngine& engine : listing.engines) {
     const std::size_t rank = checkerRank(engine.id, self, checkers, options_.checkersPerEngine);
     const bool assigned = rank < options_.checkersPerEngine;
-    const auto former = engines_.find(engine.id);
-    const bool same = former != engines_.end() && former->second.address == engine.address;
-    const bool handsOver = same && now - former->second.lastAssigned < options_.handoverTime;
-    if (!assigned && !handsOver && !verifyAll) {
+    const auto previous = engines_.find(engine.id);
+    const bool same = previous != engines_.end() && previous->second.address == engine.address;
+    const bool inHandover = same && now - previous->second.lastAssigned < options_.handoverTime;
+    if (!assigned && !inHandover && !verifyAll) {
       continue;
     }
-    CheckedEngine checked = same ? former->second : CheckedEngine();
+    CheckedEngine checked = same ? previous->second : CheckedEngine();
     if (!same) {
       checked.address = engine.address;
       checked.lastAnswer = now;
     }
     checked.maxRunning = engine.maxRunning;
-    checked.firstChecker = rank == 0;
-    checked.shared = assigned || handsOver;
+    checked.primaryChecker = rank == 0;
+    checked.shared = assigned || inHandover;
     checked.lastAssigned = assigned ? now : checked.lastAssigned;
     next.emplace(engine.id, std::move(checked));
   }
-  const bool shrunk = std::any_of(engines_.begin(), engines_.end(), [&](const auto& former) {
-    return next.count(former.first) == 0;
+  const bool shrunk = std::any_of(engines_.begin(), engines_.end(), [&](const auto& previous) {
+    return next.count(previous.first) == 0;
   });
   engines_ = std::move(next);
   return shrunk;
@@ -88,8 +88,8 @@
   return std::any_of(engines_.begin(), engines_.end(), [&](const auto& entry) {
     const CheckedEngine& engine = entry.second;
     const double change = std::abs(static_cast<double>(engine.running) - engine.reportedRunning);
-    const bool notable = change > options_.notableLoadChange * engine.maxRunning;
-    return engine.firstChecker && change > 0 && (overdue || notable);
+    const bool significant = change > options_.significantLoadChange * engine.maxRunning;
+    return engine.primaryChecker && change > 0 && (overdue || significant);
   });
 }
 
--- a/src/engines/checked_engines.h
+++ b/src/engines/checked_engines.h
@@ -64,8 +64,8 @@
   struct CheckedEngine {
     std::string address;
     std::uint32_t maxRunning = 0;
-    bool firstChecker = false;  ///< This node reports changes of the load.
-    bool shared = false;        ///< Assigned to this node; else checked only to verify others.
+    bool primaryChecker = false;  ///< This node reports changes of the load.
+    bool shared = false;          ///< Assigned to this node; else checked only to verify others.
     Time lastAssigned{};
     Time lastAnswer{};  ///< At first the start of the checks.
     std::uint64_t newestAnswer = 0;
--- a/src/engines/engine_health_checker_options.h
+++ b/src/engines/engine_health_checker_options.h
@@ -25,7 +25,7 @@
   Duration minLoadReportInterval = std::chrono::seconds(1);
   Duration maxLoadReportDelay = std::chrono::seconds(5);  ///< Of a change that is not notable.
   Duration loadReportIntervalPerEngine = std::chrono::milliseconds(20);
-  double notableLoadChange = 0.25;  ///< Part of `max_running`.
+  double significantLoadChange = 0.25;  ///< Part of `max_running`.
   /// States that change within this time are reported together: a data node that starts finds some
   /// 17 engines ready within milliseconds.
   Duration reportDelay = std::chrono::milliseconds(20);
--- a/src/engines/engine_list_core.cpp
+++ b/src/engines/engine_list_core.cpp
@@ -11,10 +11,10 @@
 constexpr TimerId kTimeoutTimer = 2;
 
 /// Pulls after which a node returns to the first of its sources.
-constexpr std::uint32_t kPullsBetweenPreferences = 6;
+constexpr std::uint32_t kPullsBetweenSourceResets = 6;
 
 /// Pulls without an answer that are remembered: a slow source answers late.
-constexpr std::size_t kMaxOpenPulls = 8;
+constexpr std::size_t kMaxOutstandingPulls = 8;
 
 /// Pulls that wait for the reading in progress at most.
 constexpr std::size_t kMaxWaitingPulls = 4096;
@@ -38,7 +38,7 @@
 
 void EngineListCore::receive(const NodeId& from, const Message& message) {
   dispatchMessage<ListingPull>(message, [&](const ListingPull& typed) { onPull(from, typed); }) ||
-      dispatchMessage<ListingAnswer>(message, [&](const ListingAnswer& typed) { onAnswer(typed); });
+      dispatchMessage<ListingReply>(message, [&](const ListingReply& typed) { onReply(typed); });
 }
 
 void EngineListCore::timerExpired(TimerId timer) {
@@ -76,8 +76,8 @@
   }
   const std::vector<NodeId> nodes = readers(*directory_.table());
   const bool isFirst = nodes.empty() || nodes.front() == context_.self();
-  const Time current = std::max(startedAt_, provedAt_);
-  return isFirst || context_.now() - current > options_.oldListing;
+  const Time asOf = std::max(startedAt_, validatedAt_);
+  return isFirst || context_.now() - asOf > options_.staleListingAge;
 }
 
 void EngineListCore::pull() {
@@ -91,47 +91,47 @@
   if (nodes.empty()) {
     return;
   }
-  if (++pulls_ % kPullsBetweenPreferences == 0) {
+  if (++pulls_ % kPullsBetweenSourceResets == 0) {
     nextSource_ = 0;
   }
-  openPulls_[++lastRequest_] = context_.now();
-  if (openPulls_.size() > kMaxOpenPulls) {
-    openPulls_.erase(openPulls_.begin());
+  outstandingPulls_[++lastRequest_] = context_.now();
+  if (outstandingPulls_.size() > kMaxOutstandingPulls) {
+    outstandingPulls_.erase(outstandingPulls_.begin());
   }
   context_.startTimer(kTimeoutTimer, options_.pullTimeout);
   context_.send(nodes[nextSource_ % nodes.size()], ListingPull{lastRequest_, digest_});
 }
 
-void EngineListCore::onAnswer(const ListingAnswer& answer) {
-  const auto open = openPulls_.find(answer.request);
-  if (open == openPulls_.end()) {
+void EngineListCore::onReply(const ListingReply& reply) {
+  const auto outstanding = outstandingPulls_.find(reply.request);
+  if (outstanding == outstandingPulls_.end()) {
     return;
   }
-  const Time sentAt = open->second;
-  openPulls_.erase(open);
+  const Time sentAt = outstanding->second;
+  outstandingPulls_.erase(outstanding);
   context_.stopTimer(kTimeoutTimer);
-  const Duration age = std::chrono::milliseconds(answer.ageMilliseconds);
-  if (!answer.known || age > options_.oldListing) {
+  const Duration age = std::chrono::milliseconds(reply.ageMilliseconds);
+  if (!reply.known || age > options_.staleListingAge) {
     ++nextSource_;
   }
-  if (answer.known) {
-    adopt(answer, sentAt - age);
+  if (reply.known) {
+    adopt(reply, sentAt - age);
   }
 }
 
-void EngineListCore::adopt(const ListingAnswer& answer, Time provedAt) {
-  if (provedAt <= provedAt_) {
+void EngineListCore::adopt(const ListingReply& reply, Time validatedAt) {
+  if (validatedAt <= validatedAt_) {
     return;
   }
-  if (answer.digest != digest_ && answer.engines.empty() && digest_ != 0 &&
-      answer.digest != listingDigest({})) {
+  if (reply.digest != digest_ && reply.engines.empty() && digest_ != 0 &&
+      reply.digest != listingDigest({})) {
     return;  // Omitted for a digest that this node no longer has.
   }
-  provedAt_ = provedAt;
-  if (answer.digest != digest_) {
-    digest_ = answer.digest;
+  validatedAt_ = validatedAt;
+  if (reply.digest != digest_) {
+    digest_ = reply.digest;
     auto next = std::make_shared<EngineTable>();
-    next->engines = answer.engines;
+    next->engines = reply.engines;
     table_.publish(next);
     context_.counters().add("engine_lists_adopted_total");
     for (const auto& listener : listeners_) {
@@ -139,7 +139,7 @@
     }
   }
   if (!reader_.reading()) {
-    answerWaitingPulls();
+    replyToWaitingPulls();
   }
 }
 
@@ -148,7 +148,7 @@
                       context_.now() - reader_.cachedAt() <= options_.refreshAge;
   const bool reads = !recent && mustRead();
   if (recent || (!reads && hasListing())) {
-    answer(from, pull);
+    reply(from, pull);
     return;
   }
   if (waitingPulls_.size() < kMaxWaitingPulls) {
@@ -159,33 +159,32 @@
   }
 }
 
-void EngineListCore::answer(const NodeId& to, const ListingPull& pull) {
-  const bool fromTable = provedAt_ > reader_.cachedAt();
-  const Time current = std::max(provedAt_, reader_.cachedAt());
-  ListingAnswer answer;
-  answer.request = pull.request;
-  answer.known = current != Time::min();
-  if (answer.known) {
-    answer.ageMilliseconds =
-        static_cast<std::uint64_t>(toMilliseconds(context_.now() - current)) + 1;
-    answer.digest = fromTable ? digest_ : reader_.cachedDigest();
-    if (pull.digest != answer.digest) {
-      answer.engines = fromTable ? table()->engines : reader_.cached();
+void EngineListCore::reply(const NodeId& to, const ListingPull& pull) {
+  const bool fromTable = validatedAt_ > reader_.cachedAt();
+  const Time asOf = std::max(validatedAt_, reader_.cachedAt());
+  ListingReply reply;
+  reply.request = pull.request;
+  reply.known = asOf != Time::min();
+  if (reply.known) {
+    reply.ageMilliseconds = static_cast<std::uint64_t>(toMilliseconds(context_.now() - asOf)) + 1;
+    reply.digest = fromTable ? digest_ : reader_.cachedDigest();
+    if (pull.digest != reply.digest) {
+      reply.engines = fromTable ? table()->engines : reader_.cached();
     }
   }
-  context_.send(to, answer);
+  context_.send(to, reply);
 }
 
-void EngineListCore::answerWaitingPulls() {
+void EngineListCore::replyToWaitingPulls() {
   const std::vector<WaitingPull> waiting = std::move(waitingPulls_);
   waitingPulls_.clear();
   for (const WaitingPull& entry : waiting) {
-    answer(entry.from, entry.pull);
+    reply(entry.from, entry.pull);
   }
 }
 
 void EngineListCore::readSource() {
-  reader_.read([this] { answerWaitingPulls(); });
+  reader_.read([this] { replyToWaitingPulls(); });
 }
 
 }  // namespace shedshed
--- a/src/engines/engine_list_core.h
+++ b/src/engines/engine_list_core.h
@@ -3,8 +3,8 @@
 ///
 /// Register nodes can read the source. The first live one in the order of ids reads it while it
 /// receives pulls, so there is one reader at a time without an election; another one reads only
-/// when its own listing is older than `oldListing`. Nodes pull the listing from the reader; in a
-/// large fleet data nodes pull it from the other control nodes, which relay their listings, each
+/// when its own listing is older than `staleListingAge`. Nodes pull the listing from the reader; in
+/// a large fleet data nodes pull it from the other control nodes, which relay their listings, each
 /// data node from one chosen by rendezvous. A node whose source does not answer, or has an old
 /// listing, pulls from the next one.
 ///
@@ -36,7 +36,7 @@
   /// A cached listing older than this is read anew before a pull is answered.
   Duration refreshAge = std::chrono::milliseconds(450);
   /// After an answer with a listing older than this a node pulls from the next one.
-  Duration oldListing = std::chrono::milliseconds(1200);
+  Duration staleListingAge = std::chrono::milliseconds(1200);
   std::size_t directPullers = 64;  ///< With more live nodes, data nodes pull from relays.
 };
 
@@ -50,7 +50,7 @@
 };
 
 /// Control node → any node: answers `ListingPull`.
-struct ListingAnswer {
+struct ListingReply {
   static constexpr ServiceId kService = ServiceId::EngineList;
   static constexpr std::uint16_t kKind = 2;
   std::uint64_t request = 0;
@@ -76,7 +76,7 @@
   void addListener(std::function<void(const EngineTable&)> listener) override;
 
   /// The time at which the table was provably current; `Time::min()` before the first answer.
-  Time provedAt() const { return provedAt_; }
+  Time validatedAt() const { return validatedAt_; }
 
  private:
   /// A pull that is answered when the reading in progress has ended.
@@ -87,17 +87,17 @@
 
   // Pulling.
   void pull();
-  bool hasListing() const { return provedAt_ != Time::min(); }
+  bool hasListing() const { return validatedAt_ != Time::min(); }
   /// The nodes to pull from, in the order in which they are tried.
   std::vector<NodeId> sources() const;
-  void onAnswer(const ListingAnswer& answer);
-  void adopt(const ListingAnswer& answer, Time provedAt);
+  void onReply(const ListingReply& reply);
+  void adopt(const ListingReply& reply, Time validatedAt);
 
   // Answering.
   void onPull(const NodeId& from, const ListingPull& pull);
   /// Answers with the newer one of the listing that was read and the one that was pulled.
-  void answer(const NodeId& to, const ListingPull& pull);
-  void answerWaitingPulls();
+  void reply(const NodeId& to, const ListingPull& pull);
+  void replyToWaitingPulls();
   void readSource();
   /// True if no other node reads for this one.
   bool mustRead() const;
@@ -109,10 +109,10 @@
   // Pulling.
   Time startedAt_{};
   std::uint64_t lastRequest_ = 0;
-  std::map<std::uint64_t, Time> openPulls_;  ///< When each was sent, by request.
-  std::size_t nextSource_ = 0;               ///< Index among `sources`.
+  std::map<std::uint64_t, Time> outstandingPulls_;  ///< When each was sent, by request.
+  std::size_t nextSource_ = 0;                      ///< Index among `sources`.
   std::uint32_t pulls_ = 0;
-  Time provedAt_ = Time::min();
+  Time validatedAt_ = Time::min();
   std::uint64_t digest_ = 0;
   Snapshot<EngineTable> table_;
   std::vector<std::function<void(const EngineTable&)>> listeners_;
--- a/src/engines/engine_listing.cpp
+++ b/src/engines/engine_listing.cpp
@@ -67,7 +67,7 @@
 }
 
 /// Reads a decimal number without sign or leading zeros.
-std::optional<long> readDecimal(const std::string& text, long highest) {
+std::optional<long> readDecimal(const std::string& text, long maximum) {
   constexpr std::size_t kMaxDigits = 5;
   const bool digits =
       !text.empty() && text.size() <= kMaxDigits &&
@@ -76,7 +76,7 @@
     return std::nullopt;
   }
   const long value = std::stol(text);
-  return value <= highest ? std::optional<long>(value) : std::nullopt;
+  return value <= maximum ? std::optional<long>(value) : std::nullopt;
 }
 
 bool isAddress(const std::string& text) {
@@ -100,14 +100,14 @@
 
 /// Visible ASCII only: ids and models end up in headers, logs and gossip.
 Result<std::string> readName(const cJSON* object, const char* key, const std::string& path,
-                             std::size_t longest) {
+                             std::size_t maxLength) {
   const cJSON* item = cJSON_GetObjectItemCaseSensitive(object, key);
   const std::string text = cJSON_IsString(item) ? item->valuestring : "";
   const bool visible =
       std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
-  if (text.empty() || text.size() > longest || !visible) {
+  if (text.empty() || text.size() > maxLength || !visible) {
     return invalid(path + "." + key,
-                   "must be a string of 1 to " + std::to_string(longest) + " visible characters");
+                   "must be a string of 1 to " + std::to_string(maxLength) + " visible characters");
   }
   return text;
 }
--- a/src/engines/health_check_assignment.cpp
+++ b/src/engines/health_check_assignment.cpp
@@ -9,8 +9,8 @@
 std::vector<NodeId> eligibleCheckers(const NodeTable& nodes) {
   std::vector<NodeId> eligible;
   for (const NodeInfo& node : nodes.nodes) {
-    const bool stays = node.state == NodeState::Alive || node.state == NodeState::Suspect;
-    if (node.role == NodeRole::Data && stays) {
+    const bool canCheck = node.state == NodeState::Alive || node.state == NodeState::Suspect;
+    if (node.role == NodeRole::Data && canCheck) {
       eligible.push_back(node.id);
     }
   }
--- a/src/engines/peer_result_verification.cpp
+++ b/src/engines/peer_result_verification.cpp
@@ -3,21 +3,21 @@
 namespace shedshed {
 
 bool PeerResultVerification::detectStall(Time now) {
-  const bool stalled = stalls_.tick(now);
+  const bool stalled = stallDetector_.tick(now);
   if (stalled) {
-    uncheckedUntil_ = now + options_.recheckTime;
+    recheckUntil_ = now + options_.recheckTime;
   }
   return stalled;
 }
 
 bool PeerResultVerification::start(Time now) {
-  const bool checkNow = !active(now) || uncheckedUntil_ > now;
+  const bool checkNow = !active(now) || recheckUntil_ > now;
   activeUntil_ = now + options_.verificationTime;
   return checkNow;
 }
 
 void PeerResultVerification::extendFreshness(Time now) {
-  if (now >= uncheckedUntil_) {
+  if (now >= recheckUntil_) {
     const Time until = now + options_.stallTimeout();
     freshUntil_.store(until.time_since_epoch().count());
   }
--- a/src/engines/peer_result_verification.h
+++ b/src/engines/peer_result_verification.h
@@ -18,7 +18,7 @@
  public:
   /// @p options must outlive this object.
   explicit PeerResultVerification(const EngineHealthCheckerOptions& options)
-      : options_(options), stalls_(options.stallTimeout()) {}
+      : options_(options), stallDetector_(options.stallTimeout()) {}
 
   /// Call every `suspicionInterval`. @return true if the process has stalled: the table is not
   /// fresh until `recheckTime` from @p now on has passed.
@@ -40,9 +40,9 @@
 
  private:
   const EngineHealthCheckerOptions& options_;
-  ProcessStallDetector stalls_;
+  ProcessStallDetector stallDetector_;
   Time activeUntil_ = Time::min();
-  Time uncheckedUntil_ = Time::min();  ///< After a stall: the engines have not answered yet.
+  Time recheckUntil_ = Time::min();  ///< After a stall: the engines have not answered yet.
   std::atomic<Duration::rep> freshUntil_{Duration::max().count()};
 };
 
--- a/src/membership/directory_core.cpp
+++ b/src/membership/directory_core.cpp
@@ -14,14 +14,14 @@
 constexpr TimerId kForwardTimer = 2;
 
 /// Dead nodes that are notified at each probe; bounds the traffic after the loss of a zone.
-constexpr std::size_t kDeadNotifiedPerProbe = 4;
+constexpr std::size_t kMaxDeadNodesPerProbe = 4;
 
 }  // namespace
 
 DirectoryCore::DirectoryCore(CoreContext& context, NodeInfo self, std::vector<NodeId> seeds,
                              DirectoryOptions options)
     : context_(context), options_(options), local_(std::move(self), context.random()()),
-      peers_(local_.id(), std::move(seeds), options.directTargets),
+      peers_(local_.id(), std::move(seeds), options.pushFanout),
       store_([this](const NodeId& origin, const GossipVersion& version, const std::string& topic,
                     const std::string& bytes) { onRecordChanged(origin, version, topic, bytes); }),
       exchange_(context, store_, options, *this, kForwardTimer), monitor_(options),
@@ -142,7 +142,7 @@
   publishSuspicions();
   publisher_.refresh();
   startAntiEntropy();
-  forgetExpiredNodes();
+  evictExpiredNodes();
   publisher_.refresh();
 }
 
@@ -160,7 +160,7 @@
   // other node does, and only the node concerned can undo that, by a higher incarnation.
   std::vector<NodeId> dead = deadNodes();
   shuffle(dead, context_.random());
-  dead.resize(std::min(dead.size(), kDeadNotifiedPerProbe));
+  dead.resize(std::min(dead.size(), kMaxDeadNodesPerProbe));
   for (const NodeId& node : dead) {
     context_.send(node, Ping{monitor_.pingNumber(), deadIncarnationOf(node)});
   }
@@ -189,9 +189,9 @@
   exchange_.requestComparison(others);
 }
 
-void DirectoryCore::forgetExpiredNodes() {
+void DirectoryCore::evictExpiredNodes() {
   for (const NodeId& node : publisher_.removeExpired()) {
-    exchange_.forget(node);
+    exchange_.evict(node);
   }
 }
 
--- a/src/membership/directory_core.h
+++ b/src/membership/directory_core.h
@@ -70,7 +70,7 @@
   void notifyDeadNodes();
   void publishSuspicions();
   void startAntiEntropy();
-  void forgetExpiredNodes();
+  void evictExpiredNodes();
 
   /// Takes a higher incarnation if @p deadIncarnation is the present one or a later one.
   void refuteDeath(std::uint64_t deadIncarnation);
--- a/src/membership/directory_options.h
+++ b/src/membership/directory_options.h
@@ -20,12 +20,12 @@
   std::uint32_t missedPingsToSuspect = 2;           ///< Unacknowledged in a row.
   std::uint32_t monitorsPerNode = 3;                ///< Live nodes that ping each node.
   std::uint32_t deadProbeIntervals = 5;  ///< Intervals between probes of dead nodes and seeds.
-  Duration forgetAfter = std::chrono::hours(1);  ///< A dead node's record is kept this long.
-  std::size_t batchBytes = 32768;                ///< Soft bound of one message of deltas.
+  Duration deadNodeRetention = std::chrono::hours(1);  ///< A dead node's record is kept this long.
+  std::size_t batchBytes = 32768;                      ///< Soft bound of one message of deltas.
   /// An origin pushes a change to this many nodes at most; with more peers, its receivers forward
   /// it.
-  std::size_t directTargets = 24;
-  std::size_t forwardTargets = 4;  ///< Nodes to which a receiver forwards a change.
+  std::size_t pushFanout = 24;
+  std::size_t forwardFanout = 4;  ///< Nodes to which a receiver forwards a change.
   /// Shortest time between two forwards; the changes that arrive in it share a message.
   Duration forwardDelay = std::chrono::milliseconds(20);
   DirectorySafeguards safeguards;
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -24,11 +24,11 @@
 }
 
 void FailureDetector::withdraw(const NodeId& monitor) {
-  const auto former = suspicions_.find(monitor);
-  if (former == suspicions_.end()) {
+  const auto previous = suspicions_.find(monitor);
+  if (previous == suspicions_.end()) {
     return;
   }
-  for (const Suspicion& suspicion : former->second) {
+  for (const Suspicion& suspicion : previous->second) {
     const auto target = suspectingByTarget_.find(suspicion.target);
     if (target == suspectingByTarget_.end()) {
       continue;
@@ -38,7 +38,7 @@
       suspectingByTarget_.erase(target);
     }
   }
-  suspicions_.erase(former);
+  suspicions_.erase(previous);
 }
 
 void FailureDetector::evaluate(Time now, const NodeId& self, std::vector<NodeInfo>& nodes) {
--- a/src/membership/gossip_exchange.cpp
+++ b/src/membership/gossip_exchange.cpp
@@ -34,8 +34,8 @@
   }
 }
 
-void GossipExchange::forget(const NodeId& origin) {
-  forgotten_[origin] = store_.version(origin);
+void GossipExchange::evict(const NodeId& origin) {
+  evictedVersions_[origin] = store_.version(origin);
   store_.erase(origin);
 }
 
@@ -83,10 +83,10 @@
     }
   }
   std::vector<GossipDelta> missing;
-  for (const VersionVectorEntry& mine :
+  for (const VersionVectorEntry& own :
        store_.versionVector(delegate_.withheldOrigins(), reply.buckets)) {
-    if (theirVersions[mine.origin] < mine.version) {
-      missing.push_back(store_.deltaSince(mine.origin, theirVersions[mine.origin]));
+    if (theirVersions[own.origin] < own.version) {
+      missing.push_back(store_.deltaSince(own.origin, theirVersions[own.origin]));
     }
   }
   sendDeltas(from, std::move(missing));
@@ -96,12 +96,12 @@
 }
 
 bool GossipExchange::isUpdate(const VersionVectorEntry& entry) const {
-  const auto dropped = forgotten_.find(entry.origin);
+  const auto evicted = evictedVersions_.find(entry.origin);
   // A new run counts from 1 again when no node remembers the run before; its records are updates.
-  const bool alreadyForgotten = dropped != forgotten_.end() &&
-                                sameRun(dropped->second.incarnation, entry.version.incarnation) &&
-                                !(dropped->second < entry.version);
-  return !alreadyForgotten && store_.version(entry.origin) < entry.version;
+  const bool alreadyEvicted = evicted != evictedVersions_.end() &&
+                              sameRun(evicted->second.incarnation, entry.version.incarnation) &&
+                              !(evicted->second < entry.version);
+  return !alreadyEvicted && store_.version(entry.origin) < entry.version;
 }
 
 void GossipExchange::onDeltaRequest(const NodeId& from, const DeltaRequest& request) {
@@ -141,7 +141,7 @@
   if (store_.apply(delta) == GossipRecordStore::Outcome::Gap) {
     return false;
   }
-  forgotten_.erase(delta.origin);
+  evictedVersions_.erase(delta.origin);
   if (!known && delta.origin != from) {
     joiningNodes_.push_back(delta.origin);
   }
@@ -168,7 +168,7 @@
   if (targets.empty()) {
     return;
   }
-  keepRandom(targets, options_.directTargets, context_.random());
+  keepRandom(targets, options_.pushFanout, context_.random());
   const GossipVersion since{store_.version(self_).incarnation, sinceSequence};
   const Message message = encodeMessage(DeltaBatch{{store_.deltaSince(self_, since)}, true});
   for (const NodeId& target : targets) {
--- a/src/membership/gossip_exchange.h
+++ b/src/membership/gossip_exchange.h
@@ -17,8 +17,8 @@
 
 /// Disseminates the changes of this node, forwards those of others, and pulls what is missing.
 ///
-/// Dissemination: a change is pushed to `directTargets` nodes. In a fleet with more peers each node
-/// that it is new to forwards it to `forwardTargets` random ones, so that no node has links to all.
+/// Dissemination: a change is pushed to `pushFanout` nodes. In a fleet with more peers each node
+/// that it is new to forwards it to `forwardFanout` random ones, so that no node has links to all.
 /// Anti-entropy: two nodes compare the digest of their version vectors; if it differs, in a large
 /// fleet the digests of its buckets; then the vectors of the buckets that differ; then each sends
 /// the records that the other lacks. The cost follows what differs, not the size of the fleet. A
@@ -56,14 +56,14 @@
   void requestComparison(const std::vector<NodeId>& peers);
 
   /// Pushes this node's records that are newer than @p sinceSequence, all of them for 0, to each of
-  /// @p targets, or to `directTargets` of them that forward the records.
+  /// @p targets, or to `pushFanout` of them that forward the records.
   void pushOwnRecords(std::uint32_t sinceSequence, std::vector<NodeId> targets);
 
   /// Forwards the changes that arrived since the last call; called at the end of the forward timer.
   void forwardPending();
 
   /// Drops an origin and refuses to learn the same run of it again.
-  void forget(const NodeId& origin);
+  void evict(const NodeId& origin);
 
  private:
   void onDigestRequest(const NodeId& from, const DigestRequest& request);
@@ -77,7 +77,7 @@
   void introduceTo(const std::vector<NodeId>& joiningNodes);
   void sendDeltas(const NodeId& to, std::vector<GossipDelta> deltas);
   bool isUpdate(const VersionVectorEntry& entry) const;
-  bool isLargeFleet() const { return store_.originCount() > options_.directTargets; }
+  bool isLargeFleet() const { return store_.originCount() > options_.pushFanout; }
   std::uint64_t digest() const;
 
   CoreContext& context_;
@@ -86,7 +86,8 @@
   Delegate& delegate_;
   const NodeId self_;
   GossipForwarder forwarder_;
-  std::map<NodeId, GossipVersion> forgotten_;  ///< Newest version of each origin that was dropped.
+  std::map<NodeId, GossipVersion>
+      evictedVersions_;               ///< Newest version of each origin that was dropped.
   std::vector<NodeId> joiningNodes_;  ///< Learned from a third node in the present message.
 };
 
--- a/src/membership/gossip_forwarder.cpp
+++ b/src/membership/gossip_forwarder.cpp
@@ -33,7 +33,7 @@
   // Changes that arrive during the delay share the next message.
   context_.startTimer(timer_, options_.forwardDelay);
   std::vector<NodeId> targets = peers;
-  keepRandom(targets, options_.forwardTargets, context_.random());
+  keepRandom(targets, options_.forwardFanout, context_.random());
   const Message message = encodeMessage(DeltaBatch{std::move(pending_), true});
   pending_.clear();
   for (const NodeId& target : targets) {
--- a/src/membership/gossip_forwarder.h
+++ b/src/membership/gossip_forwarder.h
@@ -21,7 +21,7 @@
   /// Schedules @p delta for forwarding: at once, or when the present delay has passed.
   void enqueue(const GossipDelta& delta);
 
-  /// Sends the pending deltas to `forwardTargets` random nodes of @p peers and starts the next
+  /// Sends the pending deltas to `forwardFanout` random nodes of @p peers and starts the next
   /// delay; with nothing pending the timer stays off.
   void flush(const std::vector<NodeId>& peers);
 
--- a/src/membership/gossip_record_store.cpp
+++ b/src/membership/gossip_record_store.cpp
@@ -63,21 +63,21 @@
   OriginState& state = stateOf(delta.origin);
   state.version = upTo;
   if (known.incarnation != delta.incarnation) {
-    dropUnlisted(delta.origin, state, delta);
+    withdrawMissingTopics(delta.origin, state, delta);
   }
   for (const GossipRecord& record : delta.records) {
-    Record& slot = state.records[record.topic];
-    if (record.sequence <= slot.sequence) {
+    Record& stored = state.records[record.topic];
+    if (record.sequence <= stored.sequence) {
       continue;
     }
-    slot = Record{record.sequence, record.bytes};
+    stored = Record{record.sequence, record.bytes};
     changed_(delta.origin, upTo, record.topic, record.bytes);
   }
   return Outcome::Applied;
 }
 
-void GossipRecordStore::dropUnlisted(const NodeId& origin, OriginState& state,
-                                     const GossipDelta& delta) {
+void GossipRecordStore::withdrawMissingTopics(const NodeId& origin, OriginState& state,
+                                              const GossipDelta& delta) {
   std::map<std::string, Record> before = std::move(state.records);
   state.records.clear();
   for (const GossipRecord& record : delta.records) {
--- a/src/membership/gossip_record_store.h
+++ b/src/membership/gossip_record_store.h
@@ -76,7 +76,7 @@
     std::map<std::string, Record> records;
   };
   OriginState& stateOf(const NodeId& id);
-  void dropUnlisted(const NodeId& origin, OriginState& state, const GossipDelta& delta);
+  void withdrawMissingTopics(const NodeId& origin, OriginState& state, const GossipDelta& delta);
 
   ChangeHandler changed_;
   std::map<NodeId, OriginState> origins_;
--- a/src/membership/node_table_publisher.cpp
+++ b/src/membership/node_table_publisher.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// A dead node is withheld from other nodes after `forgetAfter` divided by this.
+/// A dead node is withheld from other nodes after `deadNodeRetention` divided by this.
 constexpr int kWithholdDivisor = 4;
 
 /// Compares all that a change of the table is published for; the name is not part of it.
@@ -85,7 +85,7 @@
   std::vector<NodeId> expired;
   for (const auto& record : records_) {
     const std::optional<Time> since = detector_.confirmedDeadSince(record.first);
-    if (since && now - *since >= options_.forgetAfter) {
+    if (since && now - *since >= options_.deadNodeRetention) {
       expired.push_back(record.first);
     }
   }
@@ -98,7 +98,8 @@
 }
 
 std::set<NodeId> NodeTablePublisher::withheldNodes() const {
-  return detector_.confirmedDeadBefore(context_.now() - options_.forgetAfter / kWithholdDivisor);
+  return detector_.confirmedDeadBefore(context_.now() -
+                                       options_.deadNodeRetention / kWithholdDivisor);
 }
 
 }  // namespace shedshed
--- a/src/membership/node_table_publisher.h
+++ b/src/membership/node_table_publisher.h
@@ -44,7 +44,7 @@
   /// Publishes a new table if records or suspicions have changed since the last call.
   void refresh();
 
-  /// Drops the nodes that have been confirmed dead for `forgetAfter`, and returns them.
+  /// Drops the nodes that have been confirmed dead for `deadNodeRetention`, and returns them.
   std::vector<NodeId> removeExpired();
 
   /// The nodes that were confirmed dead so long ago that they are no longer offered to other nodes.
--- a/src/membership/peer_monitor.cpp
+++ b/src/membership/peer_monitor.cpp
@@ -18,16 +18,16 @@
                std::uint32_t monitorsPerNode) {
   const std::string key = "watch/" + target.id.address;
   const std::uint64_t ownWeight = rendezvousWeight(key, self.address);
-  std::uint32_t before = 0;
+  std::uint32_t rank = 0;
   for (const NodeInfo& node : table.nodes) {
     if (node.id == self || node.id == target.id || !isHealthy(node)) {
       continue;
     }
     const std::uint64_t weight = rendezvousWeight(key, node.id.address);
     if (weight > ownWeight || (weight == ownWeight && node.id < self)) {
-      ++before;
+      ++rank;
     }
-    if (before >= monitorsPerNode) {
+    if (rank >= monitorsPerNode) {
       return false;
     }
   }
--- a/tests/compatibility/message_format_test.cpp
+++ b/tests/compatibility/message_format_test.cpp
@@ -93,7 +93,7 @@
   checkMessage<QueuedTokensReport>(checked);
   checkMessage<QueuedTokensRequest>(checked);
   checkMessage<ListingPull>(checked);
-  checkMessage<ListingAnswer>(checked);
+  checkMessage<ListingReply>(checked);
   checkMessage<DigestRequest>(checked);
   checkMessage<VersionVectorReply>(checked);
   checkMessage<DeltaBatch>(checked);
--- a/tests/engines/checked_engines_test.cpp
+++ b/tests/engines/checked_engines_test.cpp
@@ -63,11 +63,11 @@
 
 BOOST_FIXTURE_TEST_CASE(an_engine_that_is_assigned_to_others_is_handed_over, CheckedFixture) {
   assign();
-  const std::vector<NodeId> nobody;
+  const std::vector<NodeId> noCheckers;
   options.checkersPerEngine = 0;
-  BOOST_TEST(!checked.assign(listing, self, nobody, false, kNow + options.handoverTime - 1ms));
+  BOOST_TEST(!checked.assign(listing, self, noCheckers, false, kNow + options.handoverTime - 1ms));
   BOOST_TEST(checked.targets().size() == 1U);
-  BOOST_TEST(checked.assign(listing, self, nobody, false, kNow + options.handoverTime));
+  BOOST_TEST(checked.assign(listing, self, noCheckers, false, kNow + options.handoverTime));
   BOOST_TEST(checked.targets().empty());
 }
 
@@ -80,7 +80,7 @@
   BOOST_TEST(reports.own.results.size() == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(a_small_change_of_the_load_is_reported_later_than_a_notable_one,
+BOOST_FIXTURE_TEST_CASE(a_small_change_of_the_load_is_reported_later_than_a_significant_one,
                         CheckedFixture) {
   assign();
   checked.recordHealth(kTarget, 1, {true, false, 1, 8}, kNow);
--- a/tests/engines/engine_health_checker_core_test.cpp
+++ b/tests/engines/engine_health_checker_core_test.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr int kNodes = 6;
-constexpr int kControl = 5;  ///< Number of the one node without a probe.
+constexpr int kControlNode = 5;  ///< Number of the one node without a probe.
 
 class FixedConfiguration : public ConfigurationSource {
  public:
@@ -59,7 +59,7 @@
     DirectoryCore& directory = *nodes.cores.at(nodes.id(index));
     HarnessContext& context =
         nodes.harness.context(nodes.id(index).address, ServiceId::EngineWatch);
-    EngineProbe* probe = index == kControl ? nullptr : &probes[index];
+    EngineProbe* probe = index == kControlNode ? nullptr : &probes[index];
     checkerCores[index] = std::make_unique<EngineHealthCheckerCore>(context, directory, directory,
                                                                     configuration, probe);
     nodes.harness.attach(context, *checkerCores[index]);
@@ -113,12 +113,12 @@
   struct SharedProbe : EngineProbe {
     void probe(const std::string& address, std::function<void(EngineHealth)> done) override {
       ++probes;
-      if (!blind) {
+      if (!disconnected) {
         engines->probe(address, std::move(done));
       }
     }
     FakeEngines* engines = nullptr;
-    bool blind = false;
+    bool disconnected = false;
     int probes = 0;
   };
 
@@ -131,7 +131,7 @@
 
   std::map<int, SharedProbe> makeProbes() {
     std::map<int, SharedProbe> made;
-    for (int i = 0; i < kControl; ++i) {
+    for (int i = 0; i < kControlNode; ++i) {
       made[i].engines = &engines;
     }
     return made;
@@ -143,7 +143,7 @@
 BOOST_AUTO_TEST_CASE(two_data_nodes_check_an_engine_and_all_nodes_know_its_state) {
   HealthCheckFleet fleet(1);
   BOOST_TEST(fleet.countNodesWith(0, EngineState::Ready) == kNodes);
-  BOOST_TEST(fleet.checkerCores[kControl]->table()->engines[0].running == 1U);
+  BOOST_TEST(fleet.checkerCores[kControlNode]->table()->engines[0].running == 1U);
   int checkers = 0;
   for (const auto& probes : fleet.probesOfOneInterval()) {
     checkers += probes.second;
@@ -179,7 +179,7 @@
   }
   fleet.nodes.advance(2);
   BOOST_TEST(fleet.countNodesWith(kEngines - 1, EngineState::Draining) == kNodes);
-  BOOST_TEST(reports <= 2 * kControl * (kNodes - 1));
+  BOOST_TEST(reports <= 2 * kControlNode * (kNodes - 1));
 }
 
 BOOST_AUTO_TEST_CASE(draining_survives_the_loss_of_every_push) {
@@ -205,13 +205,13 @@
     }
   }
   BOOST_REQUIRE(checkers.size() == 2U);
-  fleet.probes[checkers[0]].blind = true;
+  fleet.probes[checkers[0]].disconnected = true;
   fleet.nodes.advance(5);
   BOOST_TEST(fleet.countNodesWith(0, EngineState::Ready) == kNodes);
-  fleet.probes[checkers[1]].blind = true;
+  fleet.probes[checkers[1]].disconnected = true;
   fleet.nodes.advance(4);
   BOOST_TEST(fleet.countNodesWith(0, EngineState::Gone) == kNodes);
-  fleet.probes[checkers[0]].blind = false;
+  fleet.probes[checkers[0]].disconnected = false;
   fleet.nodes.advance(1);
   BOOST_TEST(fleet.countNodesWith(0, EngineState::Ready) == kNodes);
 }
@@ -250,7 +250,7 @@
   return checkers;
 }
 
-int otherThan(const std::vector<int>& checkers) {
+int nodeNotIn(const std::vector<int>& checkers) {
   int other = 0;
   while (std::count(checkers.begin(), checkers.end(), other) != 0) {
     ++other;
@@ -265,19 +265,19 @@
 BOOST_AUTO_TEST_CASE(a_node_partitioned_from_the_checkers_learns_in_time_that_an_engine_drains) {
   HealthCheckFleet fleet(1);
   const std::vector<int> checkers = checkersOf(fleet);
-  const int alone = otherThan(checkers);
-  fleet.nodes.otherPartition = {fleet.nodes.id(alone)};
+  const int isolated = nodeNotIn(checkers);
+  fleet.nodes.otherPartition = {fleet.nodes.id(isolated)};
   fleet.engines.engines[fleet.address(0)].draining = true;
   fleet.nodes.advance(3);
-  BOOST_TEST((fleet.checkerCores[alone]->table()->engines[0].state == EngineState::Draining));
+  BOOST_TEST((fleet.checkerCores[isolated]->table()->engines[0].state == EngineState::Draining));
 }
 
 /// Results of a verification are not published.
 BOOST_AUTO_TEST_CASE(a_verification_ends_when_the_peers_answer_again) {
   HealthCheckFleet fleet(1);
   const std::vector<int> checkers = checkersOf(fleet);
-  const int alone = otherThan(checkers);
-  fleet.nodes.otherPartition = {fleet.nodes.id(alone)};
+  const int isolated = nodeNotIn(checkers);
+  fleet.nodes.otherPartition = {fleet.nodes.id(isolated)};
   fleet.nodes.advance(3);
   fleet.nodes.otherPartition.clear();
   fleet.nodes.advance(20);
@@ -315,7 +315,9 @@
 BOOST_AUTO_TEST_CASE(small_changes_of_the_load_wait_and_large_ones_do_not) {
   HealthCheckFleet fleet(1);
   fleet.nodes.advance(10);
-  const auto running = [&] { return fleet.checkerCores[kControl]->table()->engines[0].running; };
+  const auto running = [&] {
+    return fleet.checkerCores[kControlNode]->table()->engines[0].running;
+  };
   fleet.engines.engines[fleet.address(0)].running = 7;
   fleet.nodes.advance(3);
   BOOST_TEST(running() == 7U);
--- a/tests/engines/engine_list_core_test.cpp
+++ b/tests/engines/engine_list_core_test.cpp
@@ -26,7 +26,7 @@
   int reads = 0;
 };
 
-EngineInfo engineOf(const std::string& id, EngineState state = EngineState::Ready) {
+EngineInfo makeEngine(const std::string& id, EngineState state = EngineState::Ready) {
   EngineInfo engine;
   engine.id = id;
   engine.address = "10.0.0.1:80";
@@ -47,7 +47,7 @@
     }
     fleet.advance(5);
     for (int index = 0; index < kNodes; ++index) {
-      listings[index].engines = {engineOf("e1"), engineOf("e2")};
+      listings[index].engines = {makeEngine("e1"), makeEngine("e2")};
       HarnessContext& context =
           fleet.harness.context(fleet.id(index).address, ServiceId::EngineList);
       lists[index] =
@@ -95,30 +95,30 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(a_draining_engine_is_known_everywhere_within_a_second, ListFleet) {
-  setAll({engineOf("e1", EngineState::Draining), engineOf("e2")});
+  setAll({makeEngine("e1", EngineState::Draining), makeEngine("e2")});
   fleet.harness.advance(std::chrono::milliseconds(1100));
   for (int index = kRegisters; index < kNodes; ++index) {
     BOOST_TEST((lists[index]->table()->engines[0].state == EngineState::Draining));
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(a_reader_that_cannot_read_is_passed_over, ListFleet) {
+BOOST_FIXTURE_TEST_CASE(a_reader_that_cannot_read_is_skipped, ListFleet) {
   for (auto& entry : listings) {
     entry.second.fails = entry.second.reads > 0;  // The present reader is cut from the source.
   }
-  setAll({engineOf("e1", EngineState::Draining), engineOf("e2")});
+  setAll({makeEngine("e1", EngineState::Draining), makeEngine("e2")});
   fleet.harness.advance(std::chrono::milliseconds(2800));
   for (int index = kRegisters; index < kNodes; ++index) {
     BOOST_TEST((lists[index]->table()->engines[0].state == EngineState::Draining));
-    BOOST_TEST(toMilliseconds(fleet.harness.now - lists[index]->provedAt()) < 2500);
+    BOOST_TEST(toMilliseconds(fleet.harness.now - lists[index]->validatedAt()) < 2500);
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(a_reader_that_does_not_answer_is_passed_over, ListFleet) {
+BOOST_FIXTURE_TEST_CASE(a_reader_that_does_not_answer_is_skipped, ListFleet) {
   for (auto& entry : listings) {
     entry.second.unresponsive = entry.second.reads > 0;
   }
-  setAll({engineOf("e1", EngineState::Draining), engineOf("e2")});
+  setAll({makeEngine("e1", EngineState::Draining), makeEngine("e2")});
   fleet.harness.advance(std::chrono::milliseconds(2800));
   for (int index = kRegisters; index < kNodes; ++index) {
     BOOST_TEST((lists[index]->table()->engines[0].state == EngineState::Draining));
@@ -130,8 +130,8 @@
 /// After the loss of all processes the nodes start without a directory, the readers a little later;
 /// until the first list a node refuses all calls.
 BOOST_AUTO_TEST_CASE(a_node_that_starts_with_the_complete_fleet_has_the_list_soon) {
-  int longest = 0;
-  for (int wait = 0; wait <= 600; wait += 20) {
+  int longestMs = 0;
+  for (int delayMs = 0; delayMs <= 600; delayMs += 20) {
     TestFleet fleet;
     std::map<int, FakeListing> listings;
     std::map<int, std::unique_ptr<EngineListCore>> lists;
@@ -140,27 +140,27 @@
       fleet.start(index, reads ? NodeRole::Register : NodeRole::Data);
       HarnessContext& context =
           fleet.harness.context(fleet.id(index).address, ServiceId::EngineList);
-      listings[index].engines = {engineOf("e1")};
+      listings[index].engines = {makeEngine("e1")};
       lists[index] = std::make_unique<EngineListCore>(context, *fleet.cores.at(fleet.id(index)),
                                                       reads ? &listings[index] : nullptr);
       fleet.harness.attach(context, *lists[index]);
       lists[index]->start();
     };
     start(kNodes - 1);
-    fleet.harness.advance(std::chrono::milliseconds(wait));
+    fleet.harness.advance(std::chrono::milliseconds(delayMs));
     start(0);
     start(1);
     while (fleet.cores.at(fleet.id(kNodes - 1))->table()->live(NodeRole::Register).empty()) {
       fleet.harness.advance(std::chrono::milliseconds(10));
     }
-    int taken = 0;
-    while (taken < 2000 && lists[kNodes - 1]->table()->engines.empty()) {
+    int elapsedMs = 0;
+    while (elapsedMs < 2000 && lists[kNodes - 1]->table()->engines.empty()) {
       fleet.harness.advance(std::chrono::milliseconds(10));
-      taken += 10;
+      elapsedMs += 10;
     }
-    longest = std::max(longest, taken);
+    longestMs = std::max(longestMs, elapsedMs);
   }
-  BOOST_TEST(longest <= 150);
+  BOOST_TEST(longestMs <= 150);
 }
 
 // In a large fleet one node answered the pulls of all, and every register node read the source.
@@ -188,7 +188,7 @@
         context, *fleet.cores.at(fleet.id(index)), index < kRegisters ? &listings[index] : nullptr);
     fleet.harness.attach(context, *lists[index]);
   }
-  setAll({engineOf("e1"), engineOf("e2")});
+  setAll({makeEngine("e1"), makeEngine("e2")});
   for (int index = 0; index < kAll; ++index) {
     lists[index]->start();
   }
@@ -220,17 +220,17 @@
     BOOST_TEST(entry.second / kSeconds < 100);
   }
 
-  setAll({engineOf("e1", EngineState::Draining), engineOf("e2")});
+  setAll({makeEngine("e1", EngineState::Draining), makeEngine("e2")});
   fleet.harness.advance(std::chrono::milliseconds(2000));
   for (int index = 0; index < kAll; ++index) {
     BOOST_TEST((lists[index]->table()->engines[0].state == EngineState::Draining));
-    BOOST_TEST(toMilliseconds(fleet.harness.now - lists[index]->provedAt()) < 2000);
+    BOOST_TEST(toMilliseconds(fleet.harness.now - lists[index]->validatedAt()) < 2000);
   }
   // The reader is cut from the source: another one reads instead.
   for (auto& entry : listings) {
     entry.second.fails = entry.second.reads > readsBefore[entry.first];
   }
-  setAll({engineOf("e1"), engineOf("e2", EngineState::Draining)});
+  setAll({makeEngine("e1"), makeEngine("e2", EngineState::Draining)});
   fleet.harness.advance(std::chrono::milliseconds(4000));
   for (int index = 0; index < kAll; ++index) {
     BOOST_TEST((lists[index]->table()->engines[1].state == EngineState::Draining));
--- a/tests/engines/listing_reader_test.cpp
+++ b/tests/engines/listing_reader_test.cpp
@@ -19,7 +19,7 @@
   std::vector<std::function<void(Result<std::vector<EngineInfo>>)>> pending;
 };
 
-EngineInfo engineOf(const std::string& id) {
+EngineInfo makeEngine(const std::string& id) {
   EngineInfo engine;
   engine.id = id;
   return engine;
@@ -54,7 +54,7 @@
   const Time startedAt = harness.now;
   read();
   harness.now += std::chrono::seconds(1);
-  source.pending[0](std::vector<EngineInfo>{engineOf("e2"), engineOf("e1")});
+  source.pending[0](std::vector<EngineInfo>{makeEngine("e2"), makeEngine("e1")});
   BOOST_TEST((reader.cachedAt() == startedAt));
   BOOST_REQUIRE(reader.cached().size() == 2U);
   BOOST_TEST(reader.cached()[0].id == "e1");
@@ -62,7 +62,7 @@
 
 BOOST_FIXTURE_TEST_CASE(a_failed_reading_keeps_the_cached_listing, ReaderFixture) {
   read();
-  source.pending[0](std::vector<EngineInfo>{engineOf("e1")});
+  source.pending[0](std::vector<EngineInfo>{makeEngine("e1")});
   const std::uint64_t digest = reader.cachedDigest();
   harness.now += std::chrono::seconds(1);
   read();
--- a/tests/membership/directory_core_test.cpp
+++ b/tests/membership/directory_core_test.cpp
@@ -217,9 +217,9 @@
   BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Alive) == kNodes - 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_node_is_forgotten_by_all_after_forget_after) {
+BOOST_AUTO_TEST_CASE(a_dead_node_is_evicted_by_all_after_its_retention) {
   DirectoryOptions options;
-  options.forgetAfter = std::chrono::seconds(60);
+  options.deadNodeRetention = std::chrono::seconds(60);
   TestFleet fleet(options);
   fleet.form(kData, kStores);
   fleet.kill(kVictim);
--- a/tests/membership/large_fleet_test.cpp
+++ b/tests/membership/large_fleet_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kLarge = 300;
+constexpr int kFleetSize = 300;
 /// Pings within which a mass failure must be known: five seconds at the interval of the platform.
 constexpr int kPingsToDetect = 14;
 /// A record of a node with its addresses takes about this much.
@@ -24,11 +24,11 @@
     };
   }
   std::size_t maxReceivers() const {
-    std::size_t most = 0;
+    std::size_t maximum = 0;
     for (const auto& from : receivers) {
-      most = std::max(most, from.second.size());
+      maximum = std::max(maximum, from.second.size());
     }
-    return most;
+    return maximum;
   }
 
   std::size_t messages = 0;
@@ -47,9 +47,9 @@
 
 BOOST_AUTO_TEST_CASE(nodes_that_start_together_know_each_other_within_three_seconds) {
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(3);
-  BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
+  BOOST_TEST(fleet.countAlivePairs() == kFleetSize * (kFleetSize - 1));
 }
 
 // Regression: seeds withheld their version vectors when many nodes joined at once; most of the
@@ -60,19 +60,19 @@
   fleet.harness.filter = [&](const Harness::Envelope&) {
     return fleet.harness.now >= lossEnds || fleet.harness.random() % 10 == 0;
   };
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(1);
   fleet.advance(5);
-  BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
+  BOOST_TEST(fleet.countAlivePairs() == kFleetSize * (kFleetSize - 1));
 }
 
 BOOST_AUTO_TEST_CASE(sixty_nodes_that_join_at_once_know_a_large_fleet_within_two_seconds) {
   constexpr int kJoining = 60;
-  constexpr int kAll = kLarge + kJoining;
+  constexpr int kAll = kFleetSize + kJoining;
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(10);
-  for (int i = kLarge; i < kAll; ++i) {
+  for (int i = kFleetSize; i < kAll; ++i) {
     fleet.start(i);
   }
   fleet.advance(2);
@@ -83,53 +83,53 @@
   constexpr std::size_t kCopies = 12;
   TestFleet fleet;
   Traffic traffic(fleet);
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(5);
-  const std::size_t perNode = traffic.bytes / kLarge;
-  BOOST_TEST_MESSAGE("bytes per node: " << perNode
-                                        << ", messages per node: " << traffic.messages / kLarge);
-  BOOST_TEST(perNode < kCopies * kLarge * kRecordBytes);
-  BOOST_TEST(traffic.messages / kLarge < 400U);
+  const std::size_t perNode = traffic.bytes / kFleetSize;
+  BOOST_TEST_MESSAGE(
+      "bytes per node: " << perNode << ", messages per node: " << traffic.messages / kFleetSize);
+  BOOST_TEST(perNode < kCopies * kFleetSize * kRecordBytes);
+  BOOST_TEST(traffic.messages / kFleetSize < 400U);
 }
 
 BOOST_AUTO_TEST_CASE(a_joining_node_knows_a_large_fleet_within_a_second) {
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(10);
-  fleet.start(kLarge);
+  fleet.start(kFleetSize);
   fleet.advance(1);
-  BOOST_TEST(fleet.countNodesSeeing(kLarge, NodeState::Alive) == kLarge);
-  BOOST_TEST(fleet.countAlivePairs() == (kLarge + 1) * kLarge);
+  BOOST_TEST(fleet.countNodesSeeing(kFleetSize, NodeState::Alive) == kFleetSize);
+  BOOST_TEST(fleet.countAlivePairs() == (kFleetSize + 1) * kFleetSize);
 }
 
 // Regression: each change went from its origin to all nodes, over as many links.
 BOOST_AUTO_TEST_CASE(a_change_reaches_a_large_fleet_over_a_bounded_number_of_links) {
   constexpr std::size_t kMaxLinks = 40;
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(10);
   Traffic traffic(fleet);
   fleet.cores.at(TestFleet::id(4))->announceDraining(true);
   fleet.harness.advance(std::chrono::milliseconds(150));
-  const int holding = fleet.countNodesSeeing(4, NodeState::Draining);
-  BOOST_TEST(holding >= kLarge * 9 / 10);
+  const int seeingDraining = fleet.countNodesSeeing(4, NodeState::Draining);
+  BOOST_TEST(seeingDraining >= kFleetSize * 9 / 10);
   BOOST_TEST(traffic.maxReceivers() < kMaxLinks);
   fleet.advance(3);
-  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) == kLarge - 1);
+  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) == kFleetSize - 1);
 }
 
 // A few differing records cost a few entries, not a whole vector.
 BOOST_AUTO_TEST_CASE(one_lost_change_is_repaired_at_a_cost_that_does_not_grow_with_the_fleet) {
   constexpr std::size_t kMaxBytes = 8192;
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(10);
   fleet.cores.at(TestFleet::id(4))->announceDraining(true);
   fleet.harness.queue.clear();
   Traffic traffic(fleet);
   fleet.advance(8);
-  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) == kLarge - 1);
-  const std::size_t perNode = traffic.bytes / kLarge;
+  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) == kFleetSize - 1);
+  const std::size_t perNode = traffic.bytes / kFleetSize;
   BOOST_TEST_MESSAGE("bytes per node: " << perNode);
   BOOST_TEST(perNode < kMaxBytes);
 }
@@ -138,28 +138,28 @@
 
 BOOST_AUTO_TEST_CASE(a_large_fleet_whose_processes_all_restart_forms_again) {
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(5);
-  for (int i = 0; i < kLarge; ++i) {
+  for (int i = 0; i < kFleetSize; ++i) {
     fleet.kill(i);
   }
   fleet.advance(1);
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(4);
-  BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
+  BOOST_TEST(fleet.countAlivePairs() == kFleetSize * (kFleetSize - 1));
 }
 
 BOOST_AUTO_TEST_CASE(the_failure_of_a_zone_is_known_to_all_others_within_fourteen_pings) {
   constexpr int kZones = 3;
-  constexpr int kRemaining = kLarge * (kZones - 1) / kZones;
+  constexpr int kRemaining = kFleetSize * (kZones - 1) / kZones;
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(5);
-  for (int i = 0; i < kLarge; i += kZones) {
+  for (int i = 0; i < kFleetSize; i += kZones) {
     fleet.kill(i);
   }
   fleet.advance(kPingsToDetect);
-  for (int i = 0; i < kLarge; i += kZones) {
+  for (int i = 0; i < kFleetSize; i += kZones) {
     BOOST_TEST(fleet.countNodesSeeing(i, NodeState::Dead) == kRemaining);
   }
   BOOST_TEST(fleet.countAlivePairs() == kRemaining * (kRemaining - 1));
@@ -168,9 +168,9 @@
 BOOST_AUTO_TEST_CASE(after_a_rolling_restart_of_a_large_fleet_no_node_is_dead) {
   constexpr int kAtOnce = 15;
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(5);
-  for (int first = 0; first < kLarge; first += kAtOnce) {
+  for (int first = 0; first < kFleetSize; first += kAtOnce) {
     for (int i = first; i < first + kAtOnce; ++i) {
       fleet.cores.at(TestFleet::id(i))->announceDraining(true);
     }
@@ -184,50 +184,50 @@
     fleet.advance(1);
   }
   fleet.advance(5);
-  BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
+  BOOST_TEST(fleet.countAlivePairs() == kFleetSize * (kFleetSize - 1));
 }
 
 BOOST_AUTO_TEST_CASE(two_partitioned_halves_of_a_large_fleet_rejoin) {
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(5);
-  for (int i = 0; i < kLarge; i += 2) {
+  for (int i = 0; i < kFleetSize; i += 2) {
     fleet.otherPartition.insert(TestFleet::id(i));
   }
   fleet.advance(8);
   fleet.otherPartition.clear();
   fleet.advance(20);
-  BOOST_TEST(fleet.countAlivePairs() == kLarge * (kLarge - 1));
+  BOOST_TEST(fleet.countAlivePairs() == kFleetSize * (kFleetSize - 1));
 }
 
 BOOST_AUTO_TEST_CASE(nodes_that_drain_at_short_notice_are_seen_draining_and_then_dead) {
   constexpr int kDeparting = 60;
   TestFleet fleet;
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(5);
   for (int i = 0; i < kDeparting; ++i) {
     fleet.cores.at(TestFleet::id(i))->announceDraining(true);
   }
   fleet.advance(2);
   for (int i = 0; i < kDeparting; ++i) {
-    BOOST_TEST(fleet.countNodesSeeing(i, NodeState::Draining) == kLarge - 1);
+    BOOST_TEST(fleet.countNodesSeeing(i, NodeState::Draining) == kFleetSize - 1);
   }
   for (int i = 0; i < kDeparting; ++i) {
     fleet.kill(i);
   }
   fleet.advance(kPingsToDetect);
   for (int i = 0; i < kDeparting; ++i) {
-    BOOST_TEST(fleet.countNodesSeeing(i, NodeState::Dead) == kLarge - kDeparting);
+    BOOST_TEST(fleet.countNodesSeeing(i, NodeState::Dead) == kFleetSize - kDeparting);
   }
 }
 
 BOOST_AUTO_TEST_CASE(mutation_without_forwarding_a_change_reaches_few) {
   DirectoryOptions options;
-  options.forwardTargets = 0;
+  options.forwardFanout = 0;
   TestFleet fleet(options);
-  startAll(fleet, kLarge);
+  startAll(fleet, kFleetSize);
   fleet.advance(15);
   fleet.cores.at(TestFleet::id(4))->announceDraining(true);
   fleet.harness.advance(std::chrono::milliseconds(150));
-  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) < kLarge / 2);
+  BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Draining) < kFleetSize / 2);
 }
