--- a/tests/engines/checked_engines_test.cpp
+++ b/tests/engines/checked_engines_test.cpp
@@ -52,7 +52,7 @@
   BOOST_TEST((reportedState() == EngineState::Gone));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_engine_at_a_new_address_starts_anew, CheckedFixture) {
+BOOST_FIXTURE_TEST_CASE(an_engine_at_a_new_address_is_reset, CheckedFixture) {
   assign();
   checked.recordHealth(kTarget, 1, {true, false, 3, 8}, kNow);
   listing.engines[0].address = "10.0.0.2:80";
--- a/tests/engines/engine_health_checker_core_test.cpp
+++ b/tests/engines/engine_health_checker_core_test.cpp
@@ -298,7 +298,7 @@
   BOOST_TEST((checker.table()->engines[0].state == EngineState::Draining));
 }
 
-BOOST_AUTO_TEST_CASE(a_replaced_engine_inherits_no_state_and_a_bad_listing_changes_nothing) {
+BOOST_AUTO_TEST_CASE(a_replaced_engine_inherits_no_state_and_an_invalid_listing_changes_nothing) {
   HealthCheckFleet fleet(1);
   fleet.configuration.set("{}");
   fleet.nodes.harness.settle();
--- a/tests/engines/engine_list_core_test.cpp
+++ b/tests/engines/engine_list_core_test.cpp
@@ -129,7 +129,7 @@
 
 /// After the loss of all processes the nodes start without a directory, the readers a little later;
 /// until the first list a node refuses all calls.
-BOOST_AUTO_TEST_CASE(a_node_that_starts_with_the_complete_fleet_has_the_list_soon) {
+BOOST_AUTO_TEST_CASE(a_node_that_starts_with_the_complete_fleet_has_the_list_within_150_ms) {
   int longestMs = 0;
   for (int delayMs = 0; delayMs <= 600; delayMs += 20) {
     TestFleet fleet;
--- a/tests/engines/engine_listing_test.cpp
+++ b/tests/engines/engine_listing_test.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-struct BadListing {
+struct InvalidListing {
   std::string json;
   std::string path;
 };
 
-std::ostream& operator<<(std::ostream& out, const BadListing& bad) {
-  return out << bad.json;
+std::ostream& operator<<(std::ostream& out, const InvalidListing& listing) {
+  return out << listing.json;
 }
 
 std::string engine(const std::string& fields) {
@@ -22,7 +22,7 @@
          fields + "}]}";
 }
 
-const std::vector<BadListing> kBadListings = {
+const std::vector<InvalidListing> kInvalidListings = {
     {"", "$:"},
     {"[]", "$:"},
     {"{} x", "$:"},
@@ -70,7 +70,8 @@
 
 }  // namespace
 
-BOOST_DATA_TEST_CASE(a_bad_listing_is_refused_by_path, boost::unit_test::data::make(kBadListings)) {
+BOOST_DATA_TEST_CASE(an_invalid_listing_is_rejected_with_its_path,
+                     boost::unit_test::data::make(kInvalidListings)) {
   const Result<EngineListing> listing = parseEngineListing(sample.json);
   BOOST_REQUIRE(listing.has_error());
   BOOST_TEST((listing.error().code == ErrorCode::InvalidArgument));
@@ -78,7 +79,7 @@
              listing.error().detail + " should start with " + sample.path);
 }
 
-BOOST_AUTO_TEST_CASE(a_good_listing_is_sorted_by_id) {
+BOOST_AUTO_TEST_CASE(a_valid_listing_is_sorted_by_id) {
   const Result<EngineListing> listing = parseEngineListing(
       engine(R"("id": "a", "address": "255.0.0.1:65535", "model": "[{", "max_running": 8)"));
   BOOST_REQUIRE(listing.has_value());
--- a/tests/engines/health_check_assignment_test.cpp
+++ b/tests/engines/health_check_assignment_test.cpp
@@ -45,7 +45,7 @@
   BOOST_TEST(eligible[0].address == "f1:1");
 }
 
-BOOST_AUTO_TEST_CASE(if_every_node_drains_they_check_all_the_same) {
+BOOST_AUTO_TEST_CASE(draining_nodes_check_if_every_node_drains) {
   NodeTable nodes;
   nodes.nodes = {dataNode("f1:1", NodeState::Draining), dataNode("f2:1", NodeState::Dead)};
   BOOST_TEST(eligibleCheckers(nodes).size() == 1U);
--- a/tests/engines/peer_result_verification_test.cpp
+++ b/tests/engines/peer_result_verification_test.cpp
@@ -33,7 +33,7 @@
   BOOST_TEST((verification.freshUntil() == kNow + options.stallTimeout()));
 }
 
-BOOST_FIXTURE_TEST_CASE(after_a_stall_the_engines_are_checked_before_the_table_counts,
+BOOST_FIXTURE_TEST_CASE(after_a_stall_the_engines_are_rechecked_before_the_table_is_fresh,
                         VerificationFixture) {
   verification.detectStall(kNow);
   verification.extendFreshness(kNow);
--- a/tests/membership/directory_core_test.cpp
+++ b/tests/membership/directory_core_test.cpp
@@ -258,7 +258,7 @@
   BOOST_TEST(seen == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(idle_traffic_at_390_nodes_stays_in_its_bounds) {
+BOOST_AUTO_TEST_CASE(idle_traffic_at_390_nodes_is_bounded) {
   TestFleet fleet;
   for (int i = 0; i < 390; ++i) {
     fleet.start(i);
