--- a/src/engines/checked_engines.h
+++ b/src/engines/checked_engines.h
@@ -16,7 +16,8 @@
 
 namespace shedshed {
 
-/// What a node knows from its own health checks. Sends nothing. Core thread only.
+/// Tracks the engines that this node checks and the results of its checks. Sends nothing. Core
+/// thread only.
 class CheckedEngines {
  public:
   /// @p options must outlive this object.
@@ -34,30 +35,30 @@
     EngineHealthReport own;     ///< Of engines that it checks only to verify other nodes' results.
   };
 
-  /// Selects the engines of @p listing that are assigned to @p self among @p checkers, those that
-  /// were so until `handoverTime` ago, and with @p verifyAll all others. An engine whose address
-  /// changed starts anew.
+  /// Selects the engines of @p listing that are assigned to @p self among @p checkers or were less
+  /// than `handoverTime` ago; with @p verifyAll, all engines. The state of an engine whose address
+  /// has changed is reset.
   /// @return true if any engine is no longer checked.
   bool assign(const EngineListing& listing, const NodeId& self, const std::vector<NodeId>& checkers,
               bool verifyAll, Time now);
 
   std::vector<Target> targets() const;
 
-  /// An engine has answered check @p number with @p health. Ignored if a later check was answered
-  /// before: this answer may show an older state.
+  /// Records the result @p health of check @p number. Ignored if the engine was not reachable, or
+  /// if a later check was answered before: this result may show an older state.
   /// @return true if its state has changed.
   bool recordHealth(const Target& target, std::uint64_t number, const EngineHealth& health,
                     Time now);
 
-  /// Marks the engines that have not answered for `unreachableTimeout`.
+  /// Marks engines that have not answered for `unreachableTimeout` as `Gone`.
   /// @return true if any state has changed.
   bool markUnreachable(Time now);
 
-  /// True if changed loads should be reported, @p sinceLastReport after the last report, in a fleet
-  /// of @p listedEngines.
+  /// True if load changes are to be reported now, @p sinceLastReport after the last report, in a
+  /// fleet of @p listedEngines.
   bool loadReportDue(Duration sinceLastReport, std::size_t listedEngines) const;
 
-  /// Returns all results, and takes their loads as reported.
+  /// Returns all results, and records their loads as reported.
   Reports report();
 
  private:
@@ -67,7 +68,7 @@
     bool primaryChecker = false;  ///< This node reports changes of the load.
     bool shared = false;          ///< Assigned to this node; else checked only to verify others.
     Time lastAssigned{};
-    Time lastAnswer{};  ///< At first the start of the checks.
+    Time lastAnswer{};  ///< Initially the time of the assignment.
     std::uint64_t newestAnswer = 0;
     EngineState state = EngineState::Unknown;
     std::uint32_t running = 0;
--- a/src/engines/engine_health_checker_core.cpp
+++ b/src/engines/engine_health_checker_core.cpp
@@ -30,7 +30,7 @@
                                          const std::string& bytes) { adoptReport(origin, bytes); });
   configuration_.subscribe(kEnginesRegister,
                            [this](const RegisterValue& value) { setListing(value); });
-  // Random start: the checkers of an engine check it at different moments.
+  // Random phase, so that the checkers of an engine check it at different times.
   const auto interval = static_cast<std::uint64_t>(options_.checkInterval.count());
   context_.startTimer(kCheckTimer, Duration(1 + context_.random()() % interval));
   if (probe_ != nullptr) {
@@ -77,7 +77,7 @@
   }
   Result<EngineListing> listing = parseEngineListing(value.value);
   if (!listing) {
-    // The operators' calls check before they propose; keep the last good listing.
+    // Operator calls validate a listing before they propose it; keep the last valid one.
     context_.counters().add("engine_listings_refused_total");
     return;
   }
--- a/src/engines/engine_health_checker_core.h
+++ b/src/engines/engine_health_checker_core.h
@@ -30,10 +30,10 @@
 /// others.
 ///
 /// `CheckedEngines` has the results of this node, `HealthReportPublisher` sends them to the peers,
-/// and `EngineHealthTable` merges them with those of the peers. A node may be left alone with old
-/// results: by a partition, until it confirms the checkers dead, or by a stall of its own process.
-/// `PeerResultVerification` then lets it check all engines itself, so that it learns within the
-/// usual time that an engine drains.
+/// and `EngineHealthTable` merges them with those of the peers. A node may have only stale results:
+/// during a network partition, until it confirms the checkers dead, or after a stall of its own
+/// process. `PeerResultVerification` then makes it check all engines itself, so that it detects a
+/// draining engine within the usual time.
 class EngineHealthCheckerCore : public Core, public EngineSource {
  public:
   /// @p probe is null on nodes that check nothing. All references must outlive the core.
@@ -74,7 +74,7 @@
   HealthReportPublisher publisher_;
   bool reportScheduled_ = false;
   std::uint64_t lastCheckNumber_ = 0;
-  /// Expires with the core: answers that come later are dropped.
+  /// Expires with the core: answers that arrive later are ignored.
   std::shared_ptr<int> lifetime_ = std::make_shared<int>(0);
 };
 
--- a/src/engines/engine_health_report.cpp
+++ b/src/engines/engine_health_report.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Precedence in a merge.
+/// Precedence of a state in a merge; the highest wins.
 int precedence(EngineState state) {
   switch (state) {
   case EngineState::Draining:
--- a/src/engines/engine_health_report.h
+++ b/src/engines/engine_health_report.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reports that the nodes which check engines publish, and how the reports of several are merged.
+/// Health reports that are published by the nodes that check engines, and their merge.
 #pragma once
 
 #include "engines/engine_listing.h"
@@ -34,25 +34,25 @@
 /// Gossip topic of the `EngineHealthReport`.
 inline constexpr const char* kEngineTopic = "engines";
 
-/// Returns the tag of an engine's address.
+/// Returns the `addressTag` of @p address.
 std::uint32_t engineAddressTag(const std::string& address);
 
 /// Collects the reports of all checkers. Core thread only.
 class EngineHealthReports {
  public:
-  /// Replaces the report of one checker; an empty one withdraws it.
+  /// Replaces the report of one checker; an empty one removes it.
   void set(const NodeId& checker, EngineHealthReport report);
 
   /// Replaces the results that this node does not publish; they count as a live checker's report.
   void setOwn(EngineHealthReport report) { own_ = std::move(report); }
 
-  /// Marks a checker confirmed dead or live. A dead checker's results count only where no live one
-  /// has any, and only until they expire (`expire`).
+  /// Marks a checker confirmed dead or live. A dead checker's results are used only for engines
+  /// without results of a live checker, and only until they expire (`expire`).
   /// @return true if it changed.
   bool setDead(const NodeId& checker, bool dead, Time now);
 
-  /// Drops the results of checkers that have been dead for longer than @p expiry.
-  /// @return true if any was dropped.
+  /// Removes the results of checkers that have been dead for longer than @p expiry.
+  /// @return true if any was removed.
   bool expire(Time now, Duration expiry);
 
   /// Builds the table of the listed engines: draining if any checker reports so, else ready if
--- a/src/engines/engine_health_table.h
+++ b/src/engines/engine_health_table.h
@@ -15,9 +15,9 @@
 
 namespace shedshed {
 
-/// Collects the listing and the reports, and publishes a new table after changes. Changes that
-/// follow each other within the least interval share one rebuild. `read` may be called by any
-/// thread, the rest on the core thread only.
+/// Collects the listing and the reports, and publishes a new table after changes. Changes within
+/// the minimum interval share one rebuild. `read` may be called by any thread, the rest on the core
+/// thread only.
 class EngineHealthTable {
  public:
   /// Starts timer @p rebuildTimer of @p context, whose expiry must call `rebuild`.
@@ -26,13 +26,13 @@
   void setListing(EngineListing listing);
   const EngineListing& listing() const { return listing_; }
 
-  /// Adopts the report that @p checker has published, in the state of @p nodes.
+  /// Stores the report that @p checker has published; @p nodes shows which checkers are dead.
   void setReport(const NodeId& checker, EngineHealthReport report, const NodeTable& nodes);
-  /// Replaces what this node found by itself and does not publish.
+  /// Replaces the results of this node that it does not publish.
   void setOwnReport(EngineHealthReport report);
-  /// Takes over which checkers are confirmed dead.
+  /// Updates which checkers are confirmed dead.
   void updateDeadCheckers(const NodeTable& nodes);
-  /// Drops the results of checkers that have been dead for @p expiry.
+  /// Removes the results of checkers that have been dead for @p expiry.
   void expireDeadCheckers(Duration expiry);
 
   /// Builds the table and calls the listeners if it has changed.
@@ -53,7 +53,7 @@
   Time lastRebuild_{};
   Snapshot<EngineTable> table_;
   std::vector<std::function<void(const EngineTable&)>> listeners_;
-  /// Expires with this object: a deferred rebuild that comes later is dropped.
+  /// Expires with this object: a deferred rebuild that runs later does nothing.
   std::shared_ptr<int> lifetime_ = std::make_shared<int>(0);
 };
 
--- a/src/engines/engine_list_core.cpp
+++ b/src/engines/engine_list_core.cpp
@@ -10,13 +10,13 @@
 constexpr TimerId kPullTimer = 1;
 constexpr TimerId kTimeoutTimer = 2;
 
-/// Pulls after which a node returns to the first of its sources.
+/// Number of pulls after which a node tries the first of its sources again.
 constexpr std::uint32_t kPullsBetweenSourceResets = 6;
 
-/// Pulls without an answer that are remembered: a slow source answers late.
+/// Maximum number of unanswered pulls that are tracked: a slow source replies late.
 constexpr std::size_t kMaxOutstandingPulls = 8;
 
-/// Pulls that wait for the reading in progress at most.
+/// Maximum number of pulls that wait for the read in progress.
 constexpr std::size_t kMaxWaitingPulls = 4096;
 
 }  // namespace
@@ -125,7 +125,7 @@
   }
   if (reply.digest != digest_ && reply.engines.empty() && digest_ != 0 &&
       reply.digest != listingDigest({})) {
-    return;  // Omitted for a digest that this node no longer has.
+    return;  // The engines were omitted for a digest that this node no longer has.
   }
   validatedAt_ = validatedAt;
   if (reply.digest != digest_) {
--- a/src/engines/engine_list_core.h
+++ b/src/engines/engine_list_core.h
@@ -1,16 +1,16 @@
 /// @file
-/// Brings the platform's listing of engines to all nodes, through one reader.
+/// Distributes the platform's listing of engines to all nodes, through one reader.
 ///
 /// Register nodes can read the source. The first live one in the order of ids reads it while it
 /// receives pulls, so there is one reader at a time without an election; another one reads only
 /// when its own listing is older than `staleListingAge`. Nodes pull the listing from the reader; in
 /// a large fleet data nodes pull it from the other control nodes, which relay their listings, each
-/// data node from one chosen by rendezvous. A node whose source does not answer, or has an old
+/// data node from one chosen by rendezvous. A node whose source does not reply, or has a stale
 /// listing, pulls from the next one.
 ///
-/// A pull proves that its answer's listing was current at the time at which the pull was sent, less
-/// the age that the answer gives: no clocks of two nodes are compared. So each node has an upper
-/// bound of the age of its listing.
+/// The listing in a reply was current at the time at which the pull was sent, minus the age in the
+/// reply. So each node knows an upper bound of the age of its listing, and the clocks of two nodes
+/// are never compared.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -27,17 +27,17 @@
 
 namespace shedshed {
 
-/// Times of the engine list.
+/// Timing and limits of the engine list.
 struct EngineListOptions {
   Duration pullInterval = std::chrono::milliseconds(500);
-  /// Between pulls, each at the next node, until the first answer.
+  /// Between pulls, each from the next source, until the first reply.
   Duration firstPullInterval = std::chrono::milliseconds(100);
-  Duration pullTimeout = std::chrono::milliseconds(400);  ///< Then the next node is tried.
-  /// A cached listing older than this is read anew before a pull is answered.
+  Duration pullTimeout = std::chrono::milliseconds(400);  ///< Then the next source is tried.
+  /// A cached listing older than this is refreshed before a pull is answered.
   Duration refreshAge = std::chrono::milliseconds(450);
-  /// After an answer with a listing older than this a node pulls from the next one.
+  /// After a reply with a listing older than this a node pulls from the next source.
   Duration staleListingAge = std::chrono::milliseconds(1200);
-  std::size_t directPullers = 64;  ///< With more live nodes, data nodes pull from relays.
+  std::size_t directPullers = 64;  ///< With more known nodes, data nodes pull from relays.
 };
 
 /// Any node → control node: requests the listing.
@@ -54,8 +54,8 @@
   static constexpr ServiceId kService = ServiceId::EngineList;
   static constexpr std::uint16_t kKind = 2;
   std::uint64_t request = 0;
-  bool known = false;                 ///< False if the sender never read the source.
-  std::uint64_t ageMilliseconds = 0;  ///< Since the reading was started, rounded up.
+  bool known = false;                 ///< False if the sender has no listing.
+  std::uint64_t ageMilliseconds = 0;  ///< Upper bound of the time since the read was started.
   std::uint64_t digest = 0;
   std::vector<EngineInfo> engines;  ///< Empty if the requester has the same digest.
   MSGPACK_DEFINE(request, known, ageMilliseconds, digest, engines);
@@ -75,11 +75,12 @@
   std::shared_ptr<const EngineTable> table() const override { return table_.read(); }
   void addListener(std::function<void(const EngineTable&)> listener) override;
 
-  /// The time at which the table was provably current; `Time::min()` before the first answer.
+  /// The latest time at which the table is known to have been current; `Time::min()` before the
+  /// first reply.
   Time validatedAt() const { return validatedAt_; }
 
  private:
-  /// A pull that is answered when the reading in progress has ended.
+  /// A pull that is answered when the read in progress has ended.
   struct WaitingPull {
     NodeId from;
     ListingPull pull;
@@ -95,11 +96,11 @@
 
   // Answering.
   void onPull(const NodeId& from, const ListingPull& pull);
-  /// Answers with the newer one of the listing that was read and the one that was pulled.
+  /// Replies with the newer of the listing that was read and the one that was pulled.
   void reply(const NodeId& to, const ListingPull& pull);
   void replyToWaitingPulls();
   void readSource();
-  /// True if no other node reads for this one.
+  /// True if this node must read the source itself.
   bool mustRead() const;
   std::vector<NodeId> readers(const NodeTable& nodes) const;
 
--- a/src/engines/engine_listing.cpp
+++ b/src/engines/engine_listing.cpp
@@ -23,7 +23,7 @@
   return makeError(ErrorCode::InvalidArgument, path + ": " + allowed);
 }
 
-/// cJSON recurses, so the depth is bounded before it sees the text.
+/// cJSON parses recursively, so the depth is checked before it parses the text.
 Status checkDepth(std::string_view json) {
   int depth = 0;
   bool inString = false;
@@ -98,7 +98,7 @@
   return octets == kOctets && port && *port > 0;
 }
 
-/// Visible ASCII only: ids and models end up in headers, logs and gossip.
+/// Visible ASCII only: ids and models are used in headers, logs and gossip.
 Result<std::string> readName(const cJSON* object, const char* key, const std::string& path,
                              std::size_t maxLength) {
   const cJSON* item = cJSON_GetObjectItemCaseSensitive(object, key);
@@ -182,11 +182,11 @@
                      "$: at most " + std::to_string(kMaxListingBytes) + " bytes");
   }
   if (json.find('\0') != std::string_view::npos) {
-    return invalid("$", "holds a zero byte");
+    return invalid("$", "must not contain a NUL byte");
   }
   BOOST_OUTCOME_TRYV(checkDepth(json));
   const std::string text(json);
-  // With a required terminator cJSON refuses anything after the value.
+  // With a required terminator cJSON rejects anything after the value.
   const Json root(cJSON_ParseWithOpts(text.c_str(), nullptr, 1), &cJSON_Delete);
   if (root == nullptr) {
     return invalid("$", "not valid JSON");
--- a/src/engines/engine_listing.h
+++ b/src/engines/engine_listing.h
@@ -12,7 +12,7 @@
 
 namespace shedshed {
 
-/// Bounds of a listing.
+/// Limits of a listing.
 inline constexpr std::size_t kMaxListingBytes = 1U << 20U;
 inline constexpr std::size_t kMaxListedEngines = 8192;
 inline constexpr std::size_t kMaxEngineNameBytes = 64;  ///< Of `id`; `model` may be twice as long.
@@ -24,18 +24,18 @@
   std::string address;  ///< "a.b.c.d:port".
   std::string model;
   std::uint32_t maxRunning = 0;  ///< At least 1.
-  bool draining = false;         ///< Listed to finish what it runs and get nothing new.
+  bool draining = false;         ///< Finishes its running requests; gets no new ones.
 };
 
-/// A checked listing, sorted by id.
+/// A validated listing, sorted by id.
 struct EngineListing {
   std::vector<ListedEngine> engines;
 };
 
-/// Checks and parses a listing (form in docs/API.md). Fails with `TooLarge` when it is over a size
-/// bound, else with `InvalidArgument`; the detail names the path ("engines[3].max_running"), and
-/// what is allowed there. Unknown and duplicate keys, duplicate ids and addresses, deep nesting and
-/// trailing text are refused.
+/// Validates and parses a listing (format in docs/API.md). Fails with `TooLarge` if it exceeds a
+/// size limit, else with `InvalidArgument`; the detail names the path ("engines[3].max_running"),
+/// and what is allowed there. Unknown and duplicate keys, duplicate ids and addresses, deep nesting
+/// and trailing text are rejected.
 Result<EngineListing> parseEngineListing(std::string_view json);
 
 }  // namespace shedshed
--- a/src/engines/engine_runner.h
+++ b/src/engines/engine_runner.h
@@ -14,9 +14,9 @@
   std::string requestId;  ///< Sent to the engine, which must echo it.
   std::string model;
   std::string body;    ///< As submitted: JSON of a chat completion, or an encoded opaque call.
-  std::string tenant;  ///< Whose batch it is.
+  std::string tenant;  ///< Tenant that owns the batch.
   std::string suggestedEngine;  ///< Engine that the owner of the item's slot suggests, or empty.
-  /// False once the item must not reach an engine any more; called on the core thread.
+  /// False once the item must no longer be sent to an engine; called on the core thread.
   std::function<bool()> isWanted = [] { return true; };
 };
 
--- a/src/engines/engine_table.h
+++ b/src/engines/engine_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The engines as routing sees them.
+/// The engines as used for routing.
 #pragma once
 
 #include "kernel/time.h"
@@ -13,12 +13,12 @@
 
 namespace shedshed {
 
-/// State of an engine as published by the nodes that check it. The numeric values travel on the
-/// wire.
+/// State of an engine as published by the nodes that check it. The numeric values are part of the
+/// wire format.
 enum class EngineState : std::uint8_t {
   Unknown = 0,  ///< Listed, no node has reached it yet.
   Ready = 1,
-  Draining = 2,  ///< Finishes what it runs; gets no new request.
+  Draining = 2,  ///< Finishes its running requests; gets no new ones.
   Gone = 3,      ///< No node reaches it, or it is no longer listed.
 };
 
@@ -28,7 +28,7 @@
   std::string address;           ///< "a.b.c.d:port" of its HTTP.
   std::string model;             ///< The model or service that it serves.
   std::uint32_t maxRunning = 0;  ///< Requests that it runs at once.
-  std::uint32_t running = 0;     ///< Last value it reported, all fronts together.
+  std::uint32_t running = 0;     ///< Last reported value, of all data nodes together.
   EngineState state = EngineState::Unknown;
   std::string zone;  ///< Empty if it is not known.
   MSGPACK_DEFINE(id, address, model, maxRunning, running, state, zone);
@@ -45,15 +45,14 @@
  public:
   virtual ~EngineSource() = default;
   virtual std::shared_ptr<const EngineTable> table() const = 0;
-  /// Until when the table may be used for new calls. A node whose process has stalled, and that
-  /// does not know yet what happened meanwhile, returns a time in the past. May be called by any
-  /// thread.
+  /// Until when the table may be used for new calls. After a stall of the process, until the
+  /// engines have been rechecked, this is a time in the past. May be called by any thread.
   virtual Time freshUntil() const { return Time::max(); }
   /// Calls @p listener on the core thread after each change of the table.
   virtual void addListener(std::function<void(const EngineTable&)> listener) = 0;
 };
 
-/// Result of one health read of an engine.
+/// Result of one health check of an engine.
 struct EngineHealth {
   bool reachable = false;
   bool draining = false;
--- a/src/engines/health_report_publisher.h
+++ b/src/engines/health_report_publisher.h
@@ -10,8 +10,8 @@
 
 namespace shedshed {
 
-/// Publishes reports that differ from the last one. Each report goes to all nodes, so that one
-/// which changes nothing must not cost them a message. Core thread only.
+/// Publishes reports that differ from the last one. Each report goes to all nodes, so an unchanged
+/// one is not sent. Core thread only.
 class HealthReportPublisher {
  public:
   /// Keeps references to both; they must outlive this object.
@@ -20,7 +20,7 @@
 
   void publish(const EngineHealthReport& report);
 
-  /// Since the last report, published or equal to the one before.
+  /// Time since the last call of `publish`, also if that report was unchanged.
   Duration sinceLastReport() const { return context_.now() - lastReport_; }
 
  private:
--- a/src/engines/listing_reader.h
+++ b/src/engines/listing_reader.h
@@ -15,7 +15,7 @@
 /// Returns a digest of @p engines; never 0, which stands for "no listing" on the wire.
 std::uint64_t listingDigest(const std::vector<EngineInfo>& engines);
 
-/// One reading of the source at a time. A failed reading leaves the cached listing as it is. Core
+/// Runs one read of the source at a time. A failed read leaves the cached listing as it is. Core
 /// thread only.
 class ListingReader {
  public:
@@ -25,11 +25,11 @@
   bool hasSource() const { return source_ != nullptr; }
   bool reading() const { return reading_; }
 
-  /// Starts a reading; @p done is called when it has ended, also if it has failed. Does nothing
-  /// while another one is in progress.
+  /// Starts a read; @p done is called when it has ended, also if it has failed. Does nothing while
+  /// another one is in progress.
   void read(std::function<void()> done);
 
-  /// When the reading of the cached listing was started; `Time::min()` if there is none.
+  /// Start of the read that returned the cached listing; `Time::min()` if there is none.
   Time cachedAt() const { return cachedAt_; }
   /// The cached listing, sorted by id, and its digest.
   const std::vector<EngineInfo>& cached() const { return cached_; }
--- a/src/engines/peer_result_verification.h
+++ b/src/engines/peer_result_verification.h
@@ -1,5 +1,5 @@
 /// @file
-/// When a node must verify the health-check results of its peers by checks of its own.
+/// Decides when a node must verify the health-check results of its peers by its own checks.
 #pragma once
 
 #include "engines/engine_health_checker_options.h"
@@ -10,10 +10,10 @@
 
 namespace shedshed {
 
-/// Tracks the suspicion that the table of engines is old, and until when it may be used.
+/// Tracks the suspicion that the table of engines is stale, and until when it may be used.
 ///
-/// After a stall of the process nothing that the node knows of the engines counts until they were
-/// checked again. `freshUntil` may be called by any thread, the rest on the core thread only.
+/// After a stall of the process the table is not fresh until the engines have been rechecked.
+/// `freshUntil` may be called by any thread, the rest on the core thread only.
 class PeerResultVerification {
  public:
   /// @p options must outlive this object.
@@ -32,7 +32,7 @@
   /// True while this node must check all engines itself.
   bool active(Time now) const { return now < activeUntil_; }
 
-  /// Extends `freshUntil`, unless the engines have still to be checked after a stall.
+  /// Extends `freshUntil`, unless the engines are still being rechecked after a stall.
   void extendFreshness(Time now);
 
   /// Until when the table may be used. A stalled process does not extend it.
@@ -42,7 +42,7 @@
   const EngineHealthCheckerOptions& options_;
   ProcessStallDetector stallDetector_;
   Time activeUntil_ = Time::min();
-  Time recheckUntil_ = Time::min();  ///< After a stall: the engines have not answered yet.
+  Time recheckUntil_ = Time::min();  ///< End of the recheck after a process stall.
   std::atomic<Duration::rep> freshUntil_{Duration::max().count()};
 };
 
--- a/src/engines/process_stall_detector.h
+++ b/src/engines/process_stall_detector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Detects that this process did not run for a while.
+/// Detects that this process was not running for some time.
 #pragma once
 
 #include "kernel/time.h"
--- a/src/membership/directory.h
+++ b/src/membership/directory.h
@@ -13,18 +13,18 @@
 
 namespace shedshed {
 
-/// What a node is for. The numeric values travel on the wire.
+/// Role of a node. The numeric values are part of the wire format.
 enum class NodeRole : std::uint8_t {
   Data = 1,      ///< `shedshed-data`: client HTTP, routing, batch runners.
   Register = 2,  ///< `shedshed-control` on a small disk: acceptor of the registers only.
   Store = 3,     ///< `shedshed-control` on a store machine: acceptor and partitions.
 };
 
-/// FailureDetector of a node as this node believes it. The numeric values travel on the wire.
+/// State of a node as this node sees it. The numeric values are part of the wire format.
 enum class NodeState : std::uint8_t {
   Alive = 1,
   Suspect = 2,   ///< One monitor suspects it; still counts as live.
-  Draining = 3,  ///< Alive, takes no new work.
+  Draining = 3,  ///< Alive, accepts no new work.
   Dead = 4,      ///< Confirmed by more than one monitor, or departed.
 };
 
@@ -51,7 +51,8 @@
   /// Returns the ids of nodes with @p role whose state is not `Dead`, sorted.
   std::vector<NodeId> live(NodeRole role) const;
 
-  /// The same with the dead ones: one of them may only be stalled or isolated.
+  /// Returns the ids of all nodes with @p role, sorted. Dead nodes are included: they may only be
+  /// stalled or isolated.
   std::vector<NodeId> known(NodeRole role) const;
 
   /// Returns the node or nullptr.
@@ -70,9 +71,9 @@
   /// Calls @p listener on the core thread after each change of the table.
   virtual void addListener(std::function<void(const NodeTable&)> listener) = 0;
 
-  /// True while a node that this node monitors, and that is not confirmed dead, has left a ping
-  /// unacknowledged for more than one interval. Either that node fails or this one is isolated:
-  /// what this node knows from others may be stale.
+  /// True while a monitored node that is not confirmed dead has left a ping unacknowledged for more
+  /// than one interval. Either that node has failed or this one is isolated, so what this node has
+  /// received from others may be stale.
   virtual bool hasUnresponsivePeers() const { return false; }
 
   /// Announces that this node drains (true) or accepts work again.
--- a/src/membership/directory_core.cpp
+++ b/src/membership/directory_core.cpp
@@ -13,7 +13,8 @@
 constexpr TimerId kIntervalTimer = 1;
 constexpr TimerId kForwardTimer = 2;
 
-/// Dead nodes that are notified at each probe; bounds the traffic after the loss of a zone.
+/// Maximum number of dead nodes that are pinged in one probe; bounds the traffic after the loss of
+/// a zone.
 constexpr std::size_t kMaxDeadNodesPerProbe = 4;
 
 }  // namespace
@@ -108,13 +109,13 @@
 void DirectoryCore::raiseIncarnationAbove(std::uint64_t incarnation) {
   local_.raiseIncarnationAbove(incarnation);
   publisher_.setOwnRecord(local_.info());
-  // A node that others found dead, or that has just restarted, may have been isolated or stalled:
-  // its own findings prove nothing about others.
+  // A node that others confirmed dead, or that has just restarted, may have been isolated or
+  // stalled, so its own suspicions are not reliable.
   monitor_.reset();
   store_.raiseIncarnation(local_.id(), local_.incarnation());
   store_.publish(local_.id(), kSuspicionTopic, encodeRecord(SuspicionList{}));
   store_.publish(local_.id(), kNodeTopic, encodedLocalNode());
-  // After a network partition two nodes may each have the other as confirmed dead.
+  // After a network partition two nodes may each have confirmed the other dead.
   const std::vector<NodeId> dead = deadNodes();
   exchange_.pushOwnRecords(0, gossipPeers());
   exchange_.pushOwnRecords(0, dead);
@@ -156,8 +157,8 @@
   if (intervals_ % options_.deadProbeIntervals != 0) {
     return;
   }
-  // Tables may differ: a node that missed the withdrawal of a suspicion confirms a death that no
-  // other node does, and only the node concerned can undo that, by a higher incarnation.
+  // Tables may diverge: a node that missed the withdrawal of a suspicion may confirm a death that
+  // no other node confirms. Only the affected node can refute it, with a higher incarnation.
   std::vector<NodeId> dead = deadNodes();
   shuffle(dead, context_.random());
   dead.resize(std::min(dead.size(), kMaxDeadNodesPerProbe));
@@ -181,7 +182,8 @@
   if (!live.empty() && intervals_ % options_.deadProbeIntervals != 0) {
     return;
   }
-  // Through seeds and dead nodes a node joins the fleet, and rejoins it after a network partition.
+  // Seeds and dead nodes are contacted too: through them a node joins the fleet, and rejoins it
+  // after a network partition.
   std::vector<NodeId> others = deadNodes();
   others.insert(others.end(), peers_.seeds().begin(), peers_.seeds().end());
   shuffle(others, context_.random());
--- a/src/membership/directory_core.h
+++ b/src/membership/directory_core.h
@@ -1,8 +1,8 @@
 /// @file
-/// The directory: the fleet's members, their liveness, and the gossip that carries both.
+/// The directory: the members of the fleet, their liveness, and the gossip that disseminates both.
 ///
 /// Dissemination and anti-entropy: see `GossipExchange`. Failure detection follows SWIM: see
-/// `PeerMonitor` for the pings and `FailureDetector` for what follows from the suspicions.
+/// `PeerMonitor` for the pings and `FailureDetector` for the evaluation of the suspicions.
 ///
 /// Computed traffic at 390 nodes, payload bytes per node: pings 2 x 3 x ~12 B/s and digests
 /// 2 x ~12 B/s: ~100 B/s; a difference costs 64 digests of 8 B and the entries of the buckets that
@@ -30,8 +30,8 @@
 namespace shedshed {
 
 /// The directory service of one node: connects the local record, the gossip, the failure detector
-/// and the published table. It keeps nothing on disk: a restarted node joins again through its
-/// seeds and takes an incarnation above the one that others remember (see `LocalNode`).
+/// and the published table. It persists nothing: a restarted node rejoins through its seeds and
+/// takes an incarnation above the last one that others know (see `LocalNode`).
 class DirectoryCore : public Core,
                       public Directory,
                       public GossipTopics,
@@ -66,13 +66,13 @@
                        const std::string& bytes);
   void onInterval();
   void pingMonitoredNodes();
-  /// Notifies some of the nodes that are confirmed dead here, so that they can refute it.
+  /// Pings some of the nodes that this node has confirmed dead, so that they can refute it.
   void notifyDeadNodes();
   void publishSuspicions();
   void startAntiEntropy();
   void evictExpiredNodes();
 
-  /// Takes a higher incarnation if @p deadIncarnation is the present one or a later one.
+  /// Takes a higher incarnation if @p deadIncarnation is the current one or a later one.
   void refuteDeath(std::uint64_t deadIncarnation);
   void raiseIncarnationAbove(std::uint64_t incarnation);
 
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Suspecting monitors that confirm a death, where the fleet has that many.
+/// Number of suspecting monitors that confirms a death, if the fleet has that many.
 constexpr std::size_t kSuspicionQuorum = 2;
 
 }  // namespace
@@ -48,7 +48,7 @@
       deaths_.erase(death);
     }
   }
-  // Each confirmed death may lower the number of monitors that are possible at all.
+  // Each confirmed death reduces the number of possible monitors and may lower the quorum.
   while (confirmDeaths(now, self, nodes)) {
   }
   for (NodeInfo& node : nodes) {
@@ -84,7 +84,7 @@
   }
   std::size_t count = 0;
   for (const auto& [monitor, incarnation] : suspecting->second) {
-    // The last suspicions of a dead monitor may follow from its own isolation.
+    // The last suspicions of a dead monitor may result from its own isolation.
     const bool counts = monitor != target.id && dead.count(monitor) == 0;
     count += counts && incarnation >= target.incarnation ? 1 : 0;
   }
--- a/src/membership/gossip_exchange.cpp
+++ b/src/membership/gossip_exchange.cpp
@@ -97,7 +97,8 @@
 
 bool GossipExchange::isUpdate(const VersionVectorEntry& entry) const {
   const auto evicted = evictedVersions_.find(entry.origin);
-  // A new run counts from 1 again when no node remembers the run before; its records are updates.
+  // A restarted node counts from 1 again if no node knows its previous run; the records of the new
+  // run are updates.
   const bool alreadyEvicted = evicted != evictedVersions_.end() &&
                               sameRun(evicted->second.incarnation, entry.version.incarnation) &&
                               !(evicted->second < entry.version);
@@ -145,7 +146,7 @@
   if (!known && delta.origin != from) {
     joiningNodes_.push_back(delta.origin);
   }
-  // In a small fleet its origin pushed it to all.
+  // In a small fleet the origin has pushed the delta to all nodes itself.
   if (forward && isLargeFleet()) {
     forwarder_.enqueue(delta);
   }
@@ -153,8 +154,8 @@
 }
 
 void GossipExchange::introduceTo(const std::vector<NodeId>& joiningNodes) {
-  // A node learned from a third one may not know this one yet. In a large fleet it learns this one
-  // by anti-entropy with that third node.
+  // A node whose records came from a third node may not know this node yet. In a large fleet it
+  // learns of this node by anti-entropy with that third node.
   if (!isLargeFleet()) {
     pushOwnRecords(0, joiningNodes);
   }
--- a/src/membership/gossip_exchange.h
+++ b/src/membership/gossip_exchange.h
@@ -15,20 +15,22 @@
 
 namespace shedshed {
 
-/// Disseminates the changes of this node, forwards those of others, and pulls what is missing.
+/// Disseminates the changes of this node, forwards those of others, and pulls missing records.
 ///
 /// Dissemination: a change is pushed to `pushFanout` nodes. In a fleet with more peers each node
-/// that it is new to forwards it to `forwardFanout` random ones, so that no node has links to all.
+/// that it is new to forwards it to `forwardFanout` random ones, so that no node needs connections
+/// to all others.
+///
 /// Anti-entropy: two nodes compare the digest of their version vectors; if it differs, in a large
 /// fleet the digests of its buckets; then the vectors of the buckets that differ; then each sends
-/// the records that the other lacks. The cost follows what differs, not the size of the fleet. A
-/// lost or repeated message does no harm: records are applied by version, and the next comparison
-/// finds what is still missing.
+/// the records that the other lacks. The cost depends on the differences, not on the size of the
+/// fleet. Lost and duplicate messages are harmless: records are applied by version, and the next
+/// comparison finds what is still missing.
 ///
 /// Not thread-safe.
 class GossipExchange {
  public:
-  /// What the exchange needs to know from its owner.
+  /// Callbacks to the owner of the exchange.
   class Delegate {
    public:
     virtual ~Delegate() = default;
@@ -43,8 +45,8 @@
     virtual void onOwnVersionSeen(const GossipVersion& seen) = 0;
   };
 
-  /// @p forwardTimer is the timer of the owning core at whose end it calls `forwardPending`. All
-  /// references must outlive the exchange.
+  /// @p forwardTimer is a timer of the owning core, which calls `forwardPending` when it expires.
+  /// All references must outlive the exchange.
   GossipExchange(CoreContext& context, GossipRecordStore& store, const DirectoryOptions& options,
                  Delegate& delegate, TimerId forwardTimer);
 
@@ -59,10 +61,10 @@
   /// @p targets, or to `pushFanout` of them that forward the records.
   void pushOwnRecords(std::uint32_t sinceSequence, std::vector<NodeId> targets);
 
-  /// Forwards the changes that arrived since the last call; called at the end of the forward timer.
+  /// Forwards the changes that arrived since the last call; called when the forward timer expires.
   void forwardPending();
 
-  /// Drops an origin and refuses to learn the same run of it again.
+  /// Removes an origin. Records of the same run are accepted again only if they are newer.
   void evict(const NodeId& origin);
 
  private:
@@ -86,9 +88,9 @@
   Delegate& delegate_;
   const NodeId self_;
   GossipForwarder forwarder_;
-  std::map<NodeId, GossipVersion>
-      evictedVersions_;               ///< Newest version of each origin that was dropped.
-  std::vector<NodeId> joiningNodes_;  ///< Learned from a third node in the present message.
+  /// Version of each evicted origin at its eviction.
+  std::map<NodeId, GossipVersion> evictedVersions_;
+  std::vector<NodeId> joiningNodes_;  ///< New in the current message, learned from a third node.
 };
 
 }  // namespace shedshed
--- a/src/membership/gossip_forwarder.cpp
+++ b/src/membership/gossip_forwarder.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Delay of the first forward after a quiet time: the smallest that a timer has.
+/// Delay of the first forward after an idle time: the minimum duration of a timer.
 constexpr Duration kNoDelay{1};
 
 }  // namespace
--- a/src/membership/gossip_forwarder.h
+++ b/src/membership/gossip_forwarder.h
@@ -14,15 +14,15 @@
 /// `forwardDelay`. Not thread-safe.
 class GossipForwarder {
  public:
-  /// @p timer is the timer of the owning core at whose end it calls `flush`. @p context must
+  /// @p timer is a timer of the owning core, which calls `flush` when it expires. @p context must
   /// outlive the forwarder.
   GossipForwarder(CoreContext& context, const DirectoryOptions& options, TimerId timer);
 
-  /// Schedules @p delta for forwarding: at once, or when the present delay has passed.
+  /// Schedules @p delta for forwarding: at once, or when the current delay has passed.
   void enqueue(const GossipDelta& delta);
 
   /// Sends the pending deltas to `forwardFanout` random nodes of @p peers and starts the next
-  /// delay; with nothing pending the timer stays off.
+  /// delay. Does not restart the timer if nothing is pending.
   void flush(const std::vector<NodeId>& peers);
 
  private:
--- a/src/membership/gossip_peers.h
+++ b/src/membership/gossip_peers.h
@@ -10,15 +10,15 @@
 
 namespace shedshed {
 
-/// Returns the nodes of @p table other than @p self that are confirmed dead (@p dead) or not,
-/// sorted.
+/// Returns the nodes of @p table other than @p self, sorted: the confirmed dead ones if @p dead is
+/// true, else all others.
 std::vector<NodeId> otherNodes(const NodeTable& table, const NodeId& self, bool dead);
 
-/// The seeds, and the gossip peers that follow from the present table. Not thread-safe.
+/// The seeds, and the gossip peers selected from the current node table. Not thread-safe.
 class GossipPeers {
  public:
   /// @p seeds are the nodes through which @p self joins the fleet; @p maxPeers bounds the peers, so
-  /// that a node of a large fleet has few links.
+  /// that a node of a large fleet has few connections.
   GossipPeers(NodeId self, std::vector<NodeId> seeds, std::size_t maxPeers);
 
   /// The seeds without this node.
--- a/src/membership/gossip_record_store.cpp
+++ b/src/membership/gossip_record_store.cpp
@@ -16,7 +16,8 @@
   return (buckets >> bucketOf(addressHash) & 1U) != 0;
 }
 
-/// Mixes all of its numbers, so that a sum of such hashes differs when one of its terms does.
+/// Hashes the address and the version together, so that the sum over a bucket changes with each of
+/// its entries.
 std::uint64_t entryDigest(std::uint64_t addressHash, const GossipVersion& version) {
   const std::uint64_t parts[] = {addressHash, version.incarnation, version.sequence};
   return hash64({reinterpret_cast<const char*>(parts), sizeof(parts)});
--- a/src/membership/gossip_record_store.h
+++ b/src/membership/gossip_record_store.h
@@ -18,9 +18,9 @@
 /// requested from the stored version. Not thread-safe.
 class GossipRecordStore {
  public:
-  /// What became of a delta.
+  /// Result of applying a delta.
   enum class Outcome {
-    Stale,    ///< Nothing new in it.
+    Stale,    ///< It contains nothing new.
     Applied,  ///< Its records are stored.
     Gap,      ///< Records between the stored version and the delta are missing.
   };
@@ -37,17 +37,17 @@
   /// Moves all records of @p origin to a higher incarnation, renumbered from 1.
   void raiseIncarnation(const NodeId& origin, std::uint64_t incarnation);
 
-  /// Takes over a delta of another node. Applying twice or out of order is harmless.
+  /// Applies a delta of another node. Duplicate and out-of-order deltas are harmless.
   Outcome apply(const GossipDelta& delta);
 
-  /// Returns what a node with the version @p since of @p origin lacks; no records if nothing.
+  /// Returns the records that a node with the version @p since of @p origin lacks; may be empty.
   GossipDelta deltaSince(const NodeId& origin, const GossipVersion& since) const;
 
   /// The stored version of @p origin; zero if the origin is unknown.
   GossipVersion version(const NodeId& origin) const;
 
-  /// Returns the version vector without the origins in @p withheld, sorted by origin; of @p buckets
-  /// only.
+  /// Returns the version vector without the origins in @p withheld, sorted by origin; only the
+  /// entries in @p buckets.
   std::vector<VersionVectorEntry> versionVector(const std::set<NodeId>& withheld,
                                                 std::uint64_t buckets = kAllBuckets) const;
 
@@ -57,7 +57,7 @@
 
   std::size_t originCount() const { return origins_.size(); }
 
-  /// Drops an origin.
+  /// Removes an origin with all of its records.
   void erase(const NodeId& origin) { origins_.erase(origin); }
 
   /// Calls @p visit for each known value of @p topic.
--- a/src/membership/gossip_topics.h
+++ b/src/membership/gossip_topics.h
@@ -36,8 +36,8 @@
 
   virtual ~GossipTopics() = default;
 
-  /// Replaces this node's value of @p topic and pushes it to all live nodes at once; nodes that
-  /// miss it pull it later. Values should stay below a kilobyte.
+  /// Replaces this node's value of @p topic and disseminates it to all live nodes at once; nodes
+  /// that miss it pull it later. Values should stay below a kilobyte.
   virtual void publish(const std::string& topic, const std::string& bytes) = 0;
 
   /// Calls @p listener at once with each known value of @p topic, this node's own included, and
--- a/src/membership/local_node.h
+++ b/src/membership/local_node.h
@@ -1,5 +1,5 @@
 /// @file
-/// This node's own record in the directory: what it states of itself, and its incarnation.
+/// This node's own record in the directory, and its incarnation.
 #pragma once
 
 #include "membership/directory.h"
@@ -12,8 +12,8 @@
 /// The record that this node publishes of itself. Not thread-safe.
 ///
 /// Incarnations rise without a clock or a disk: the upper bits count, the lower ones are random for
-/// each run (see incarnation.h). A node that meets a record of itself which it did not write, from
-/// an earlier run, or learns that its present incarnation is confirmed dead takes a count above it.
+/// each run (see incarnation.h). A node that receives a record of itself from an earlier run, or
+/// learns that its current incarnation is confirmed dead, takes an incarnation with a higher count.
 class LocalNode {
  public:
   /// @p info describes the node; its incarnation and state are set here. @p runTag is random for
--- a/src/membership/membership_messages.h
+++ b/src/membership/membership_messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// Messages of the directory service. All of them may be lost, repeated or late.
+/// Messages of the directory service. All of them may be lost, duplicated or delayed.
 #pragma once
 
 #include "kernel/message.h"
@@ -15,7 +15,7 @@
 /// Number of buckets whose digests anti-entropy compares; the hash of an origin's address selects
 /// its bucket.
 inline constexpr std::size_t kDigestBuckets = 64;
-/// Bit set of buckets: all of them.
+/// Bit set of all buckets.
 inline constexpr std::uint64_t kAllBuckets = ~std::uint64_t{0};
 
 /// One published value.
@@ -110,7 +110,7 @@
 /// A monitor's statement that a node does not acknowledge its pings.
 struct Suspicion {
   NodeId target;
-  std::uint64_t incarnation = 0;  ///< Void once the target has a higher one.
+  std::uint64_t incarnation = 0;  ///< Obsolete once the target has a higher one.
   bool operator==(const Suspicion& other) const {
     return target == other.target && incarnation == other.incarnation;
   }
--- a/src/membership/node_table_publisher.cpp
+++ b/src/membership/node_table_publisher.cpp
@@ -13,7 +13,7 @@
 /// A dead node is withheld from other nodes after `deadNodeRetention` divided by this.
 constexpr int kWithholdDivisor = 4;
 
-/// Compares all that a change of the table is published for; the name is not part of it.
+/// Compares the fields whose changes are published; a change of the name alone is not.
 bool sameInfo(const NodeInfo& left, const NodeInfo& right) {
   return left.id == right.id && left.role == right.role && left.state == right.state &&
          left.zone == right.zone && left.incarnation == right.incarnation &&
@@ -46,7 +46,7 @@
   if (!info || info.value().id != origin) {
     return;
   }
-  // A node only states whether it drains; whether it is alive is for the failure detector.
+  // A node reports only whether it drains; the failure detector decides whether it is alive.
   if (info.value().state != NodeState::Draining) {
     info.value().state = NodeState::Alive;
   }
--- a/src/membership/node_table_publisher.h
+++ b/src/membership/node_table_publisher.h
@@ -17,8 +17,8 @@
 
 namespace shedshed {
 
-/// Owns what each node states of itself and the failure detector; publishes the table that follows
-/// from both. Core thread only, but for `table`.
+/// Owns the records of all nodes and the failure detector, and publishes the node table derived
+/// from both. Core thread only, except `table`.
 class NodeTablePublisher {
  public:
   /// @p context must outlive the publisher.
@@ -30,31 +30,31 @@
   /// Calls @p listener after each change of the published table.
   void addListener(std::function<void(const NodeTable&)> listener);
 
-  /// Sets the record of this node.
   void setOwnRecord(const NodeInfo& info);
 
-  /// Takes over the encoded `NodeInfo` that @p origin published; ignores one that cannot be decoded
-  /// or names another node.
+  /// Stores the encoded `NodeInfo` that @p origin published; ignores one that cannot be decoded or
+  /// names another node.
   void setRecord(const NodeId& origin, const std::string& bytes);
 
-  /// Takes over the encoded `SuspicionList` of @p monitor. Bytes that cannot be decoded count as an
+  /// Stores the encoded `SuspicionList` of @p monitor. Bytes that cannot be decoded count as an
   /// empty list.
   void setSuspicions(const NodeId& monitor, const std::string& bytes);
 
   /// Publishes a new table if records or suspicions have changed since the last call.
   void refresh();
 
-  /// Drops the nodes that have been confirmed dead for `deadNodeRetention`, and returns them.
+  /// Removes the nodes that have been confirmed dead for `deadNodeRetention`, and returns them.
   std::vector<NodeId> removeExpired();
 
   /// The nodes that were confirmed dead so long ago that they are no longer offered to other nodes.
-  /// That ends before they are forgotten, so that a node which forgot one does not learn it again.
+  /// This starts before their eviction, so that a node that has evicted one does not receive it
+  /// again.
   std::set<NodeId> withheldNodes() const;
 
  private:
   CoreContext& context_;
   const DirectoryOptions options_;
-  std::map<NodeId, NodeInfo> records_;  ///< What each node states of itself.
+  std::map<NodeId, NodeInfo> records_;  ///< As published by each node.
   FailureDetector detector_;
   bool changed_ = false;  ///< Records or suspicions differ from those of the published table.
   Snapshot<NodeTable> table_;
--- a/src/membership/peer_monitor.cpp
+++ b/src/membership/peer_monitor.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// An interval that starts this many intervals after the one before means that this node itself
-/// was stalled, so that missing acknowledgements prove nothing.
+/// If an interval starts more than this many ping intervals after the previous one, this node
+/// itself was stalled, and missing acknowledgements are not counted.
 constexpr int kStallIntervals = 2;
 
 bool isHealthy(const NodeInfo& node) {
@@ -79,7 +79,8 @@
 
 void PeerMonitor::onPong(const NodeId& from, std::uint64_t number) {
   const auto state = pingStates_.find(from);
-  // The acknowledgement of a ping older than the pending ones proves nothing about the present.
+  // An acknowledgement of a ping older than the pending ones does not show that the node responds
+  // now.
   if (state == pingStates_.end() || !state->second.firstUnacknowledged ||
       number < *state->second.firstUnacknowledged) {
     return;
--- a/src/membership/peer_monitor.h
+++ b/src/membership/peer_monitor.h
@@ -36,11 +36,12 @@
   /// Number to send in the pings of this interval.
   std::uint64_t pingNumber() const { return interval_; }
 
-  /// Handles the acknowledgement of a ping of the present interval or, late, of an earlier one.
+  /// Handles the acknowledgement of a ping of the current interval or, if delayed, of an earlier
+  /// one.
   void onPong(const NodeId& from, std::uint64_t number);
 
-  /// Drops all counts and suspicions. Used when this node learns that it was itself confirmed dead:
-  /// it may have been isolated or stalled, so that its findings prove nothing about others.
+  /// Resets all counts and suspicions. Used when this node learns that it was itself confirmed
+  /// dead: it may have been isolated or stalled, so its suspicions are not reliable.
   void reset();
 
   /// True if a node that is not confirmed dead left a ping unacknowledged for a whole interval.
@@ -60,11 +61,11 @@
 
   const DirectoryOptions options_;
   std::shared_ptr<const NodeTable>
-      monitoredInTable_;  ///< The table that `monitored_` follows from.
+      monitoredInTable_;  ///< The table that `monitored_` was selected from.
   std::vector<NodeId> monitored_;
   std::map<NodeId, PingState> pingStates_;
   std::vector<Suspicion> takenSuspicions_;  ///< Returned last by `takeChangedSuspicions`.
-  std::uint64_t interval_ = 0;              ///< Number of the present interval, from 1.
+  std::uint64_t interval_ = 0;              ///< Number of the current interval, from 1.
   Time intervalStart_{};
 };
 
--- a/src/membership/random_selection.h
+++ b/src/membership/random_selection.h
@@ -1,5 +1,5 @@
 /// @file
-/// Random choice among nodes, drawn from a core's own random engine so that a seed replays it.
+/// Random selection with a core's own random engine, so that a run is reproducible from its seed.
 #pragma once
 
 #include "kernel/core.h"
@@ -10,7 +10,6 @@
 
 namespace shedshed {
 
-/// Shuffles @p values.
 template <class T>
 void shuffle(std::vector<T>& values, RandomEngine& random) {
   for (std::size_t i = values.size(); i > 1; --i) {
@@ -18,7 +17,7 @@
   }
 }
 
-/// Reduces @p values to @p count random ones; draws nothing if there are no more than that.
+/// Reduces @p values to @p count random ones; draws no random number if there are no more.
 template <class T>
 void keepRandom(std::vector<T>& values, std::size_t count, RandomEngine& random) {
   if (values.size() <= count) {
--- a/tests/engines/checked_engines_test.cpp
+++ b/tests/engines/checked_engines_test.cpp
@@ -1,4 +1,4 @@
-// What a node knows from its own health checks.
+// The assignment and the results of a node's own health checks.
 #include "engines/checked_engines.h"
 
 #include "engines/health_check_assignment.h"
--- a/tests/engines/engine_health_checker_core_test.cpp
+++ b/tests/engines/engine_health_checker_core_test.cpp
@@ -109,7 +109,7 @@
     return counts;
   }
 
-  /// All nodes' probes see the same engines unless a test makes one differ.
+  /// All nodes' probes reach the same engines unless a test disconnects one.
   struct SharedProbe : EngineProbe {
     void probe(const std::string& address, std::function<void(EngineHealth)> done) override {
       ++probes;
@@ -260,8 +260,8 @@
 
 }  // namespace
 
-/// The partition hides the checkers' reports; nobody on the node's side has confirmed them dead yet
-/// (chaos 1 of the simulator).
+/// The partition hides the checkers' reports; the isolated node has not confirmed them dead yet
+/// (simulator: scenario chaos, seed 1).
 BOOST_AUTO_TEST_CASE(a_node_partitioned_from_the_checkers_learns_in_time_that_an_engine_drains) {
   HealthCheckFleet fleet(1);
   const std::vector<int> checkers = checkersOf(fleet);
@@ -285,7 +285,8 @@
   BOOST_TEST(fleet.countNodesWith(0, EngineState::Ready) == kNodes);
 }
 
-/// A node whose process stalled does not know how old its table is (chaos 94 of the simulator).
+/// A node whose process stalled does not know how old its table is (simulator: scenario chaos, seed
+/// 94).
 BOOST_AUTO_TEST_CASE(after_a_stall_the_table_is_fresh_only_once_the_engines_have_answered) {
   HealthCheckFleet fleet(1);
   EngineHealthCheckerCore& checker = *fleet.checkerCores[0];
--- a/tests/engines/engine_list_core_test.cpp
+++ b/tests/engines/engine_list_core_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Answers at once, unless the test lets it fail or not answer.
+/// Answers at once, unless a test makes it fail or leave reads unanswered.
 class FakeListing : public ListingSource {
  public:
   void read(std::function<void(Result<std::vector<EngineInfo>>)> done) override {
@@ -90,7 +90,7 @@
     readers += entry.second.reads > 0 ? 1 : 0;
   }
   BOOST_TEST(readers == 1);
-  // About two readings a second, however many nodes pull.
+  // About two reads a second, however many nodes pull.
   BOOST_TEST(reads() - before <= 25);
 }
 
@@ -104,7 +104,7 @@
 
 BOOST_FIXTURE_TEST_CASE(a_reader_that_cannot_read_is_skipped, ListFleet) {
   for (auto& entry : listings) {
-    entry.second.fails = entry.second.reads > 0;  // The present reader is cut from the source.
+    entry.second.fails = entry.second.reads > 0;  // The current reader cannot reach the source.
   }
   setAll({makeEngine("e1", EngineState::Draining), makeEngine("e2")});
   fleet.harness.advance(std::chrono::milliseconds(2800));
@@ -127,8 +127,8 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-/// After the loss of all processes the nodes start without a directory, the readers a little later;
-/// until the first list a node refuses all calls.
+/// After a restart of the whole fleet the nodes start with an empty directory, the readers a little
+/// later. Until its first listing a node rejects all calls.
 BOOST_AUTO_TEST_CASE(a_node_that_starts_with_the_complete_fleet_has_the_list_within_150_ms) {
   int longestMs = 0;
   for (int delayMs = 0; delayMs <= 600; delayMs += 20) {
@@ -163,7 +163,8 @@
   BOOST_TEST(longestMs <= 150);
 }
 
-// In a large fleet one node answered the pulls of all, and every register node read the source.
+// Regression: in a large fleet one node answered the pulls of all, and every register node read the
+// source.
 BOOST_AUTO_TEST_CASE(data_nodes_of_a_large_fleet_pull_from_relays) {
   constexpr int kStores = 8;
   constexpr int kAll = 120;
@@ -215,7 +216,7 @@
     readers += entry.second.reads > readsBefore[entry.first] ? 1 : 0;
   }
   BOOST_TEST(readers == 1);
-  // A direct answer to each node's two pulls a second would be 240 a second.
+  // Without relays one node would answer two pulls a second of each node: 240 a second.
   for (const auto& entry : pulls) {
     BOOST_TEST(entry.second / kSeconds < 100);
   }
@@ -226,7 +227,7 @@
     BOOST_TEST((lists[index]->table()->engines[0].state == EngineState::Draining));
     BOOST_TEST(toMilliseconds(fleet.harness.now - lists[index]->validatedAt()) < 2000);
   }
-  // The reader is cut from the source: another one reads instead.
+  // The reader cannot reach the source: another one reads instead.
   for (auto& entry : listings) {
     entry.second.fails = entry.second.reads > readsBefore[entry.first];
   }
--- a/tests/engines/listing_reader_test.cpp
+++ b/tests/engines/listing_reader_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Answers when the test says so.
+/// Keeps reads pending until the test answers them.
 class SlowListing : public ListingSource {
  public:
   void read(std::function<void(Result<std::vector<EngineInfo>>)> done) override {
--- a/tests/engines/peer_result_verification_test.cpp
+++ b/tests/engines/peer_result_verification_test.cpp
@@ -1,4 +1,4 @@
-// When the engines are checked anew, and from when on the table counts again.
+// When the engines are rechecked, and when the table is fresh again.
 #include "engines/peer_result_verification.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/membership/directory_core_test.cpp
+++ b/tests/membership/directory_core_test.cpp
@@ -168,7 +168,7 @@
   fleet.advance(5);
   BOOST_TEST((fleet.stateAt(viewer, kTarget) == NodeState::Suspect));
 
-  // The withdrawal of the first monitor is lost on its way to the viewer, the second suspicion not.
+  // The viewer misses the first monitor's withdrawal but receives the second monitor's suspicion.
   const auto passes = fleet.harness.filter;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
     const bool ping = envelope.message.kind == Ping::kKind || envelope.message.kind == Pong::kKind;
--- a/tests/membership/large_fleet_test.cpp
+++ b/tests/membership/large_fleet_test.cpp
@@ -1,4 +1,4 @@
-/// The directory at the size of hundreds of nodes: forming, joining, spreading a change.
+/// Tests of the directory with hundreds of nodes: formation, joins and dissemination.
 #include "membership/test_fleet.h"
 
 using namespace shedshed;
@@ -7,12 +7,13 @@
 namespace {
 
 constexpr int kFleetSize = 300;
-/// Pings within which a mass failure must be known: five seconds at the interval of the platform.
+/// Ping intervals within which a mass failure must be detected: five seconds at the platform's
+/// interval.
 constexpr int kPingsToDetect = 14;
-/// A record of a node with its addresses takes about this much.
+/// Approximate size of the record of a node with its addresses.
 constexpr std::size_t kRecordBytes = 250;
 
-/// Counts what passes between nodes.
+/// Counts the messages and bytes sent between nodes.
 struct Traffic {
   explicit Traffic(TestFleet& fleet) {
     fleet.harness.filter = [this](const Harness::Envelope& envelope) {
@@ -102,7 +103,7 @@
   BOOST_TEST(fleet.countAlivePairs() == (kFleetSize + 1) * kFleetSize);
 }
 
-// Regression: each change went from its origin to all nodes, over as many links.
+// Regression: each origin pushed its changes to all nodes, over a connection to each.
 BOOST_AUTO_TEST_CASE(a_change_reaches_a_large_fleet_over_a_bounded_number_of_links) {
   constexpr std::size_t kMaxLinks = 40;
   TestFleet fleet;
@@ -134,7 +135,7 @@
   BOOST_TEST(perNode < kMaxBytes);
 }
 
-// Fleet-wide faults, with nothing but directories.
+// Fleet-wide faults; the nodes run only the directory.
 
 BOOST_AUTO_TEST_CASE(a_large_fleet_whose_processes_all_restart_forms_again) {
   TestFleet fleet;
--- a/tests/membership/test_fleet.h
+++ b/tests/membership/test_fleet.h
@@ -17,7 +17,7 @@
     harness.filter = [this](const Harness::Envelope& envelope) { return passes(envelope); };
   }
 
-  /// Starts (again) the node number @p index; nodes 0, 1 and 2 are the seeds.
+  /// Starts or restarts node @p index; nodes 0, 1 and 2 are the seeds.
   DirectoryCore& start(int index, NodeRole role = NodeRole::Data) {
     NodeInfo info;
     info.id = id(index);
@@ -32,7 +32,7 @@
     return *cores[info.id];
   }
 
-  /// Starts @p data data nodes and then @p stores store nodes, and lets them meet.
+  /// Starts @p data data nodes and then @p stores store nodes, and lets them discover each other.
   void form(int data, int stores) {
     for (int i = 0; i < data + stores; ++i) {
       start(i, i < data ? NodeRole::Data : NodeRole::Store);
@@ -99,7 +99,7 @@
 
   Harness harness;
   std::map<NodeId, std::unique_ptr<DirectoryCore>> cores;
-  std::set<NodeId> otherPartition;                   ///< Cut off from all nodes not in the set.
+  std::set<NodeId> otherPartition;                   ///< Partitioned from all nodes not in the set.
   std::set<std::pair<NodeId, NodeId>> blockedLinks;  ///< Sender and receiver.
 
  private:
