--- a/src/engines/engine_list_core.h
+++ b/src/engines/engine_list_core.h
@@ -1,16 +1,16 @@
 /// @file
-/// Brings the platform's listing of engines to all nodes, through one reader.
+/// Distributes the platform's listing of engines to all nodes, through one reader.
 ///
 /// Register nodes can read the source. The first live one in the order of ids reads it while it
 /// receives pulls, so there is one reader at a time without an election; another one reads only
-/// when its own listing is older than `oldListing`. Nodes pull the listing from the reader; in a
-/// large fleet data nodes pull it from the other control nodes, which relay their listings, each
-/// data node from one chosen by rendezvous. A node whose source does not answer, or has an old
+/// when its own listing is older than `staleListingAge`. Nodes pull the listing from the reader; in
+/// a large fleet data nodes pull it from the other control nodes, which relay their listings, each
+/// data node from one chosen by rendezvous. A node whose source does not reply, or has a stale
 /// listing, pulls from the next one.
 ///
-/// A pull proves that its answer's listing was current at the time at which the pull was sent, less
-/// the age that the answer gives: no clocks of two nodes are compared. So each node has an upper
-/// bound of the age of its listing.
+/// The listing in a reply was current at the time at which the pull was sent, minus the age in the
+/// reply. So each node knows an upper bound of the age of its listing, and the clocks of two nodes
+/// are never compared.
 #pragma once
 
 #include "engines/engine_table.h"
@@ -27,17 +27,17 @@
 
 namespace shedshed {
 
-/// Times of the engine list.
+/// Timing and limits of the engine list.
 struct EngineListOptions {
   Duration pullInterval = std::chrono::milliseconds(500);
-  /// Between pulls, each at the next node, until the first answer.
+  /// Between pulls, each from the next source, until the first reply.
   Duration firstPullInterval = std::chrono::milliseconds(100);
-  Duration pullTimeout = std::chrono::milliseconds(400);  ///< Then the next node is tried.
-  /// A cached listing older than this is read anew before a pull is answered.
+  Duration pullTimeout = std::chrono::milliseconds(400);  ///< Then the next source is tried.
+  /// A cached listing older than this is refreshed before a pull is answered.
   Duration refreshAge = std::chrono::milliseconds(450);
-  /// After an answer with a listing older than this a node pulls from the next one.
-  Duration oldListing = std::chrono::milliseconds(1200);
-  std::size_t directPullers = 64;  ///< With more live nodes, data nodes pull from relays.
+  /// After a reply with a listing older than this a node pulls from the next source.
+  Duration staleListingAge = std::chrono::milliseconds(1200);
+  std::size_t directPullers = 64;  ///< With more known nodes, data nodes pull from relays.
 };
 
 /// Any node → control node: requests the listing.
@@ -50,12 +50,12 @@
 };
 
 /// Control node → any node: answers `ListingPull`.
-struct ListingAnswer {
+struct ListingReply {
   static constexpr ServiceId kService = ServiceId::EngineList;
   static constexpr std::uint16_t kKind = 2;
   std::uint64_t request = 0;
-  bool known = false;                 ///< False if the sender never read the source.
-  std::uint64_t ageMilliseconds = 0;  ///< Since the reading was started, rounded up.
+  bool known = false;                 ///< False if the sender has no listing.
+  std::uint64_t ageMilliseconds = 0;  ///< Upper bound of the time since the read was started.
   std::uint64_t digest = 0;
   std::vector<EngineInfo> engines;  ///< Empty if the requester has the same digest.
   MSGPACK_DEFINE(request, known, ageMilliseconds, digest, engines);
@@ -75,11 +75,12 @@
   std::shared_ptr<const EngineTable> table() const override { return table_.read(); }
   void addListener(std::function<void(const EngineTable&)> listener) override;
 
-  /// The time at which the table was provably current; `Time::min()` before the first answer.
-  Time provedAt() const { return provedAt_; }
+  /// The latest time at which the table is known to have been current; `Time::min()` before the
+  /// first reply.
+  Time validatedAt() const { return validatedAt_; }
 
  private:
-  /// A pull that is answered when the reading in progress has ended.
+  /// A pull that is answered when the read in progress has ended.
   struct WaitingPull {
     NodeId from;
     ListingPull pull;
@@ -87,19 +88,19 @@
 
   // Pulling.
   void pull();
-  bool hasListing() const { return provedAt_ != Time::min(); }
+  bool hasListing() const { return validatedAt_ != Time::min(); }
   /// The nodes to pull from, in the order in which they are tried.
   std::vector<NodeId> sources() const;
-  void onAnswer(const ListingAnswer& answer);
-  void adopt(const ListingAnswer& answer, Time provedAt);
+  void onReply(const ListingReply& reply);
+  void adopt(const ListingReply& reply, Time validatedAt);
 
   // Answering.
   void onPull(const NodeId& from, const ListingPull& pull);
-  /// Answers with the newer one of the listing that was read and the one that was pulled.
-  void answer(const NodeId& to, const ListingPull& pull);
-  void answerWaitingPulls();
+  /// Replies with the newer of the listing that was read and the one that was pulled.
+  void reply(const NodeId& to, const ListingPull& pull);
+  void replyToWaitingPulls();
   void readSource();
-  /// True if no other node reads for this one.
+  /// True if this node must read the source itself.
   bool mustRead() const;
   std::vector<NodeId> readers(const NodeTable& nodes) const;
 
@@ -109,10 +110,10 @@
   // Pulling.
   Time startedAt_{};
   std::uint64_t lastRequest_ = 0;
-  std::map<std::uint64_t, Time> openPulls_;  ///< When each was sent, by request.
-  std::size_t nextSource_ = 0;               ///< Index among `sources`.
+  std::map<std::uint64_t, Time> outstandingPulls_;  ///< When each was sent, by request.
+  std::size_t nextSource_ = 0;                      ///< Index among `sources`.
   std::uint32_t pulls_ = 0;
-  Time provedAt_ = Time::min();
+  Time validatedAt_ = Time::min();
   std::uint64_t digest_ = 0;
   Snapshot<EngineTable> table_;
   std::vector<std::function<void(const EngineTable&)>> listeners_;
--- a/src/engines/engine_listing.cpp
+++ b/src/engines/engine_listing.cpp
@@ -23,7 +23,7 @@
   return makeError(ErrorCode::InvalidArgument, path + ": " + allowed);
 }
 
-/// cJSON recurses, so the depth is bounded before it sees the text.
+/// cJSON parses recursively, so the depth is checked before it parses the text.
 Status checkDepth(std::string_view json) {
   int depth = 0;
   bool inString = false;
@@ -67,7 +67,7 @@
 }
 
 /// Reads a decimal number without sign or leading zeros.
-std::optional<long> readDecimal(const std::string& text, long highest) {
+std::optional<long> readDecimal(const std::string& text, long maximum) {
   constexpr std::size_t kMaxDigits = 5;
   const bool digits =
       !text.empty() && text.size() <= kMaxDigits &&
@@ -76,7 +76,7 @@
     return std::nullopt;
   }
   const long value = std::stol(text);
-  return value <= highest ? std::optional<long>(value) : std::nullopt;
+  return value <= maximum ? std::optional<long>(value) : std::nullopt;
 }
 
 bool isAddress(const std::string& text) {
@@ -98,16 +98,16 @@
   return octets == kOctets && port && *port > 0;
 }
 
-/// Visible ASCII only: ids and models end up in headers, logs and gossip.
+/// Visible ASCII only: ids and models are used in headers, logs and gossip.
 Result<std::string> readName(const cJSON* object, const char* key, const std::string& path,
-                             std::size_t longest) {
+                             std::size_t maxLength) {
   const cJSON* item = cJSON_GetObjectItemCaseSensitive(object, key);
   const std::string text = cJSON_IsString(item) ? item->valuestring : "";
   const bool visible =
       std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
-  if (text.empty() || text.size() > longest || !visible) {
+  if (text.empty() || text.size() > maxLength || !visible) {
     return invalid(path + "." + key,
-                   "must be a string of 1 to " + std::to_string(longest) + " visible characters");
+                   "must be a string of 1 to " + std::to_string(maxLength) + " visible characters");
   }
   return text;
 }
@@ -182,11 +182,11 @@
                      "$: at most " + std::to_string(kMaxListingBytes) + " bytes");
   }
   if (json.find('\0') != std::string_view::npos) {
-    return invalid("$", "holds a zero byte");
+    return invalid("$", "must not contain a NUL byte");
   }
   BOOST_OUTCOME_TRYV(checkDepth(json));
   const std::string text(json);
-  // With a required terminator cJSON refuses anything after the value.
+  // With a required terminator cJSON rejects anything after the value.
   const Json root(cJSON_ParseWithOpts(text.c_str(), nullptr, 1), &cJSON_Delete);
   if (root == nullptr) {
     return invalid("$", "not valid JSON");
--- a/src/membership/directory_core.cpp
+++ b/src/membership/directory_core.cpp
@@ -13,15 +13,16 @@
 constexpr TimerId kIntervalTimer = 1;
 constexpr TimerId kForwardTimer = 2;
 
-/// Dead nodes that are notified at each probe; bounds the traffic after the loss of a zone.
-constexpr std::size_t kDeadNotifiedPerProbe = 4;
+/// Maximum number of dead nodes that are pinged in one probe; bounds the traffic after the loss of
+/// a zone.
+constexpr std::size_t kMaxDeadNodesPerProbe = 4;
 
 }  // namespace
 
 DirectoryCore::DirectoryCore(CoreContext& context, NodeInfo self, std::vector<NodeId> seeds,
                              DirectoryOptions options)
     : context_(context), options_(options), local_(std::move(self), context.random()()),
-      peers_(local_.id(), std::move(seeds), options.directTargets),
+      peers_(local_.id(), std::move(seeds), options.pushFanout),
       store_([this](const NodeId& origin, const GossipVersion& version, const std::string& topic,
                     const std::string& bytes) { onRecordChanged(origin, version, topic, bytes); }),
       exchange_(context, store_, options, *this, kForwardTimer), monitor_(options),
@@ -108,13 +109,13 @@
 void DirectoryCore::raiseIncarnationAbove(std::uint64_t incarnation) {
   local_.raiseIncarnationAbove(incarnation);
   publisher_.setOwnRecord(local_.info());
-  // A node that others found dead, or that has just restarted, may have been isolated or stalled:
-  // its own findings prove nothing about others.
+  // A node that others confirmed dead, or that has just restarted, may have been isolated or
+  // stalled, so its own suspicions are not reliable.
   monitor_.reset();
   store_.raiseIncarnation(local_.id(), local_.incarnation());
   store_.publish(local_.id(), kSuspicionTopic, encodeRecord(SuspicionList{}));
   store_.publish(local_.id(), kNodeTopic, encodedLocalNode());
-  // After a network partition two nodes may each have the other as confirmed dead.
+  // After a network partition two nodes may each have confirmed the other dead.
   const std::vector<NodeId> dead = deadNodes();
   exchange_.pushOwnRecords(0, gossipPeers());
   exchange_.pushOwnRecords(0, dead);
@@ -142,7 +143,7 @@
   publishSuspicions();
   publisher_.refresh();
   startAntiEntropy();
-  forgetExpiredNodes();
+  evictExpiredNodes();
   publisher_.refresh();
 }
 
@@ -156,11 +157,11 @@
   if (intervals_ % options_.deadProbeIntervals != 0) {
     return;
   }
-  // Tables may differ: a node that missed the withdrawal of a suspicion confirms a death that no
-  // other node does, and only the node concerned can undo that, by a higher incarnation.
+  // Tables may diverge: a node that missed the withdrawal of a suspicion may confirm a death that
+  // no other node confirms. Only the affected node can refute it, with a higher incarnation.
   std::vector<NodeId> dead = deadNodes();
   shuffle(dead, context_.random());
-  dead.resize(std::min(dead.size(), kDeadNotifiedPerProbe));
+  dead.resize(std::min(dead.size(), kMaxDeadNodesPerProbe));
   for (const NodeId& node : dead) {
     context_.send(node, Ping{monitor_.pingNumber(), deadIncarnationOf(node)});
   }
@@ -181,7 +182,8 @@
   if (!live.empty() && intervals_ % options_.deadProbeIntervals != 0) {
     return;
   }
-  // Through seeds and dead nodes a node joins the fleet, and rejoins it after a network partition.
+  // Seeds and dead nodes are contacted too: through them a node joins the fleet, and rejoins it
+  // after a network partition.
   std::vector<NodeId> others = deadNodes();
   others.insert(others.end(), peers_.seeds().begin(), peers_.seeds().end());
   shuffle(others, context_.random());
@@ -189,9 +191,9 @@
   exchange_.requestComparison(others);
 }
 
-void DirectoryCore::forgetExpiredNodes() {
+void DirectoryCore::evictExpiredNodes() {
   for (const NodeId& node : publisher_.removeExpired()) {
-    exchange_.forget(node);
+    exchange_.evict(node);
   }
 }
 
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Suspecting monitors that confirm a death, where the fleet has that many.
+/// Number of suspecting monitors that confirms a death, if the fleet has that many.
 constexpr std::size_t kSuspicionQuorum = 2;
 
 }  // namespace
@@ -24,11 +24,11 @@
 }
 
 void FailureDetector::withdraw(const NodeId& monitor) {
-  const auto former = suspicions_.find(monitor);
-  if (former == suspicions_.end()) {
+  const auto previous = suspicions_.find(monitor);
+  if (previous == suspicions_.end()) {
     return;
   }
-  for (const Suspicion& suspicion : former->second) {
+  for (const Suspicion& suspicion : previous->second) {
     const auto target = suspectingByTarget_.find(suspicion.target);
     if (target == suspectingByTarget_.end()) {
       continue;
@@ -38,7 +38,7 @@
       suspectingByTarget_.erase(target);
     }
   }
-  suspicions_.erase(former);
+  suspicions_.erase(previous);
 }
 
 void FailureDetector::evaluate(Time now, const NodeId& self, std::vector<NodeInfo>& nodes) {
@@ -48,7 +48,7 @@
       deaths_.erase(death);
     }
   }
-  // Each confirmed death may lower the number of monitors that are possible at all.
+  // Each confirmed death reduces the number of possible monitors and may lower the quorum.
   while (confirmDeaths(now, self, nodes)) {
   }
   for (NodeInfo& node : nodes) {
@@ -84,7 +84,7 @@
   }
   std::size_t count = 0;
   for (const auto& [monitor, incarnation] : suspecting->second) {
-    // The last suspicions of a dead monitor may follow from its own isolation.
+    // The last suspicions of a dead monitor may result from its own isolation.
     const bool counts = monitor != target.id && dead.count(monitor) == 0;
     count += counts && incarnation >= target.incarnation ? 1 : 0;
   }
--- a/src/membership/gossip_forwarder.cpp
+++ b/src/membership/gossip_forwarder.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Delay of the first forward after a quiet time: the smallest that a timer has.
+/// Delay of the first forward after an idle time: the minimum duration of a timer.
 constexpr Duration kNoDelay{1};
 
 }  // namespace
@@ -33,7 +33,7 @@
   // Changes that arrive during the delay share the next message.
   context_.startTimer(timer_, options_.forwardDelay);
   std::vector<NodeId> targets = peers;
-  keepRandom(targets, options_.forwardTargets, context_.random());
+  keepRandom(targets, options_.forwardFanout, context_.random());
   const Message message = encodeMessage(DeltaBatch{std::move(pending_), true});
   pending_.clear();
   for (const NodeId& target : targets) {
--- a/src/membership/gossip_record_store.cpp
+++ b/src/membership/gossip_record_store.cpp
@@ -16,7 +16,8 @@
   return (buckets >> bucketOf(addressHash) & 1U) != 0;
 }
 
-/// Mixes all of its numbers, so that a sum of such hashes differs when one of its terms does.
+/// Hashes the address and the version together, so that the sum over a bucket changes with each of
+/// its entries.
 std::uint64_t entryDigest(std::uint64_t addressHash, const GossipVersion& version) {
   const std::uint64_t parts[] = {addressHash, version.incarnation, version.sequence};
   return hash64({reinterpret_cast<const char*>(parts), sizeof(parts)});
@@ -63,21 +64,21 @@
   OriginState& state = stateOf(delta.origin);
   state.version = upTo;
   if (known.incarnation != delta.incarnation) {
-    dropUnlisted(delta.origin, state, delta);
+    withdrawMissingTopics(delta.origin, state, delta);
   }
   for (const GossipRecord& record : delta.records) {
-    Record& slot = state.records[record.topic];
-    if (record.sequence <= slot.sequence) {
+    Record& stored = state.records[record.topic];
+    if (record.sequence <= stored.sequence) {
       continue;
     }
-    slot = Record{record.sequence, record.bytes};
+    stored = Record{record.sequence, record.bytes};
     changed_(delta.origin, upTo, record.topic, record.bytes);
   }
   return Outcome::Applied;
 }
 
-void GossipRecordStore::dropUnlisted(const NodeId& origin, OriginState& state,
-                                     const GossipDelta& delta) {
+void GossipRecordStore::withdrawMissingTopics(const NodeId& origin, OriginState& state,
+                                              const GossipDelta& delta) {
   std::map<std::string, Record> before = std::move(state.records);
   state.records.clear();
   for (const GossipRecord& record : delta.records) {
--- a/src/membership/peer_monitor.cpp
+++ b/src/membership/peer_monitor.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// An interval that starts this many intervals after the one before means that this node itself
-/// was stalled, so that missing acknowledgements prove nothing.
+/// If an interval starts more than this many ping intervals after the previous one, this node
+/// itself was stalled, and missing acknowledgements are not counted.
 constexpr int kStallIntervals = 2;
 
 bool isHealthy(const NodeInfo& node) {
@@ -18,16 +18,16 @@
                std::uint32_t monitorsPerNode) {
   const std::string key = "watch/" + target.id.address;
   const std::uint64_t ownWeight = rendezvousWeight(key, self.address);
-  std::uint32_t before = 0;
+  std::uint32_t rank = 0;
   for (const NodeInfo& node : table.nodes) {
     if (node.id == self || node.id == target.id || !isHealthy(node)) {
       continue;
     }
     const std::uint64_t weight = rendezvousWeight(key, node.id.address);
     if (weight > ownWeight || (weight == ownWeight && node.id < self)) {
-      ++before;
+      ++rank;
     }
-    if (before >= monitorsPerNode) {
+    if (rank >= monitorsPerNode) {
       return false;
     }
   }
@@ -79,7 +79,8 @@
 
 void PeerMonitor::onPong(const NodeId& from, std::uint64_t number) {
   const auto state = pingStates_.find(from);
-  // The acknowledgement of a ping older than the pending ones proves nothing about the present.
+  // An acknowledgement of a ping older than the pending ones does not show that the node responds
+  // now.
   if (state == pingStates_.end() || !state->second.firstUnacknowledged ||
       number < *state->second.firstUnacknowledged) {
     return;
--- a/tests/membership/directory_core_test.cpp
+++ b/tests/membership/directory_core_test.cpp
@@ -168,7 +168,7 @@
   fleet.advance(5);
   BOOST_TEST((fleet.stateAt(viewer, kTarget) == NodeState::Suspect));
 
-  // The withdrawal of the first monitor is lost on its way to the viewer, the second suspicion not.
+  // The viewer misses the first monitor's withdrawal but receives the second monitor's suspicion.
   const auto passes = fleet.harness.filter;
   fleet.harness.filter = [&](const Harness::Envelope& envelope) {
     const bool ping = envelope.message.kind == Ping::kKind || envelope.message.kind == Pong::kKind;
@@ -217,9 +217,9 @@
   BOOST_TEST(fleet.countNodesSeeing(4, NodeState::Alive) == kNodes - 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_node_is_forgotten_by_all_after_forget_after) {
+BOOST_AUTO_TEST_CASE(a_dead_node_is_evicted_by_all_after_its_retention) {
   DirectoryOptions options;
-  options.forgetAfter = std::chrono::seconds(60);
+  options.deadNodeRetention = std::chrono::seconds(60);
   TestFleet fleet(options);
   fleet.form(kData, kStores);
   fleet.kill(kVictim);
@@ -258,7 +258,7 @@
   BOOST_TEST(seen == expected, boost::test_tools::per_element());
 }
 
-BOOST_AUTO_TEST_CASE(idle_traffic_at_390_nodes_stays_in_its_bounds) {
+BOOST_AUTO_TEST_CASE(idle_traffic_at_390_nodes_is_bounded) {
   TestFleet fleet;
   for (int i = 0; i < 390; ++i) {
     fleet.start(i);
