--- a/src/operators/command_decoder.cpp
+++ b/src/operators/command_decoder.cpp
@@ -80,7 +80,7 @@
   Decoded (*decode)(std::string id);
 };
 
-/// The longer suffixes come first.
+/// Matched in this order, so the longer suffixes come first.
 constexpr ObjectRoute kObjectRoutes[] = {
     {"POST", "/v1/batches/", "/cancel",
      [](std::string id) { return make<CancelBatchCommand>(std::move(id)); }},
@@ -90,7 +90,7 @@
      [](std::string id) { return make<ExplainCallCommand>(std::move(id)); }},
 };
 
-/// Returns the id that @p path names; nullopt if it is not of the route's form.
+/// Returns the id in @p path; nullopt if the path does not match @p route.
 std::optional<std::string> parseObjectId(const std::string& path, const ObjectRoute& route) {
   const std::size_t affixSize = route.prefix.size() + route.suffix.size();
   if (path.size() <= affixSize || path.compare(0, route.prefix.size(), route.prefix) != 0 ||
--- a/src/operators/command_decoder.h
+++ b/src/operators/command_decoder.h
@@ -1,5 +1,5 @@
 /// @file
-/// Turns an operator's HTTP call into a command object.
+/// Decodes operators' HTTP calls into commands.
 #pragma once
 
 #include "operators/operator_call.h"
--- a/src/operators/command_runner.cpp
+++ b/src/operators/command_runner.cpp
@@ -4,7 +4,7 @@
 
 namespace shedshed {
 
-/// The place where the core thread leaves the answer to one command.
+/// Hands the answer to one command from the core thread to the waiting HTTP thread.
 class CommandRunner::PendingReply {
  public:
   void complete(CommandReply reply) {
@@ -61,7 +61,7 @@
   if (!pending) {
     return errorReply(makeError(ErrorCode::Draining, "this process is stopping"));
   }
-  // The command lives in its own completion, so it outlasts a wait that was given up.
+  // The completion callback owns the command, so that the command outlives an abandoned wait.
   const std::shared_ptr<OperatorCommand> shared = std::move(command);
   executor_.post([shared, pending, &services = services_] {
     shared->execute(services,
--- a/src/operators/command_runner.h
+++ b/src/operators/command_runner.h
@@ -11,7 +11,7 @@
 
 namespace shedshed {
 
-/// Waits on behalf of HTTP threads. Thread-safe.
+/// Lets HTTP threads wait for commands on the core thread. Thread-safe.
 class CommandRunner {
  public:
   /// Runs commands through @p executor with @p services; waits at most @p deadline for each.
--- a/src/operators/fleet_commands.cpp
+++ b/src/operators/fleet_commands.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Machines that one `init` may name.
+/// Maximum addresses in each list of an `init` request.
 constexpr int kMaxInitialMembers = 32;
 constexpr JsonBounds kInitBounds{64U << 10U, 3};
 
@@ -29,7 +29,7 @@
                        seen.insert(item->valuestring).second;
     if (!valid) {
       return jsonError(path + "/" + std::to_string(ids.size()), item,
-                       "an \"ip:port\" that stands once");
+                       "an \"ip:port\" that is listed only once");
     }
     ids.push_back(NodeId{item->valuestring});
   }
@@ -68,7 +68,8 @@
 void InitFleetCommand::execute(OperatorServices& services, CommandDone done) {
   if (services.fleetForming == nullptr) {
     done(errorReply(
-        makeError(ErrorCode::NotReady, "this process cannot form a fleet; ask a control process")));
+        makeError(ErrorCode::NotReady,
+                  "this process cannot form a fleet; send the call to a control process")));
     return;
   }
   const auto answer = [done = std::move(done)](const Result<MemberList>& members) {
--- a/src/operators/http_errors.cpp
+++ b/src/operators/http_errors.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Wait before a call that found the fleet not ready is worth repeating, in seconds.
+/// Sent with 429 and 503.
 constexpr unsigned kRetryAfterSeconds = 1;
 
 }  // namespace
--- a/src/operators/http_errors.h
+++ b/src/operators/http_errors.h
@@ -1,5 +1,5 @@
 /// @file
-/// How typed errors travel over HTTP; see the table in docs/API.md.
+/// Mapping between typed errors and HTTP; see the table in docs/API.md.
 #pragma once
 
 #include "kernel/error.h"
@@ -13,8 +13,7 @@
 /// Returns the reason phrase of an HTTP status.
 const char* httpReasonOf(unsigned status);
 
-/// Returns the whole seconds after which a refused call may come back; nullopt if coming back
-/// does not help.
+/// Returns the `Retry-After` of a refused call in whole seconds; nullopt if a retry does not help.
 std::optional<unsigned> retryAfterSecondsOf(ErrorCode code);
 
 /// Returns the error code whose stable name is @p name; nullopt for an unknown name.
--- a/src/operators/inspection_commands.cpp
+++ b/src/operators/inspection_commands.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 Error notAStoreError() {
-  return makeError(ErrorCode::NotFound, "this node is no store; ask the stores");
+  return makeError(ErrorCode::NotFound, "this node is not a store; send the call to a store");
 }
 
 std::function<void(Result<BatchStatus>)> batchCallback(CommandDone done) {
@@ -47,7 +47,8 @@
   const std::optional<std::string> text =
       services.explainCall ? services.explainCall(requestId_) : std::nullopt;
   done(text ? jsonReply(*text)
-            : errorReply(makeError(ErrorCode::NotFound, "this node knows no call " + requestId_)));
+            : errorReply(
+                  makeError(ErrorCode::NotFound, "this node has no record of call " + requestId_)));
 }
 
 }  // namespace shedshed
--- a/src/operators/inspection_commands.h
+++ b/src/operators/inspection_commands.h
@@ -1,12 +1,13 @@
 /// @file
-/// Commands that show what a node does at present: slots, batches, calls.
+/// Commands that show the slots, batches and calls of a node, and cancel batches.
 #pragma once
 
 #include "operators/operator_command.h"
 
 namespace shedshed {
 
-/// `GET /v1/slots`: the pools that this store owns, who holds their slots, and why N.
+/// `GET /v1/slots`: the pools that this store owns, the holders of their slots, and
+/// how the size of each pool is derived.
 class SlotsCommand : public OperatorCommand {
  public:
   void execute(OperatorServices& services, CommandDone done) override;
@@ -39,7 +40,7 @@
   std::string batchId_;
 };
 
-/// `GET /v1/requests/{id}`: what this node decided about one call.
+/// `GET /v1/requests/{id}`: the decisions of this node about one call.
 class ExplainCallCommand : public OperatorCommand {
  public:
   explicit ExplainCallCommand(std::string requestId) : requestId_(std::move(requestId)) {}
--- a/src/operators/inspection_json.h
+++ b/src/operators/inspection_json.h
@@ -1,5 +1,5 @@
 /// @file
-/// JSON of what the supervision commands answer.
+/// JSON encoding of the answers to inspection commands.
 #pragma once
 
 #include "batch/batch_client.h"
--- a/src/operators/operator_call.h
+++ b/src/operators/operator_call.h
@@ -21,7 +21,7 @@
   std::string body;
 };
 
-/// What each change carries besides its content.
+/// Headers that each change must carry.
 struct ChangeHeaders {
   std::uint64_t baseVersion = 0;
   std::string orderId;
--- a/src/operators/operator_call_handler.cpp
+++ b/src/operators/operator_call_handler.cpp
@@ -38,7 +38,7 @@
 CommandReply OperatorCallHandler::handle(const OperatorCall& call) {
   if (!isPublicPath(call) && !isAuthenticated(call)) {
     return errorReply(makeError(ErrorCode::Unauthenticated,
-                                "Authorization: allowed: Bearer and the operator key"));
+                                "Authorization: allowed: Bearer followed by the operator key"));
   }
   if (call.method == "GET" && call.path == kHealthPath) {
     return jsonReply(R"({"alive":true})");
--- a/src/operators/operator_command.h
+++ b/src/operators/operator_command.h
@@ -1,5 +1,5 @@
 /// @file
-/// One call of an operator, decoded, to be run on the core thread.
+/// Decoded operators' calls, which run on the core thread.
 #pragma once
 
 #include "operators/operator_services.h"
@@ -11,13 +11,13 @@
 
 namespace shedshed {
 
-/// The answer to a command, collected whole.
+/// The complete answer to a command.
 struct CommandReply {
   unsigned status = 200;  ///< HTTP status.
   std::string contentType = "application/json";
   std::string body;
   std::optional<std::uint64_t> version;  ///< Sent as `ETag`.
-  std::optional<Error> error;            ///< If set, the body is made of it by the server.
+  std::optional<Error> error;            ///< If set, the server builds the body from it.
 };
 
 /// Called once with the answer, on any thread.
--- a/src/operators/operator_services.h
+++ b/src/operators/operator_services.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the operators' commands need from the node that they run on.
+/// Interfaces of the node that operators' commands use.
 #pragma once
 
 #include "batch/batch_client.h"
@@ -24,8 +24,8 @@
   virtual ~FleetForming() = default;
 
   /// Forms a fleet whose registers are kept by @p acceptors and whose partitions by @p stores.
-  /// Only an explicit order of an operator may call this: machines that all lost their disks must
-  /// not form a second history by themselves.
+  /// Must only be called on an explicit request of an operator: machines that all lost their disks
+  /// must not form a new fleet, with a second history, by themselves.
   ///
   /// @p done is called once with the members, or with `AlreadyExists` if the fleet was formed
   /// before, `NoQuorum` if a machine could not be reached and nothing was formed, or
@@ -42,7 +42,7 @@
   bool owner = false;  ///< True if this node owns the partition under that epoch.
 };
 
-/// How far a store's copies of the partitions have come.
+/// Progress of a store in replicating the partitions.
 struct StoreProgress {
   bool isMember = false;      ///< The members list names this store with its present disk.
   std::uint32_t held = 0;     ///< Partitions held in full.
@@ -50,7 +50,7 @@
   std::uint32_t total = 0;
 };
 
-/// Admits this store in place of another member. Core thread only.
+/// Admits this store as the replacement of another member. Core thread only.
 class StoreAdmission {
  public:
   virtual ~StoreAdmission() = default;
@@ -61,7 +61,7 @@
   virtual void replace(const NodeId& oldId, std::function<void(Result<MemberList>)> done) = 0;
 };
 
-/// The batches of all tenants on this store. Core thread only.
+/// Lists, shows and cancels the batches of all tenants on this store. Core thread only.
 class BatchAdmin {
  public:
   virtual ~BatchAdmin() = default;
@@ -81,7 +81,7 @@
   std::string zone;
   Status ready = okStatus();  ///< The reason if the node is not ready.
   /// Remaining time for which the configuration is proved to be current; zero or less if it is
-  /// not. Meaningless on another machine's clock, hence a remaining time.
+  /// not. A remaining time, since a deadline would be meaningless on another machine's clock.
   Duration freshRemaining{0};
   std::map<std::string, std::uint64_t> versionsInForce;  ///< By register name.
   std::shared_ptr<const NodeTable> nodes;
@@ -100,13 +100,13 @@
   std::function<NodeStatus()> status;
   /// Prometheus text. Called on an HTTP thread.
   std::function<std::string()> metrics;
-  /// Null on nodes that are no stores.
+  /// Null on nodes that are not stores.
   StoreAdmission* storeAdmission = nullptr;
   BatchAdmin* batches = nullptr;
-  /// The pools of the partitions that this store owns. Empty function on nodes that are no stores.
+  /// The pools of the partitions that this store owns. Empty function on nodes that are not stores.
   std::function<SlotExplanation()> slots;
   /// What was decided about one call, as JSON; nullopt if this node does not know it. Empty
-  /// function on nodes that serve no callers.
+  /// function on nodes that do not serve clients.
   std::function<std::optional<std::string>(const std::string& requestId)> explainCall;
 };
 
--- a/src/operators/operators_responder.cpp
+++ b/src/operators/operators_responder.cpp
@@ -71,9 +71,9 @@
   out << errorJson(*answer.error, requestId);
 }
 
-/// Returns why the body of @p request cannot be taken, if so.
+/// Returns the error if the body of @p request must be rejected; nullopt otherwise.
 std::optional<Error> rejectionOf(const cxxtools::http::Request& request, std::size_t maxBodyBytes) {
-  // The library does not decode chunked requests and would take the chunks for another request.
+  // The library does not decode chunked requests and would parse the chunks as another request.
   if (request.hasHeader("Transfer-Encoding")) {
     return makeError(ErrorCode::InvalidArgument,
                      "Transfer-Encoding: allowed: a body with Content-Length");
--- a/src/operators/operators_responder.h
+++ b/src/operators/operators_responder.h
@@ -1,5 +1,5 @@
 /// @file
-/// The cxxtools side of the operators' HTTP: reads one request, writes one collected reply.
+/// cxxtools responder of the operators' HTTP server: reads one request, writes one complete reply.
 #pragma once
 
 #include "operators/operator_call_handler.h"
@@ -31,11 +31,11 @@
   OperatorCallHandler& handler_;
   std::size_t maxBodyBytes_;
   std::string body_;
-  /// Why the body is not taken; the connection is closed after the reply.
+  /// Set if the body is rejected; the connection is closed after the reply.
   std::optional<Error> rejection_;
 };
 
-/// Makes one responder for each request.
+/// Creates one responder for each request.
 class OperatorsHttpService : public cxxtools::http::Service {
  public:
   OperatorsHttpService(OperatorCallHandler& handler, std::size_t maxBodyBytes)
--- a/src/operators/operators_server.cpp
+++ b/src/operators/operators_server.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr unsigned kMinThreads = 2;
-/// Time that a slow client has for the rest of its request or for taking the reply.
+/// Time-out for reading the rest of a request and for writing the reply.
 constexpr int kTransferTimeoutMs = 10000;
 constexpr int kKeepAliveTimeoutMs = 30000;
 
--- a/src/operators/register_commands.cpp
+++ b/src/operators/register_commands.cpp
@@ -22,7 +22,7 @@
   return jsonReply(document.print(), outcome.value().version);
 }
 
-/// Answers with the outcome of a change.
+/// Returns a callback that answers with the outcome of a change.
 std::function<void(Result<ChangeOutcome>)> changeCallback(CommandDone done) {
   return [done = std::move(done)](const Result<ChangeOutcome>& outcome) {
     done(changeReply(outcome));
@@ -132,8 +132,8 @@
 void PatchSettingsCommand::propose(OperatorServices& services, const RegisterValue& base,
                                    const CommandDone& done) {
   if (base.version < headers_.baseVersion) {
-    // Not proposed: were the register to reach that version meanwhile, the value would not be the
-    // patch of it.
+    // Not proposed: the register could reach that version in the meantime, with a value that the
+    // patch was not applied to.
     done(errorReply(
         makeError(ErrorCode::VersionConflict,
                   "the newest version is " + std::to_string(base.version) + ", below If-Match")));
@@ -144,7 +144,8 @@
   request.baseVersion = headers_.baseVersion;
   request.idempotencyKey = headers_.orderId;
   request.content = patch_;
-  // Past the base version the value cannot take effect; only the ledger can answer.
+  // Once the register is past the base version the value cannot take effect; the change can only
+  // be answered from the ledger.
   request.value = base.value;
   if (base.version == headers_.baseVersion) {
     Result<std::string> merged = applyMergePatch(base.value, patch_);
--- a/src/operators/register_commands.h
+++ b/src/operators/register_commands.h
@@ -10,7 +10,7 @@
 /// `GET /v1/settings`, `GET /v1/engines`: the value read with a quorum.
 class GetRegisterCommand : public OperatorCommand {
  public:
-  /// @p emptyValue is answered while the register was never written.
+  /// @p emptyValue is returned while the register was never written.
   GetRegisterCommand(std::string registerName, std::string emptyValue)
       : registerName_(std::move(registerName)), emptyValue_(std::move(emptyValue)) {}
   void execute(OperatorServices& services, CommandDone done) override;
@@ -40,7 +40,7 @@
   void execute(OperatorServices& services, CommandDone done) override;
 };
 
-/// `PUT /v1/settings`, `PUT /v1/engines`: a whole new value, checked before it is proposed.
+/// `PUT /v1/settings`, `PUT /v1/engines`: replaces the value, validated before it is proposed.
 class PutRegisterCommand : public OperatorCommand {
  public:
   PutRegisterCommand(std::string registerName, ChangeHeaders headers, std::string value)
@@ -59,10 +59,10 @@
 
 /// `PATCH /v1/settings`: a merge patch onto the version in `If-Match`.
 ///
-/// A resend of a patch that took effect must get its first answer, yet by then the base value is
-/// gone and the merged value cannot be made again. So the patch itself is the order's content
-/// (`ChangeRequest::content`), and a resend proposes it on its old base version: the register
-/// finds the order in its ledger or refuses it, since versions only rise.
+/// A resend of a patch that took effect must get the original answer, but by then the base value is
+/// gone and the merged value cannot be computed again. The patch itself is therefore the content of
+/// the change (`ChangeRequest::content`), and a resend is proposed on the original base version:
+/// the register finds the order id in its ledger or refuses the change, since versions only rise.
 class PatchSettingsCommand : public OperatorCommand {
  public:
   PatchSettingsCommand(ChangeHeaders headers, std::string patch)
--- a/src/operators/settings_versions.cpp
+++ b/src/operators/settings_versions.cpp
@@ -9,12 +9,12 @@
 namespace shedshed {
 namespace {
 
-/// Proposals of one order after changes that left the named version as it was, or that were lost
-/// races with the repair of an unfinished change.
+/// Maximum proposals of one update. It is proposed again if the register changed but the named
+/// version did not, or if the proposal lost a race with the repair of an unfinished change.
 constexpr std::uint32_t kMaxAttempts = 8;
 
 /// A register version that is never reached: a proposal on it takes no effect, but is answered from
-/// the ledger if its order did before.
+/// the ledger if its update took effect before.
 constexpr std::uint64_t kUnreachableVersion = std::numeric_limits<std::uint64_t>::max() / 2;
 
 std::string idempotencyKeyOf(const SettingsUpdate& order) {
@@ -23,7 +23,7 @@
          hash128Hex(order.body);
 }
 
-/// The named version of a value that was checked when it was taken.
+/// Returns the named version of a value that was validated when it was accepted.
 std::uint64_t namedVersionOf(const std::string& settings) {
   if (settings.empty()) {
     return 0;
@@ -32,7 +32,7 @@
   return tree ? tree.value().namedVersion() : 0;
 }
 
-/// Makes the new settings. Fails if they would not be valid on @p current.
+/// Builds the new settings. Fails if they would not be valid on @p current.
 Result<std::string> updatedSettings(const SettingsUpdate& order, const std::string& current) {
   Result<std::string> text = order.kind == SettingsUpdate::Kind::Replace
                                  ? Result<std::string>(order.body)
@@ -95,7 +95,7 @@
   }
   Result<std::string> settings = updatedSettings(order, current.value);
   if (!settings) {
-    // Not proposed: what is not valid on its base can't have taken effect on it.
+    // Not proposed: an update that is invalid on its base cannot have taken effect on it.
     attempt->done(settings.error());
     return;
   }
@@ -114,12 +114,13 @@
     }
     switch (outcome.error().code) {
     case ErrorCode::IdempotencyKeyReused:
-      // The id is the hash of the order: the same order took effect on another register version.
+      // The key is made of the hash of the update: the same update took effect on another register
+      // version.
       attempt->done(SettingsUpdateOutcome{0, true});
       return;
     case ErrorCode::VersionConflict:
       if (onBase && attempt->attemptCount < kMaxAttempts) {
-        propose(attempt);  // The register moved on; the named version may have, too.
+        propose(attempt);  // The register changed; the named version may have, too.
         return;
       }
       attempt->done(refusal);
--- a/src/operators/settings_versions.h
+++ b/src/operators/settings_versions.h
@@ -1,5 +1,5 @@
 /// @file
-/// Changes of the settings under versions that the operator names.
+/// Changes of the settings whose versions are assigned by the operator (named versions).
 #pragma once
 
 #include "register/configuration_register.h"
@@ -11,26 +11,26 @@
 
 namespace shedshed {
 
-/// One order of an operator.
+/// One change of the settings that an operator requests.
 struct SettingsUpdate {
   enum class Kind : std::uint8_t { Replace, ChangeItems };
   Kind kind = Kind::Replace;
-  std::uint64_t baseVersion = 0;  ///< The named version that it builds on; 0 for the first.
-  std::string body;  ///< The whole settings, or a change as `applyItemChange` takes it.
+  std::uint64_t baseVersion = 0;  ///< The named version that it applies to; 0 for the first.
+  std::string body;  ///< The complete settings, or a change in the form of `applyItemChange`.
 };
 
-/// What became of an order.
+/// Outcome of a settings update.
 struct SettingsUpdateOutcome {
   std::uint64_t version = 0;  ///< The named version in force after it, if it is known.
-  bool repeated = false;      ///< The order had taken effect before this call.
+  bool repeated = false;      ///< The update had taken effect before this call.
 };
 
-/// Takes orders at any node. Core thread only.
+/// Accepts updates at any node. Core thread only.
 ///
-/// Safety of a resend: the register's order id is the hash of the order itself, so whichever node
-/// gets the same bytes on the same base finds the order in the ledger and acknowledges it again;
-/// no other order has that id. The named base is compared with the value that the proposal builds
-/// on: the register's own compare-and-swap then makes the two comparisons one step.
+/// Resends are safe: the idempotency key is made of the hash of the update itself, so any node that
+/// gets the same bytes on the same base finds the update in the register's ledger and acknowledges
+/// it again; no other update has that key. The named base version is compared with the value that
+/// the proposal builds on; the register's compare-and-swap then makes the two comparisons atomic.
 class SettingsVersions {
  public:
   using Done = std::function<void(Result<SettingsUpdateOutcome>)>;
@@ -38,13 +38,13 @@
   /// Keeps a reference to @p configuration, which must outlive it.
   explicit SettingsVersions(ConfigurationRegister& configuration) : configuration_(configuration) {}
 
-  /// Calls @p done once: with the outcome once a majority has synced it, or with
-  /// - `VersionConflict`: another version is in force; the order did not and will not take effect;
-  /// - `InvalidArgument` or `TooLarge`: the order is not valid on its base; nothing changed;
-  /// - `NoQuorum` or `OutcomeUnknown`: send the same order again, to any node.
+  /// Calls @p done once: with the outcome once a majority has persisted it, or with
+  /// - `VersionConflict`: another version is in force; the update did not and will not take effect;
+  /// - `InvalidArgument` or `TooLarge`: the update is not valid on its base; nothing changed;
+  /// - `NoQuorum` or `OutcomeUnknown`: send the same update again, to any node.
   void submit(SettingsUpdate order, Done done);
 
-  /// Reads the newest settings with a majority; empty if none were ever taken.
+  /// Reads the newest settings with a majority; empty if none were ever accepted.
   void read(std::function<void(Result<std::string>)> done);
 
  private:
--- a/src/operators/status_json.h
+++ b/src/operators/status_json.h
@@ -1,5 +1,5 @@
 /// @file
-/// JSON of the things that operators look at.
+/// JSON encoding of the members and of the status of a node.
 #pragma once
 
 #include "operators/operator_services.h"
--- a/src/operators/store_commands.cpp
+++ b/src/operators/store_commands.cpp
@@ -51,16 +51,16 @@
   const NodeId self = services.status().self;
   if (services.storeAdmission == nullptr || self != newId_) {
     return makeError(ErrorCode::InvalidArgument, "/new: found \"" + newId_.address +
-                                                     "\"; allowed: the store that is asked, this "
-                                                     "is " +
+                                                     "\"; allowed: the store that gets the call, "
+                                                     "this is " +
                                                      self.address);
   }
   const StoreProgress progress = services.storeAdmission->progress();
   const bool complete = progress.total != 0 && progress.held == progress.total;
   if (!progress.isMember && !complete) {
-    return makeError(ErrorCode::NotReady, newId_.address + " holds " +
+    return makeError(ErrorCode::NotReady, newId_.address + " holds only " +
                                               std::to_string(progress.held) + " of " +
-                                              std::to_string(progress.total) + " partitions yet");
+                                              std::to_string(progress.total) + " partitions");
   }
   return okStatus();
 }
--- a/src/operators/store_commands.h
+++ b/src/operators/store_commands.h
@@ -6,10 +6,10 @@
 
 namespace shedshed {
 
-/// `POST /v1/stores/replace`: admits the store that is asked in place of another member.
+/// `POST /v1/stores/replace`: admits the store that gets the call in place of another member.
 ///
-/// The newcomer itself is asked, because only it knows what it holds: it is admitted only while
-/// it holds all partitions, since from then on it counts for majorities.
+/// The call goes to the new store itself, because only that store knows which partitions it holds.
+/// It is admitted only while it holds all of them, since from then on it counts towards majorities.
 class ReplaceStoreCommand : public OperatorCommand {
  public:
   ReplaceStoreCommand(NodeId oldId, NodeId newId)
--- a/src/settings/error_json.h
+++ b/src/settings/error_json.h
@@ -1,5 +1,5 @@
 /// @file
-/// The JSON form of errors on all outside interfaces (docs/API.md).
+/// JSON encoding of errors on all external interfaces (docs/API.md).
 #pragma once
 
 #include "kernel/error.h"
@@ -8,8 +8,8 @@
 
 namespace shedshed {
 
-/// Returns the error object of docs/API.md as JSON. An unknown outcome never says that the call
-/// did not run.
+/// Returns the error object of docs/API.md as JSON. For `OutcomeUnknown`, `ran` is always
+/// "unknown", so that the response never claims that the call did not run.
 std::string errorJson(const Error& error, const std::string& requestId);
 
 }  // namespace shedshed
--- a/src/settings/item_change.h
+++ b/src/settings/item_change.h
@@ -1,5 +1,5 @@
 /// @file
-/// Changes of named items of the settings: a partial update under a new version.
+/// Partial updates of the named items of the settings, each with a new version.
 #pragma once
 
 #include "kernel/error.h"
--- a/src/settings/json.cpp
+++ b/src/settings/json.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view kEscapedNul = "\\u0000";
 
-/// Checks the text before cJSON sees it: nesting, zero bytes and escaped zero characters.
+/// Validates the text before cJSON parses it: nesting depth, NUL bytes and escaped NUL characters.
 class JsonTextValidator {
  public:
   JsonTextValidator(std::string_view text, std::size_t maxDepth)
@@ -32,7 +32,7 @@
   Status checkInString() {
     const char character = text_[position_];
     if (character == '\0' || text_.substr(position_, kEscapedNul.size()) == kEscapedNul) {
-      return reject(ErrorCode::InvalidArgument, "zero characters are not allowed");
+      return reject(ErrorCode::InvalidArgument, "NUL characters are not allowed");
     }
     if (character == '\\') {
       ++position_;
@@ -45,7 +45,7 @@
   Status checkOutsideString() {
     switch (text_[position_]) {
     case '\0':
-      return reject(ErrorCode::InvalidArgument, "zero characters are not allowed");
+      return reject(ErrorCode::InvalidArgument, "NUL characters are not allowed");
     case '"':
       inString_ = true;
       return okStatus();
@@ -90,7 +90,7 @@
       childPath = path + "/" + child->string;
       if (!names.insert(child->string).second) {
         return makeError(ErrorCode::InvalidArgument,
-                         childPath + ": the key stands twice; each key is allowed once");
+                         childPath + ": duplicate key; each key is allowed once");
       }
     }
     if (Status status = checkTree(child, childPath); !status) {
@@ -114,7 +114,7 @@
   }
   const std::string terminated(text);
   const char* end = nullptr;
-  // With the terminating zero included, cJSON also rejects anything after the value.
+  // With the terminating NUL included in the length, cJSON also rejects anything after the value.
   JsonDocument document(
       cJSON_ParseWithLengthOpts(terminated.c_str(), terminated.size() + 1, &end, 1));
   if (document.root() == nullptr) {
--- a/src/settings/json.h
+++ b/src/settings/json.h
@@ -1,8 +1,8 @@
 /// @file
 /// Bounded JSON documents on top of cJSON.
 ///
-/// cJSON alone accepts what outside input must not carry: duplicate keys, thousands of nested
-/// levels, a zero byte that truncates a string, numbers that overflow. `JsonDocument::parse`
+/// cJSON alone accepts what external input must not contain: duplicate keys, thousands of nested
+/// levels, a NUL byte that truncates a string, numbers that overflow. `JsonDocument::parse`
 /// rejects these, so that its callers may rely on the tree.
 #pragma once
 
--- a/src/settings/json_fields.h
+++ b/src/settings/json_fields.h
@@ -22,7 +22,7 @@
 Status readNumber(const cJSON* object, const char* name, const std::string& path, double minimum,
                   double maximum, double& value);
 
-/// Reads a number from 0 to `kMaxCount`; a fraction is dropped.
+/// Reads a number from 0 to `kMaxCount`; a fraction is truncated.
 template <class Count>
 Status readCount(const cJSON* object, const char* name, const std::string& path, Count& count) {
   double number = static_cast<double>(count);
--- a/src/settings/process_flags.h
+++ b/src/settings/process_flags.h
@@ -1,5 +1,5 @@
 /// @file
-/// The flags on the command line of a process.
+/// Command-line flags of a process.
 #pragma once
 
 #include "settings/process_keys.h"
@@ -13,8 +13,8 @@
 
 namespace shedshed {
 
-/// Parses the flags of one kind of process with popt. Owns the table and the values that popt
-/// refers to, so that it cannot be copied.
+/// Parses the flags of one kind of process with popt. Not copyable: popt keeps pointers to the
+/// table and the values that this object owns.
 class ProcessFlags {
  public:
   explicit ProcessFlags(ProcessKind kind);
--- a/src/settings/process_keys.h
+++ b/src/settings/process_keys.h
@@ -1,5 +1,5 @@
 /// @file
-/// The table of the keys of a process's settings file; each is a flag of the command line, too.
+/// Table of the keys of a process's settings file; each key is also a command-line flag.
 #pragma once
 
 #include "settings/process_settings.h"
@@ -12,7 +12,7 @@
 
 /// One key of the file and its flag.
 struct ProcessKey {
-  const char* name;  ///< Key in the file; the flag has '-' in shownPath of '_'.
+  const char* name;  ///< Key in the file; the flag has '-' in place of '_'.
   bool forData;
   bool forControl;
   bool required;
--- a/src/settings/process_settings.cpp
+++ b/src/settings/process_settings.cpp
@@ -12,6 +12,7 @@
 namespace {
 
 constexpr const char* kVersion = "0.1.0";
+
 Status checkRequired(const ProcessSettings& settings, const std::set<std::string>& given) {
   for (const ProcessKey& key : processKeys()) {
     if (key.appliesTo(settings.kind) && key.required && given.count(key.name) == 0) {
--- a/src/settings/process_settings.h
+++ b/src/settings/process_settings.h
@@ -1,6 +1,6 @@
 /// @file
-/// Settings that one process starts with: its addresses, its zone, its seeds and its files. They
-/// come from one JSON file and from flags; a flag overrides the key of the same name.
+/// Start-up settings of one process: its addresses, its zone, its seeds and its files. They are
+/// read from one JSON file and from flags; a flag overrides the key of the same name.
 #pragma once
 
 #include "kernel/error.h"
@@ -27,7 +27,7 @@
   ControlRole role = ControlRole::Register;  ///< Control processes only.
   std::string zone;
   std::string nodeName;    ///< Name of the machine for operators; may be empty.
-  NodeId internalAddress;  ///< Names the node.
+  NodeId internalAddress;  ///< Also the id of the node.
   std::string operatorsAddress;
   std::string clientAddress;  ///< Data processes only.
   std::vector<NodeId> seeds;
@@ -38,13 +38,12 @@
   std::string readyAddress;         ///< Data processes: address of readiness checks; may be empty.
   std::string listingAddress;       ///< "ip:port" of the listing of engines; empty: the register's.
   std::uint16_t seedPort = 0;       ///< Replaces the port of each seed; 0: the seeds' own.
-  std::uint32_t diskMegabytes = 0;  ///< Capacity of the ring; 0: not bounded.
-  /// Disks that may be lost at once without the loss of anything acknowledged. Read when a fleet is
-  /// formed.
+  std::uint32_t diskMegabytes = 0;  ///< Capacity of the ring of files; 0: not bounded.
+  /// Number of disks that may fail at the same time without loss of acknowledged data. Only read
+  /// when a fleet is formed.
   std::uint32_t toleratedLosses = 1;
   bool firstStart = false;  ///< The fleet starts for the first time.
-  Duration shutdownGracePeriod =
-      std::chrono::seconds(25);  ///< From the request to stop to the end.
+  Duration shutdownGracePeriod = std::chrono::seconds(25);  ///< From the stop request to exit.
 
   /// Text of `--help` or `--version`. If it is not empty, nothing else is filled in: the process
   /// prints it and exits with 0.
--- a/src/settings/process_values.cpp
+++ b/src/settings/process_values.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kMaxNameBytes = 64;
 constexpr std::uint32_t kMaxPort = 65535;
 constexpr std::uint32_t kMaxMegabytes = 1U << 30U;
-/// 2 x 4 + 1 acceptors are the most that a fleet is formed of.
+/// A fleet is formed of at most 2 x 4 + 1 acceptors.
 constexpr std::uint32_t kMaxToleratedLosses = 4;
 constexpr double kMaxSeconds = 86400;
 
--- a/src/settings/process_values.h
+++ b/src/settings/process_values.h
@@ -9,8 +9,8 @@
 
 namespace shedshed {
 
-/// Parses a value and stores it in the settings; returns false if it is not allowed. What a
-/// rejected value leaves in the settings is not used.
+/// Parses a value and stores it in the settings; returns false if it is not allowed. The
+/// settings must not be used after a rejected value.
 using ProcessValueParser = std::function<bool(ProcessSettings&, const std::string&)>;
 
 bool parseRole(ProcessSettings& settings, const std::string& value);
--- a/src/settings/route_table.h
+++ b/src/settings/route_table.h
@@ -29,21 +29,22 @@
   double weight = 1;
 };
 
-/// One route. A name in brackets is that of the JSON member.
+/// One route. A name in backticks is that of the JSON member.
 struct RouteSettings {
   std::string name;
   std::string host;
   std::string pathPrefix;  ///< Begins and ends with '/'.
   RouteKind kind = RouteKind::Unsafe;
   Duration timeout{0};  ///< `timeout_ms`: the deadline of a call.
-  Duration objective{
-      0};  ///< `target_ms`: latency target of the complete response, or the first event.
+  /// `target_ms`: latency target of the complete response, or of the first event of a stream.
+  Duration objective{0};
   std::uint32_t priority = 0;
-  std::uint32_t maxAttempts = 1;    ///< Largest number of attempts, at different engines.
-  bool isPublic = false;            ///< Calls need no key.
-  bool resumable = false;           ///< A stream may continue at another engine.
-  Duration completionObjective{0};  ///< `run_target_ms`: all results of a batch are due.
-  Duration maxWait{0};              ///< `max_wait_s`: after that an item may be abandoned.
+  std::uint32_t maxAttempts = 1;  ///< Largest number of attempts, at different engines.
+  bool isPublic = false;          ///< Calls need no key.
+  bool resumable = false;         ///< A stream may continue at another engine.
+  /// `run_target_ms`: time within which all results of a batch are due.
+  Duration completionObjective{0};
+  Duration maxWait{0};  ///< `max_wait_s`: after that an item may be abandoned.
   /// `max_queued_tokens`: maximum tokens of one tenant's unfinished items; 0: not bounded.
   std::uint64_t maxQueuedTokens = 0;
   std::vector<WeightedService> services;  ///< Not empty; the sum of the weights is above 0.
@@ -65,7 +66,7 @@
   Duration idleTimeout = std::chrono::seconds(60);
 };
 
-/// The checked table. Immutable after `parse`.
+/// The validated table. Immutable after `parse`.
 class RouteTable {
  public:
   /// Reads the members `routes`, `services` and `limits` of the settings object @p root; all may be
@@ -83,7 +84,7 @@
 
   const std::map<std::string, RouteSettings>& routes() const { return routes_; }
 
-  /// The shortest time in which the results of a batch are due; 0 if no route names one.
+  /// The shortest completion objective of all routes; 0 if no route has one.
   Duration shortestCompletionObjective() const;
   const ClientLimits& clientLimits() const { return limits_; }
   bool empty() const { return routes_.empty(); }
--- a/src/settings/route_table_parser.cpp
+++ b/src/settings/route_table_parser.cpp
@@ -156,7 +156,7 @@
   const auto added = table_.byHost_[route.host].emplace(route.pathPrefix, route.name);
   if (!added.second) {
     return jsonError(path + "/path_prefix", jsonMember(node, "path_prefix"),
-                     "each prefix of a host once; it also stands in " + added.first->second);
+                     "each prefix of a host once; it is already used by " + added.first->second);
   }
   table_.routes_.emplace(route.name, std::move(route));
   return okStatus();
--- a/src/settings/setting_field.h
+++ b/src/settings/setting_field.h
@@ -1,6 +1,6 @@
 /// @file
-/// One table of all keys of a level: name, unit, range and where the value is kept. Parsing,
-/// inheritance and explanation all go by this table, so that a key is described once.
+/// Table of the keys of a settings level: name, unit, range and where the value is stored. Parsing,
+/// inheritance and explanation all use this table, so that each key is defined in one place.
 #pragma once
 
 #include "settings/settings.h"
@@ -9,7 +9,7 @@
 
 namespace shedshed {
 
-/// A key that may stand at every level of the settings tree.
+/// A key that may be set at every level of the settings tree.
 class SettingField {
  public:
   using Overrides = SettingsTree::Overrides;
@@ -52,12 +52,12 @@
   SettingField(std::string name, Kind kind, double minimum, double maximum)
       : name_(std::move(name)), kind_(kind), minimum_(minimum), maximum_(maximum) {}
 
-  /// Builds a field kept as a plain number or enumeration.
+  /// Builds a field stored as a plain number or enumeration.
   template <class T>
   static SettingField plain(std::string name, Kind kind, double minimum, double maximum,
                             std::optional<T> Overrides::*overriding, T EffectiveSettings::*value);
 
-  /// Builds a field kept as a duration; the JSON number counts @p unit.
+  /// Builds a field stored as a duration; the JSON number counts @p unit.
   static SettingField duration(std::string name, Kind kind, double minimum, double maximum,
                                Duration unit, std::optional<Duration> Overrides::*overriding,
                                Duration EffectiveSettings::*value);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -17,8 +17,8 @@
 /// Number of times that a rejected item may be requeued before the results of its batch are due.
 constexpr int kRequeuesBeforeDue = 24;
 
-/// The shortest time to live of slots that is derived from a due time, so that a node does not lose
-/// its slots by a short stall.
+/// Lower bound of the slot TTLs that are derived from a completion objective: with a shorter TTL a
+/// node would lose its slots in a short stall.
 constexpr Duration kMinDerivedTtl = std::chrono::seconds(4);
 
 }  // namespace
@@ -68,7 +68,7 @@
   const Duration due = routes_.shortestCompletionObjective();
   if (due > Duration{0}) {
     values.requeueDelay = std::min(values.requeueDelay, Duration(due / kRequeuesBeforeDue));
-    // The slots of a killed front end must expire before then, too.
+    // The slots held by a killed data node must expire before then, too.
     const Duration longest = std::max(Duration(due * 3 / 4), kMinDerivedTtl);
     values.liveSlotTtl = std::min(values.liveSlotTtl, longest);
     values.itemSlotTtl = std::min(values.itemSlotTtl, longest);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -18,11 +18,11 @@
 
 enum class FailMode : std::uint8_t { Open, Closed };
 
-/// Values in force for one tenant and route, after inheritance. The defaults are the fleet's
-/// starting values.
+/// Values in force for one tenant and route, after inheritance. The member initialisers
+/// are the values of keys that no level sets.
 struct EffectiveSettings {
   double perSecond = 1.0;   ///< `per_s`: sustained requests per second of the tenant.
-  std::uint32_t burst = 4;  ///< `burst`: slots above the sustained need.
+  std::uint32_t burst = 4;  ///< `burst`: slots above the sustained demand.
   Duration liveSlotTtl = std::chrono::seconds(60);
   Duration itemSlotTtl = std::chrono::seconds(70);
   Duration poll = std::chrono::milliseconds(100);
@@ -71,8 +71,8 @@
   std::vector<ExplainedSetting> explainEffective(const std::string& tenant,
                                                  const std::string& route) const;
 
-  /// Returns the tenant that owns the bearer key, or nullopt if it is unknown or revoked. One
-  /// digest and one hash lookup, whatever the number of keys.
+  /// Returns the tenant that owns the bearer key, or nullopt if it is unknown or revoked. Takes
+  /// one digest and one hash lookup, regardless of the number of keys.
   std::optional<std::string> tenantOfKey(std::string_view bearerKey) const;
 
   /// Names of all tenants, sorted.
@@ -90,14 +90,14 @@
   /// True if the rate of @p tenant is bounded: it or the fleet names a `per_s` above 0.
   bool hasQuota(const std::string& tenant) const;
 
-  /// Priority of @p tenant, 0 first; nullopt if none is set.
+  /// Priority of @p tenant, 0 is served first; nullopt if none is set.
   std::optional<std::uint32_t> priorityOf(const std::string& tenant) const;
 
   /// Returns the digest under which @p bearerKey is listed.
   static std::string digestOfKey(std::string_view bearerKey);
 
  private:
-  /// Only what a level overrides.
+  /// The values that one level overrides.
   struct Overrides {
     std::optional<double> perSecond;
     std::optional<std::uint32_t> burst;
--- a/src/settings/settings_parser.cpp
+++ b/src/settings/settings_parser.cpp
@@ -55,7 +55,7 @@
   return okStatus();
 }
 
-/// Members of one level; larger than any level can have without an unknown key.
+/// Maximum members of one level; an object with more must contain an unknown key.
 constexpr std::size_t kMaxLevelMembers = 64;
 
 /// The largest whole number that a JSON number holds exactly.
@@ -126,7 +126,7 @@
   }
   for (const cJSON* child = node->child; child != nullptr; child = child->next) {
     if (!cJSON_IsString(child) || child->valuestring[0] == '\0') {
-      return makeError(ErrorCode::InvalidArgument, path + ": a key must be a text");
+      return makeError(ErrorCode::InvalidArgument, path + ": a key must be a non-empty string");
     }
     ApiKey key{SettingsTree::digestOfKey(child->valuestring), false};
     if (Status status = addKey(std::move(key), path, tenantName, tenant); !status) {
@@ -141,7 +141,7 @@
   const auto inserted = pathByDigest_.emplace(key.digest, path);
   if (!inserted.second) {
     return makeError(ErrorCode::InvalidArgument,
-                     path + ": each key once; it also stands at " + inserted.first->second);
+                     path + ": each key once; it also appears at " + inserted.first->second);
   }
   if (!key.revoked) {
     tree_.tenantByDigest_.emplace(key.digest, tenantName);
--- a/src/settings/settings_parser.h
+++ b/src/settings/settings_parser.h
@@ -38,7 +38,6 @@
   Status parsePlainKeys(const cJSON* node, const std::string& path, const std::string& tenantName,
                         Tenant& tenant);
   Status addKey(ApiKey key, const std::string& path, const std::string& tenantName, Tenant& tenant);
-  /// Parses the priority of a tenant.
   static Status parsePriority(const cJSON* node, const std::string& path, Tenant& tenant);
   Status parseVersion(const cJSON* node);
   /// Parses a level that holds overrides and nothing else.
--- a/tests/operators/fake_services.h
+++ b/tests/operators/fake_services.h
@@ -1,5 +1,5 @@
 /// @file
-/// Services of a node in memory, for tests of the operators' HTTP.
+/// In-memory services of a node, for tests of the operators' HTTP server.
 #pragma once
 
 #include "operators/operator_services.h"
@@ -23,7 +23,7 @@
     const std::string& content = request.content.empty() ? request.value : request.content;
     const auto applied = ledger.find(request.idempotencyKey);
     if (applied != ledger.end() && applied->second.first != content) {
-      done(makeError(ErrorCode::IdempotencyKeyReused, "the order id stands for another change"));
+      done(makeError(ErrorCode::IdempotencyKeyReused, "the order id was used for another change"));
     } else if (applied != ledger.end()) {
       done(ChangeOutcome{applied->second.second, true});
     } else if (request.baseVersion != current.version) {
@@ -39,7 +39,7 @@
     done(values[registerName]);
   }
 
-  bool dropsChanges = false;  ///< Never answers a change.
+  bool dropsChanges = false;  ///< If set, changes are never answered.
   std::map<std::string, RegisterValue> values;
   std::map<std::string, std::pair<std::string, std::uint64_t>> ledger;
 };
@@ -85,7 +85,7 @@
   return ntohs(address.sin_port);
 }
 
-/// A node with everything faked.
+/// A node with fake services.
 struct FakeNode {
   FakeRegister registers;
   FakeFleetForming forming;
--- a/tests/operators/operators_server_test.cpp
+++ b/tests/operators/operators_server_test.cpp
@@ -1,4 +1,4 @@
-// The operators' HTTP on a loopback socket, with faked services.
+// The operators' HTTP server on a loopback socket, with fake services.
 #include "operators/operators_server.h"
 
 #include "fake_services.h"
@@ -243,7 +243,7 @@
   BOOST_TEST(admission.replaced.empty());
   admission.held = {false, 64, 0, 64};
   BOOST_TEST(call("POST", "/v1/stores/replace", order).status == 200U);
-  // A member that lags may resend: the members hold it already.
+  // A store that is a member already may resend the call, even if it lags behind.
   admission.held = {true, 12, 0, 64};
   BOOST_TEST(call("POST", "/v1/stores/replace", order).status == 200U);
   BOOST_TEST(admission.replaced.size() == 2U);
--- a/tests/settings/merge_patch_test.cpp
+++ b/tests/settings/merge_patch_test.cpp
@@ -1,4 +1,5 @@
-// JSON merge patch: the examples of RFC 7396 whose target and patch are objects, and back again.
+// JSON merge patch: the examples of RFC 7396 whose target and patch are objects, and the creation
+// of patches.
 #include "settings/merge_patch.h"
 
 #include <boost/test/unit_test.hpp>
--- a/tests/settings/process_settings_test.cpp
+++ b/tests/settings/process_settings_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A file in the working folder that goes away with the test.
+/// A file in the working folder that is removed at the end of the test.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& content) { std::ofstream(kName) << content; }
--- a/tests/settings/route_table_test.cpp
+++ b/tests/settings/route_table_test.cpp
@@ -43,9 +43,10 @@
 
 BOOST_AUTO_TEST_CASE(invalid_settings_are_rejected_completely) {
   BOOST_TEST(isValid(settingsWith(route("a", "/x/"))));
-  BOOST_TEST(!isValid(settingsWith(route("a", "/x/")).substr(0, 60)), "cut short");
+  BOOST_TEST(!isValid(settingsWith(route("a", "/x/")).substr(0, 60)), "truncated");
   BOOST_TEST(!isValid(settingsWith(route("a", "/x/", R"("service":"none")"))), "unknown service");
-  BOOST_TEST(!isValid(settingsWith(route("a", "/x/") + "," + route("b", "/x/"))), "same place");
+  BOOST_TEST(!isValid(settingsWith(route("a", "/x/") + "," + route("b", "/x/"))),
+             "duplicate prefix");
   BOOST_TEST(!isValid(settingsWith(route("a", "/x/", R"("traffic_split":[])"))), "no service");
   BOOST_TEST(
       !isValid(settingsWith(route("a", "/x/", R"("traffic_split":[{"service":"s1","weight":0}])"))),
@@ -78,7 +79,8 @@
   BOOST_TEST(toMilliseconds(delay) < 1000);
 }
 
-/// A killed front's items kept their numbers for 70 s, and the lent room with them.
+/// Without the cap on the TTL, the batch items of a killed data node kept their slots, and the
+/// engine capacity lent to them, for the default of 70 s.
 BOOST_AUTO_TEST_CASE(slots_of_a_failed_holder_expire_before_a_batch_is_due) {
   const auto tree = SettingsTree::parse(
       settingsWith(route("a", "/x/", R"("service":"s1","run_target_ms":8000)")));
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -1,4 +1,4 @@
-// The tree of settings: errors, inheritance, keys.
+// The settings tree: errors, inheritance, keys.
 #include "settings/settings.h"
 
 #include "settings/json.h"
@@ -51,10 +51,10 @@
     {R"({"tenants": {"a": {"keys": [{}]}}})", {"/tenants/a/keys/0/digest", "nothing"}},
     {R"({"tenants": {"a": {"keys": [{"withdrawn": 1}]}}})",
      {"/tenants/a/keys/0/withdrawn", "1", "true or false"}},
-    {R"({"fleet": {"burst": 1, "burst": 2}})", {"/fleet/burst", "twice"}},
+    {R"({"fleet": {"burst": 1, "burst": 2}})", {"/fleet/burst", "duplicate key"}},
     {R"({"fleet": {"per_s": 1e999}})", {"/fleet/per_s", "out of range"}},
     {R"({"fleet": {}} x)", {"not valid JSON"}},
-    {"{\"tenants\": {\"a\\u0000b\": {}}}", {"zero characters"}},
+    {"{\"tenants\": {\"a\\u0000b\": {}}}", {"NUL characters"}},
 };
 
 }  // namespace
@@ -122,7 +122,7 @@
   BOOST_TEST(SettingsTree::digestOfKey("").size() == 64U);
 }
 
-// The users' target is 2,400 tenants in steady use, each with a key that is being replaced.
+// The capacity target is 2,400 active tenants, each in the middle of a key rotation.
 BOOST_AUTO_TEST_CASE(a_tree_accepts_the_tenants_of_the_target_size) {
   std::string json;
   for (int i = 0; i < 2400; ++i) {
@@ -142,8 +142,8 @@
   BOOST_TEST(tree.error().detail.find("/tenants/a/keys/0") != std::string::npos);
 }
 
-// The schema file and the parser's table must not drift apart: both limits of each number are
-// accepted, and one step past them is rejected.
+// Fails if the schema file and the parser's table differ: both limits of each number must be
+// accepted, and a value just outside of them rejected.
 BOOST_AUTO_TEST_CASE(schema_file_states_the_parsers_keys_and_ranges) {
   const Result<std::string> text =
       readSmallFile(SHEDSHED_SOURCE_DIR "/docs/settings.schema.json", 1U << 20U);
