--- a/src/operators/settings_versions.cpp
+++ b/src/operators/settings_versions.cpp
@@ -17,10 +17,10 @@
 /// the ledger if its update took effect before.
 constexpr std::uint64_t kUnreachableVersion = std::numeric_limits<std::uint64_t>::max() / 2;
 
-std::string idempotencyKeyOf(const SettingsUpdate& order) {
-  const char* kind = order.kind == SettingsUpdate::Kind::Replace ? "replace" : "items";
-  return "named " + std::string(kind) + " " + std::to_string(order.baseVersion) + " " +
-         hash128Hex(order.body);
+std::string idempotencyKeyOf(const SettingsUpdate& update) {
+  const char* kind = update.kind == SettingsUpdate::Kind::Replace ? "replace" : "items";
+  return "named " + std::string(kind) + " " + std::to_string(update.baseVersion) + " " +
+         hash128Hex(update.body);
 }
 
 /// Returns the named version of a value that was validated when it was accepted.
@@ -33,10 +33,10 @@
 }
 
 /// Builds the new settings. Fails if they would not be valid on @p current.
-Result<std::string> updatedSettings(const SettingsUpdate& order, const std::string& current) {
-  Result<std::string> text = order.kind == SettingsUpdate::Kind::Replace
-                                 ? Result<std::string>(order.body)
-                                 : applyItemChange(current, order.body);
+Result<std::string> updatedSettings(const SettingsUpdate& update, const std::string& current) {
+  Result<std::string> text = update.kind == SettingsUpdate::Kind::Replace
+                                 ? Result<std::string>(update.body)
+                                 : applyItemChange(current, update.body);
   if (!text) {
     return text.error();
   }
@@ -44,9 +44,9 @@
   if (!tree) {
     return tree.error();
   }
-  if (tree.value().namedVersion() <= order.baseVersion) {
+  if (tree.value().namedVersion() <= update.baseVersion) {
     return makeError(ErrorCode::InvalidArgument,
-                     "/version: must be above " + std::to_string(order.baseVersion));
+                     "/version: must be above " + std::to_string(update.baseVersion));
   }
   return text;
 }
@@ -63,8 +63,8 @@
   });
 }
 
-void SettingsVersions::submit(SettingsUpdate order, Done done) {
-  propose(std::make_shared<Attempt>(Attempt{std::move(order), std::move(done)}));
+void SettingsVersions::submit(SettingsUpdate update, Done done) {
+  propose(std::make_shared<Attempt>(Attempt{std::move(update), std::move(done)}));
 }
 
 void SettingsVersions::propose(const std::shared_ptr<Attempt>& attempt) {
@@ -80,20 +80,20 @@
 
 void SettingsVersions::proposeOn(const std::shared_ptr<Attempt>& attempt,
                                  const RegisterValue& current) {
-  const SettingsUpdate& order = attempt->order;
+  const SettingsUpdate& update = attempt->update;
   ChangeRequest request;
   request.registerName = kSettingsRegister;
-  request.idempotencyKey = idempotencyKeyOf(order);
+  request.idempotencyKey = idempotencyKeyOf(update);
   request.content = request.idempotencyKey;
   request.baseVersion = kUnreachableVersion;
   const std::uint64_t named = namedVersionOf(current.value);
-  if (named != order.baseVersion) {
+  if (named != update.baseVersion) {
     change(
         attempt, std::move(request), false,
         makeError(ErrorCode::VersionConflict, "version " + std::to_string(named) + " is in force"));
     return;
   }
-  Result<std::string> settings = updatedSettings(order, current.value);
+  Result<std::string> settings = updatedSettings(update, current.value);
   if (!settings) {
     // Not proposed: an update that is invalid on its base cannot have taken effect on it.
     attempt->done(settings.error());
--- a/src/operators/settings_versions.h
+++ b/src/operators/settings_versions.h
@@ -42,14 +42,14 @@
   /// - `VersionConflict`: another version is in force; the update did not and will not take effect;
   /// - `InvalidArgument` or `TooLarge`: the update is not valid on its base; nothing changed;
   /// - `NoQuorum` or `OutcomeUnknown`: send the same update again, to any node.
-  void submit(SettingsUpdate order, Done done);
+  void submit(SettingsUpdate update, Done done);
 
   /// Reads the newest settings with a majority; empty if none were ever accepted.
   void read(std::function<void(Result<std::string>)> done);
 
  private:
   struct Attempt {
-    SettingsUpdate order;
+    SettingsUpdate update;
     Done done;
     std::uint32_t attemptCount = 0;
   };
--- a/tests/operators/operators_server_test.cpp
+++ b/tests/operators/operators_server_test.cpp
@@ -94,7 +94,7 @@
   BOOST_TEST(fixture.node.registers.ledger.empty());
 }
 
-BOOST_AUTO_TEST_CASE(put_conflict_resend_and_reuse_are_told_apart) {
+BOOST_AUTO_TEST_CASE(put_conflict_resend_and_reuse_are_distinguished) {
   ServerFixture fixture;
   const std::string first = R"({"fleet":{"burst":2}})";
   const Answer done = fixture.change("PUT", "/v1/settings", first, 0, "order-1");
@@ -227,12 +227,12 @@
 }  // namespace
 
 BOOST_FIXTURE_TEST_CASE(a_store_is_not_admitted_before_it_holds_all_partitions, ServerFixture) {
-  const std::string order = R"({"old":"127.0.0.1:9","new":"127.0.0.1:7000"})";
-  BOOST_TEST(call("POST", "/v1/stores/replace", order).status == 400U);
+  const std::string body = R"({"old":"127.0.0.1:9","new":"127.0.0.1:7000"})";
+  BOOST_TEST(call("POST", "/v1/stores/replace", body).status == 400U);
   FakeAdmission admission;
   node.services.storeAdmission = &admission;
   admission.held = {false, 63, 0, 64};
-  const Answer early = call("POST", "/v1/stores/replace", order);
+  const Answer early = call("POST", "/v1/stores/replace", body);
   BOOST_TEST(early.status == 503U);
   BOOST_TEST(early.body.find("63 of 64") != std::string::npos);
   BOOST_TEST(
@@ -242,10 +242,10 @@
              400U);
   BOOST_TEST(admission.replaced.empty());
   admission.held = {false, 64, 0, 64};
-  BOOST_TEST(call("POST", "/v1/stores/replace", order).status == 200U);
+  BOOST_TEST(call("POST", "/v1/stores/replace", body).status == 200U);
   // A store that is a member already may resend the call, even if it lags behind.
   admission.held = {true, 12, 0, 64};
-  BOOST_TEST(call("POST", "/v1/stores/replace", order).status == 200U);
+  BOOST_TEST(call("POST", "/v1/stores/replace", body).status == 200U);
   BOOST_TEST(admission.replaced.size() == 2U);
 }
 
--- a/tests/operators/settings_versions_test.cpp
+++ b/tests/operators/settings_versions_test.cpp
@@ -16,10 +16,10 @@
 
 struct VersionFleet {
   VersionFleet() { BOOST_REQUIRE(fleet.form()); }
-  Result<SettingsUpdateOutcome> submit(const std::string& via, SettingsUpdate order) {
+  Result<SettingsUpdateOutcome> submit(const std::string& via, SettingsUpdate update) {
     SettingsVersions versions(fleet.registers(via));
     std::optional<Result<SettingsUpdateOutcome>> result;
-    versions.submit(std::move(order), [&](auto outcome) { result = std::move(outcome); });
+    versions.submit(std::move(update), [&](auto outcome) { result = std::move(outcome); });
     return fleet.await(result);
   }
   Result<SettingsUpdateOutcome> replace(const std::string& via, std::uint64_t base,
@@ -39,7 +39,7 @@
 
 BOOST_AUTO_TEST_SUITE(settings_versions)
 
-BOOST_FIXTURE_TEST_CASE(orders_build_on_the_named_version, VersionFleet) {
+BOOST_FIXTURE_TEST_CASE(updates_build_on_the_named_version, VersionFleet) {
   BOOST_TEST(read("a1").empty());
   BOOST_REQUIRE(replace("a1", 0, settings(5)));
   BOOST_TEST(read("a2") == settings(5));
@@ -59,7 +59,7 @@
   BOOST_TEST(read("a1") == settings(12));
 }
 
-BOOST_FIXTURE_TEST_CASE(of_two_orders_on_one_version_one_wins, VersionFleet) {
+BOOST_FIXTURE_TEST_CASE(of_two_updates_on_one_version_one_wins, VersionFleet) {
   BOOST_REQUIRE(replace("a1", 0, settings(5)));
   for (std::uint64_t base = 5; base < 25; ++base) {
     SettingsVersions first(fleet.registers("a1"));
@@ -78,7 +78,7 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(invalid_orders_change_nothing, VersionFleet) {
+BOOST_FIXTURE_TEST_CASE(invalid_updates_change_nothing, VersionFleet) {
   BOOST_REQUIRE(replace("a1", 0, settings(5)));
   for (const std::string& body : {std::string("{"), settings(5), settings(4), settings(9) + "x"}) {
     const auto outcome = replace("a2", 5, body);
