--- a/src/operators/fleet_commands.cpp
+++ b/src/operators/fleet_commands.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-/// Machines that one `init` may name.
+/// Maximum addresses in each list of an `init` request.
 constexpr int kMaxInitialMembers = 32;
 constexpr JsonBounds kInitBounds{64U << 10U, 3};
 
-Result<std::vector<NodeId>> addresses(const cJSON* root, const char* name) {
+Result<std::vector<NodeId>> parseAddresses(const cJSON* root, const char* name) {
   const std::string path = std::string("/") + name;
   const cJSON* array = jsonMember(root, name);
   const int size = cJSON_IsArray(array) ? cJSON_GetArraySize(array) : 0;
@@ -29,7 +29,7 @@
                        seen.insert(item->valuestring).second;
     if (!valid) {
       return jsonError(path + "/" + std::to_string(ids.size()), item,
-                       "an \"ip:port\" that stands once");
+                       "an \"ip:port\" that is listed only once");
     }
     ids.push_back(NodeId{item->valuestring});
   }
@@ -53,11 +53,11 @@
       return jsonError("/" + name, member, "no such key; the keys here are acceptors, stores");
     }
   }
-  Result<std::vector<NodeId>> acceptors = addresses(root, "acceptors");
+  Result<std::vector<NodeId>> acceptors = parseAddresses(root, "acceptors");
   if (!acceptors) {
     return acceptors.error();
   }
-  Result<std::vector<NodeId>> stores = addresses(root, "stores");
+  Result<std::vector<NodeId>> stores = parseAddresses(root, "stores");
   if (!stores) {
     return stores.error();
   }
@@ -68,7 +68,8 @@
 void InitFleetCommand::execute(OperatorServices& services, CommandDone done) {
   if (services.fleetForming == nullptr) {
     done(errorReply(
-        makeError(ErrorCode::NotReady, "this process cannot form a fleet; ask a control process")));
+        makeError(ErrorCode::NotReady,
+                  "this process cannot form a fleet; send the call to a control process")));
     return;
   }
   const auto answer = [done = std::move(done)](const Result<MemberList>& members) {
--- a/src/operators/operator_call.h
+++ b/src/operators/operator_call.h
@@ -21,7 +21,7 @@
   std::string body;
 };
 
-/// What each change carries besides its content.
+/// Headers that each change must carry.
 struct ChangeHeaders {
   std::uint64_t baseVersion = 0;
   std::string orderId;
@@ -29,6 +29,6 @@
 
 /// Reads `If-Match` and `Order-Id`. Fails with `InvalidArgument` naming the header, its value and
 /// what is allowed.
-Result<ChangeHeaders> changeHeadersOf(const OperatorCall& call);
+Result<ChangeHeaders> parseChangeHeaders(const OperatorCall& call);
 
 }  // namespace shedshed
--- a/src/operators/settings_versions.cpp
+++ b/src/operators/settings_versions.cpp
@@ -9,21 +9,21 @@
 namespace shedshed {
 namespace {
 
-/// Proposals of one order after changes that left the named version as it was, or that were lost
-/// races with the repair of an unfinished change.
-constexpr std::uint32_t kMaxTries = 8;
+/// Maximum proposals of one update. It is proposed again if the register changed but the named
+/// version did not, or if the proposal lost a race with the repair of an unfinished change.
+constexpr std::uint32_t kMaxAttempts = 8;
 
 /// A register version that is never reached: a proposal on it takes no effect, but is answered from
-/// the ledger if its order did before.
-constexpr std::uint64_t kNoVersion = std::numeric_limits<std::uint64_t>::max() / 2;
+/// the ledger if its update took effect before.
+constexpr std::uint64_t kUnreachableVersion = std::numeric_limits<std::uint64_t>::max() / 2;
 
-std::string orderIdOf(const SettingsOrder& order) {
-  const char* kind = order.kind == SettingsOrder::Kind::Replace ? "replace" : "items";
-  return "named " + std::string(kind) + " " + std::to_string(order.baseVersion) + " " +
-         hash128Hex(order.body);
+std::string idempotencyKeyOf(const SettingsUpdate& update) {
+  const char* kind = update.kind == SettingsUpdate::Kind::Replace ? "replace" : "items";
+  return "named " + std::string(kind) + " " + std::to_string(update.baseVersion) + " " +
+         hash128Hex(update.body);
 }
 
-/// The named version of a value that was checked when it was taken.
+/// Returns the named version of a value that was validated when it was accepted.
 std::uint64_t namedVersionOf(const std::string& settings) {
   if (settings.empty()) {
     return 0;
@@ -32,11 +32,11 @@
   return tree ? tree.value().namedVersion() : 0;
 }
 
-/// Makes the new settings. Fails if they would not be valid on @p current.
-Result<std::string> newSettings(const SettingsOrder& order, const std::string& current) {
-  Result<std::string> text = order.kind == SettingsOrder::Kind::Replace
-                                 ? Result<std::string>(order.body)
-                                 : applyItemChange(current, order.body);
+/// Builds the new settings. Fails if they would not be valid on @p current.
+Result<std::string> updatedSettings(const SettingsUpdate& update, const std::string& current) {
+  Result<std::string> text = update.kind == SettingsUpdate::Kind::Replace
+                                 ? Result<std::string>(update.body)
+                                 : applyItemChange(current, update.body);
   if (!text) {
     return text.error();
   }
@@ -44,9 +44,9 @@
   if (!tree) {
     return tree.error();
   }
-  if (tree.value().namedVersion() <= order.baseVersion) {
+  if (tree.value().namedVersion() <= update.baseVersion) {
     return makeError(ErrorCode::InvalidArgument,
-                     "/version: must be above " + std::to_string(order.baseVersion));
+                     "/version: must be above " + std::to_string(update.baseVersion));
   }
   return text;
 }
@@ -63,12 +63,12 @@
   });
 }
 
-void SettingsVersions::submit(SettingsOrder order, Done done) {
-  propose(std::make_shared<Attempt>(Attempt{std::move(order), std::move(done)}));
+void SettingsVersions::submit(SettingsUpdate update, Done done) {
+  propose(std::make_shared<Attempt>(Attempt{std::move(update), std::move(done)}));
 }
 
 void SettingsVersions::propose(const std::shared_ptr<Attempt>& attempt) {
-  ++attempt->tries;
+  ++attempt->attemptCount;
   configuration_.read(kSettingsRegister, [this, attempt](const Result<RegisterValue>& read) {
     if (!read) {
       attempt->done(read.error());
@@ -80,22 +80,22 @@
 
 void SettingsVersions::proposeOn(const std::shared_ptr<Attempt>& attempt,
                                  const RegisterValue& current) {
-  const SettingsOrder& order = attempt->order;
+  const SettingsUpdate& update = attempt->update;
   ChangeRequest request;
   request.registerName = kSettingsRegister;
-  request.idempotencyKey = orderIdOf(order);
+  request.idempotencyKey = idempotencyKeyOf(update);
   request.content = request.idempotencyKey;
-  request.baseVersion = kNoVersion;
+  request.baseVersion = kUnreachableVersion;
   const std::uint64_t named = namedVersionOf(current.value);
-  if (named != order.baseVersion) {
+  if (named != update.baseVersion) {
     change(
         attempt, std::move(request), false,
         makeError(ErrorCode::VersionConflict, "version " + std::to_string(named) + " is in force"));
     return;
   }
-  Result<std::string> settings = newSettings(order, current.value);
+  Result<std::string> settings = updatedSettings(update, current.value);
   if (!settings) {
-    // Not proposed: what is not valid on its base can't have taken effect on it.
+    // Not proposed: an update that is invalid on its base cannot have taken effect on it.
     attempt->done(settings.error());
     return;
   }
@@ -109,17 +109,18 @@
   const auto answer = [this, attempt, onBase,
                        refusal = std::move(refusal)](const Result<ChangeOutcome>& outcome) {
     if (outcome) {
-      attempt->done(SettingsOrderOutcome{0, outcome.value().repeated});
+      attempt->done(SettingsUpdateOutcome{0, outcome.value().repeated});
       return;
     }
     switch (outcome.error().code) {
     case ErrorCode::IdempotencyKeyReused:
-      // The id is the hash of the order: the same order took effect on another register version.
-      attempt->done(SettingsOrderOutcome{0, true});
+      // The key is made of the hash of the update: the same update took effect on another register
+      // version.
+      attempt->done(SettingsUpdateOutcome{0, true});
       return;
     case ErrorCode::VersionConflict:
-      if (onBase && attempt->tries < kMaxTries) {
-        propose(attempt);  // The register moved on; the named version may have, too.
+      if (onBase && attempt->attemptCount < kMaxAttempts) {
+        propose(attempt);  // The register changed; the named version may have, too.
         return;
       }
       attempt->done(refusal);
--- a/src/operators/store_commands.cpp
+++ b/src/operators/store_commands.cpp
@@ -10,7 +10,7 @@
 
 constexpr JsonBounds kReplaceBounds{4U << 10U, 2};
 
-Result<NodeId> addressOf(const cJSON* root, const char* name) {
+Result<NodeId> parseAddress(const cJSON* root, const char* name) {
   const cJSON* member = jsonMember(root, name);
   if (!cJSON_IsString(member) || !isIpPort(member->valuestring)) {
     return jsonError(std::string("/") + name, member, "the \"ip:port\" of a store");
@@ -35,11 +35,11 @@
       return jsonError("/" + name, member, "no such key; the keys here are old, new");
     }
   }
-  Result<NodeId> oldId = addressOf(root, "old");
+  Result<NodeId> oldId = parseAddress(root, "old");
   if (!oldId) {
     return oldId.error();
   }
-  Result<NodeId> newId = addressOf(root, "new");
+  Result<NodeId> newId = parseAddress(root, "new");
   if (!newId) {
     return newId.error();
   }
@@ -51,16 +51,16 @@
   const NodeId self = services.status().self;
   if (services.storeAdmission == nullptr || self != newId_) {
     return makeError(ErrorCode::InvalidArgument, "/new: found \"" + newId_.address +
-                                                     "\"; allowed: the store that is asked, this "
-                                                     "is " +
+                                                     "\"; allowed: the store that gets the call, "
+                                                     "this is " +
                                                      self.address);
   }
   const StoreProgress progress = services.storeAdmission->progress();
   const bool complete = progress.total != 0 && progress.held == progress.total;
   if (!progress.isMember && !complete) {
-    return makeError(ErrorCode::NotReady, newId_.address + " holds " +
+    return makeError(ErrorCode::NotReady, newId_.address + " holds only " +
                                               std::to_string(progress.held) + " of " +
-                                              std::to_string(progress.total) + " partitions yet");
+                                              std::to_string(progress.total) + " partitions");
   }
   return okStatus();
 }
--- a/src/settings/json.cpp
+++ b/src/settings/json.cpp
@@ -10,16 +10,17 @@
 /// Longest prefix of a rejected value that an error repeats, in bytes.
 constexpr std::size_t kMaxShownBytes = 80;
 
-constexpr std::string_view kEscapedZero = "\\u0000";
+constexpr std::string_view kEscapedNul = "\\u0000";
 
-/// Checks the text before cJSON sees it: nesting, zero bytes and escaped zero characters.
-class TextCheck {
+/// Validates the text before cJSON parses it: nesting depth, NUL bytes and escaped NUL characters.
+class JsonTextValidator {
  public:
-  TextCheck(std::string_view text, std::size_t maxDepth) : text_(text), maxDepth_(maxDepth) {}
+  JsonTextValidator(std::string_view text, std::size_t maxDepth)
+      : text_(text), maxDepth_(maxDepth) {}
 
   Status run() {
     for (position_ = 0; position_ < text_.size(); ++position_) {
-      Status status = inString_ ? checkInString() : checkOutside();
+      Status status = inString_ ? checkInString() : checkOutsideString();
       if (!status) {
         return status;
       }
@@ -30,8 +31,8 @@
  private:
   Status checkInString() {
     const char character = text_[position_];
-    if (character == '\0' || text_.substr(position_, kEscapedZero.size()) == kEscapedZero) {
-      return reject(ErrorCode::InvalidArgument, "zero characters are not allowed");
+    if (character == '\0' || text_.substr(position_, kEscapedNul.size()) == kEscapedNul) {
+      return reject(ErrorCode::InvalidArgument, "NUL characters are not allowed");
     }
     if (character == '\\') {
       ++position_;
@@ -41,10 +42,10 @@
     return okStatus();
   }
 
-  Status checkOutside() {
+  Status checkOutsideString() {
     switch (text_[position_]) {
     case '\0':
-      return reject(ErrorCode::InvalidArgument, "zero characters are not allowed");
+      return reject(ErrorCode::InvalidArgument, "NUL characters are not allowed");
     case '"':
       inString_ = true;
       return okStatus();
@@ -89,7 +90,7 @@
       childPath = path + "/" + child->string;
       if (!names.insert(child->string).second) {
         return makeError(ErrorCode::InvalidArgument,
-                         childPath + ": the key stands twice; each key is allowed once");
+                         childPath + ": duplicate key; each key is allowed once");
       }
     }
     if (Status status = checkTree(child, childPath); !status) {
@@ -108,12 +109,12 @@
                                               " bytes; at most " + std::to_string(bounds.maxBytes) +
                                               " are allowed");
   }
-  if (Status status = TextCheck(text, bounds.maxDepth).run(); !status) {
+  if (Status status = JsonTextValidator(text, bounds.maxDepth).run(); !status) {
     return status.error();
   }
   const std::string terminated(text);
   const char* end = nullptr;
-  // With the terminating zero included, cJSON also rejects anything after the value.
+  // With the terminating NUL included in the length, cJSON also rejects anything after the value.
   JsonDocument document(
       cJSON_ParseWithLengthOpts(terminated.c_str(), terminated.size() + 1, &end, 1));
   if (document.root() == nullptr) {
--- a/tests/operators/fake_services.h
+++ b/tests/operators/fake_services.h
@@ -1,5 +1,5 @@
 /// @file
-/// Services of a node in memory, for tests of the operators' HTTP.
+/// In-memory services of a node, for tests of the operators' HTTP server.
 #pragma once
 
 #include "operators/operator_services.h"
@@ -16,14 +16,14 @@
 class FakeRegister : public ConfigurationRegister {
  public:
   void change(ChangeRequest request, std::function<void(Result<ChangeOutcome>)> done) override {
-    if (silent) {
+    if (dropsChanges) {
       return;
     }
     RegisterValue& current = values[request.registerName];
     const std::string& content = request.content.empty() ? request.value : request.content;
     const auto applied = ledger.find(request.idempotencyKey);
     if (applied != ledger.end() && applied->second.first != content) {
-      done(makeError(ErrorCode::IdempotencyKeyReused, "the order id stands for another change"));
+      done(makeError(ErrorCode::IdempotencyKeyReused, "the order id was used for another change"));
     } else if (applied != ledger.end()) {
       done(ChangeOutcome{applied->second.second, true});
     } else if (request.baseVersion != current.version) {
@@ -39,13 +39,13 @@
     done(values[registerName]);
   }
 
-  bool silent = false;  ///< Never answers a change.
+  bool dropsChanges = false;  ///< If set, changes are never answered.
   std::map<std::string, RegisterValue> values;
   std::map<std::string, std::pair<std::string, std::uint64_t>> ledger;
 };
 
 /// Forms a fleet once.
-class FakeForming : public FleetForming {
+class FakeFleetForming : public FleetForming {
  public:
   void formFleet(std::vector<NodeId> acceptors, std::vector<NodeId> stores,
                  std::function<void(Result<MemberList>)> done) override {
@@ -85,10 +85,10 @@
   return ntohs(address.sin_port);
 }
 
-/// A node with everything faked.
+/// A node with fake services.
 struct FakeNode {
   FakeRegister registers;
-  FakeForming forming;
+  FakeFleetForming forming;
   ImmediateExecutor executor;
   Status ready = okStatus();
   OperatorServices services{registers, &forming,
--- a/tests/operators/settings_versions_test.cpp
+++ b/tests/operators/settings_versions_test.cpp
@@ -16,15 +16,15 @@
 
 struct VersionFleet {
   VersionFleet() { BOOST_REQUIRE(fleet.form()); }
-  Result<SettingsOrderOutcome> submit(const std::string& via, SettingsOrder order) {
+  Result<SettingsUpdateOutcome> submit(const std::string& via, SettingsUpdate update) {
     SettingsVersions versions(fleet.registers(via));
-    std::optional<Result<SettingsOrderOutcome>> result;
-    versions.submit(std::move(order), [&](auto outcome) { result = std::move(outcome); });
+    std::optional<Result<SettingsUpdateOutcome>> result;
+    versions.submit(std::move(update), [&](auto outcome) { result = std::move(outcome); });
     return fleet.await(result);
   }
-  Result<SettingsOrderOutcome> replace(const std::string& via, std::uint64_t base,
-                                       const std::string& body) {
-    return submit(via, {SettingsOrder::Kind::Replace, base, body});
+  Result<SettingsUpdateOutcome> replace(const std::string& via, std::uint64_t base,
+                                        const std::string& body) {
+    return submit(via, {SettingsUpdate::Kind::Replace, base, body});
   }
   std::string read(const std::string& via) {
     SettingsVersions versions(fleet.registers(via));
@@ -39,7 +39,7 @@
 
 BOOST_AUTO_TEST_SUITE(settings_versions)
 
-BOOST_FIXTURE_TEST_CASE(orders_build_on_the_named_version, VersionFleet) {
+BOOST_FIXTURE_TEST_CASE(updates_build_on_the_named_version, VersionFleet) {
   BOOST_TEST(read("a1").empty());
   BOOST_REQUIRE(replace("a1", 0, settings(5)));
   BOOST_TEST(read("a2") == settings(5));
@@ -59,17 +59,17 @@
   BOOST_TEST(read("a1") == settings(12));
 }
 
-BOOST_FIXTURE_TEST_CASE(of_two_orders_on_one_version_one_wins, VersionFleet) {
+BOOST_FIXTURE_TEST_CASE(of_two_updates_on_one_version_one_wins, VersionFleet) {
   BOOST_REQUIRE(replace("a1", 0, settings(5)));
   for (std::uint64_t base = 5; base < 25; ++base) {
     SettingsVersions first(fleet.registers("a1"));
     SettingsVersions second(fleet.registers("a2"));
-    std::optional<Result<SettingsOrderOutcome>> one;
-    std::optional<Result<SettingsOrderOutcome>> two;
+    std::optional<Result<SettingsUpdateOutcome>> one;
+    std::optional<Result<SettingsUpdateOutcome>> two;
     const int next = static_cast<int>(base) + 1;
-    first.submit({SettingsOrder::Kind::Replace, base, settings(next, "one")},
+    first.submit({SettingsUpdate::Kind::Replace, base, settings(next, "one")},
                  [&](auto outcome) { one = std::move(outcome); });
-    second.submit({SettingsOrder::Kind::Replace, base, settings(next, "two")},
+    second.submit({SettingsUpdate::Kind::Replace, base, settings(next, "two")},
                   [&](auto outcome) { two = std::move(outcome); });
     fleet.await(one);
     fleet.await(two);
@@ -78,14 +78,14 @@
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(invalid_orders_change_nothing, VersionFleet) {
+BOOST_FIXTURE_TEST_CASE(invalid_updates_change_nothing, VersionFleet) {
   BOOST_REQUIRE(replace("a1", 0, settings(5)));
   for (const std::string& body : {std::string("{"), settings(5), settings(4), settings(9) + "x"}) {
     const auto outcome = replace("a2", 5, body);
     BOOST_TEST((outcome.error().code == ErrorCode::InvalidArgument), body);
   }
-  const SettingsOrder items{SettingsOrder::Kind::ChangeItems, 5,
-                            R"({"version":7,"remove":{"services":["s"]}})"};
+  const SettingsUpdate items{SettingsUpdate::Kind::ChangeItems, 5,
+                             R"({"version":7,"remove":{"services":["s"]}})"};
   BOOST_TEST((submit("a2", items).error().code == ErrorCode::InvalidArgument));
   BOOST_TEST(read("a1") == settings(5));
 }
--- a/tests/settings/settings_test.cpp
+++ b/tests/settings/settings_test.cpp
@@ -1,4 +1,4 @@
-// The tree of settings: errors, inheritance, keys.
+// The settings tree: errors, inheritance, keys.
 #include "settings/settings.h"
 
 #include "settings/json.h"
@@ -17,7 +17,7 @@
   return tree.value();
 }
 
-std::string keyOf(const std::string& bearerKey, bool withdrawn) {
+std::string keyJson(const std::string& bearerKey, bool withdrawn) {
   return R"({"digest": ")" + SettingsTree::digestOfKey(bearerKey) + R"(", "withdrawn": )" +
          (withdrawn ? "true" : "false") + "}";
 }
@@ -51,10 +51,10 @@
     {R"({"tenants": {"a": {"keys": [{}]}}})", {"/tenants/a/keys/0/digest", "nothing"}},
     {R"({"tenants": {"a": {"keys": [{"withdrawn": 1}]}}})",
      {"/tenants/a/keys/0/withdrawn", "1", "true or false"}},
-    {R"({"fleet": {"burst": 1, "burst": 2}})", {"/fleet/burst", "twice"}},
+    {R"({"fleet": {"burst": 1, "burst": 2}})", {"/fleet/burst", "duplicate key"}},
     {R"({"fleet": {"per_s": 1e999}})", {"/fleet/per_s", "out of range"}},
     {R"({"fleet": {}} x)", {"not valid JSON"}},
-    {"{\"tenants\": {\"a\\u0000b\": {}}}", {"zero characters"}},
+    {"{\"tenants\": {\"a\\u0000b\": {}}}", {"NUL characters"}},
 };
 
 }  // namespace
@@ -114,21 +114,21 @@
 }
 
 BOOST_AUTO_TEST_CASE(a_withdrawn_key_belongs_to_no_tenant) {
-  const SettingsTree tree = parsed(R"({"tenants": {"acme": {"keys": [)" + keyOf("one", false) +
-                                   "," + keyOf("two", true) + "]}}}");
+  const SettingsTree tree = parsed(R"({"tenants": {"acme": {"keys": [)" + keyJson("one", false) +
+                                   "," + keyJson("two", true) + "]}}}");
   BOOST_TEST(tree.tenantOfKey("one").value_or("") == "acme");
   BOOST_TEST(!tree.tenantOfKey("two").has_value());
   BOOST_TEST(!tree.tenantOfKey("three").has_value());
   BOOST_TEST(SettingsTree::digestOfKey("").size() == 64U);
 }
 
-// The users' target is 2,400 tenants in steady use, each with a key that is being replaced.
+// The capacity target is 2,400 active tenants, each in the middle of a key rotation.
 BOOST_AUTO_TEST_CASE(a_tree_accepts_the_tenants_of_the_target_size) {
   std::string json;
   for (int i = 0; i < 2400; ++i) {
     const std::string name = "tenant-" + std::to_string(i);
     json += (i == 0 ? "" : ",") + ("\"" + name) + R"(": {"per_s": 2, "keys": [)" +
-            keyOf(name + "-old", true) + "," + keyOf(name + "-new", false) + "]}";
+            keyJson(name + "-old", true) + "," + keyJson(name + "-new", false) + "]}";
   }
   const SettingsTree tree = parsed(R"({"tenants": {)" + json + "}}");
   BOOST_TEST(tree.tenantOfKey("tenant-2399-new").value_or("") == "tenant-2399");
@@ -136,14 +136,14 @@
 
 BOOST_AUTO_TEST_CASE(a_digest_cannot_belong_to_two_tenants_even_if_withdrawn) {
   const Result<SettingsTree> tree =
-      SettingsTree::parse(R"({"tenants": {"a": {"keys": [)" + keyOf("one", true) +
-                          R"(]}, "b": {"keys": [)" + keyOf("one", false) + "]}}}");
+      SettingsTree::parse(R"({"tenants": {"a": {"keys": [)" + keyJson("one", true) +
+                          R"(]}, "b": {"keys": [)" + keyJson("one", false) + "]}}}");
   BOOST_REQUIRE(tree.has_error());
   BOOST_TEST(tree.error().detail.find("/tenants/a/keys/0") != std::string::npos);
 }
 
-// The schema file and the parser's table must not drift apart: both limits of each number are
-// accepted, and one step past them is rejected.
+// Fails if the schema file and the parser's table differ: both limits of each number must be
+// accepted, and a value just outside of them rejected.
 BOOST_AUTO_TEST_CASE(schema_file_states_the_parsers_keys_and_ranges) {
   const Result<std::string> text =
       readSmallFile(SHEDSHED_SOURCE_DIR "/docs/settings.schema.json", 1U << 20U);
