--- a/src/ctl/batches_commands.cpp
+++ b/src/ctl/batches_commands.cpp
@@ -1,7 +1,7 @@
 #include "ctl/batches_commands.h"
 
 #include "ctl/json_cell.h"
-#include "ctl/node_answers.h"
+#include "ctl/node_query.h"
 
 #include <map>
 
@@ -12,7 +12,7 @@
 constexpr const char* kBatchesUrl = "/v1/batches";
 constexpr std::chrono::milliseconds kPollInterval(200);
 
-std::string stateOf(const cJSON* batch) {
+std::string batchState(const cJSON* batch) {
   const bool cancelled = cJSON_IsTrue(jsonMember(batch, "cancelled")) != 0;
   const bool open = cellOf(batch, "pending") != "0" || cellOf(batch, "started") != "0";
   if (cancelled) {
@@ -25,20 +25,20 @@
   TextTable table({"BATCH", "TENANT", "STATE", "ITEMS", "PENDING", "STARTED", "DONE", "FAILED",
                    "CANCELLED", "UNKNOWN"});
   for (const cJSON* batch : batches) {
-    table.add({cellOf(batch, "id"), cellOf(batch, "tenant"), stateOf(batch), cellOf(batch, "items"),
-               cellOf(batch, "pending"), cellOf(batch, "started"), cellOf(batch, "done"),
-               cellOf(batch, "failed"), cellOf(batch, "cancelled_items"),
+    table.add({cellOf(batch, "id"), cellOf(batch, "tenant"), batchState(batch),
+               cellOf(batch, "items"), cellOf(batch, "pending"), cellOf(batch, "started"),
+               cellOf(batch, "done"), cellOf(batch, "failed"), cellOf(batch, "cancelled_items"),
                cellOf(batch, "unknown")});
   }
   context.output.table(table);
 }
 
-ExitCode printOne(CtlContext& context, const std::string& body) {
+ExitCode printBatch(CtlContext& context, const std::string& body) {
   if (context.output.isJson()) {
     context.output.line(body);
     return ExitCode::Ok;
   }
-  const Result<JsonDocument> document = JsonDocument::parse(body, kAnswerBounds);
+  const Result<JsonDocument> document = JsonDocument::parse(body, kResponseBounds);
   if (!document) {
     return context.output.fail(document.error());
   }
@@ -46,36 +46,36 @@
   return ExitCode::Ok;
 }
 
-Error notFound(const std::string& id) {
+Error batchNotFound(const std::string& id) {
   return makeError(ErrorCode::NotFound, "no store knows a batch " + id);
 }
 
 /// Returns the answer of the store that owns batch @p id. The ownership may be moving: asks
 /// again until a store answers, all say that they do not know it, or the time is over.
-Result<NodeResponse> findOwner(CtlContext& context, const std::string& id) {
-  const std::chrono::seconds limit(context.line.timeoutSeconds);
+Result<NodeResponse> queryOwner(CtlContext& context, const std::string& id) {
+  const std::chrono::seconds timeout(context.line.timeoutSeconds);
   while (true) {
-    const auto answers = queryNodes(context.fleet, "store", kBatchesUrl + ("/" + id));
-    if (!answers) {
-      return answers.error();
+    const auto responses = queryNodes(context.fleet, "store", kBatchesUrl + ("/" + id));
+    if (!responses) {
+      return responses.error();
     }
-    bool ownerSaysNo = false;
-    Error last = makeError(ErrorCode::StoreUnavailable, "no store owns the batch at present");
-    for (const NodeResponse& answer : answers.value()) {
-      if (answer.answer) {
-        return answer;
+    bool reportedNotFound = false;
+    Error lastError = makeError(ErrorCode::StoreUnavailable, "no store owns the batch at present");
+    for (const NodeResponse& response : responses.value()) {
+      if (response.result) {
+        return response;
       }
-      const Error& error = answer.answer.error();
-      ownerSaysNo = ownerSaysNo || error.code == ErrorCode::NotFound;
-      if (!isElsewhere(error.code)) {
-        last = error;
+      const Error& error = response.result.error();
+      reportedNotFound = reportedNotFound || error.code == ErrorCode::NotFound;
+      if (!isNotFoundOnNode(error.code)) {
+        lastError = error;
       }
     }
-    if (ownerSaysNo) {
-      return notFound(id);
+    if (reportedNotFound) {
+      return batchNotFound(id);
     }
-    if (context.elapsed() >= limit) {
-      return last;
+    if (context.elapsed() >= timeout) {
+      return lastError;
     }
     context.pause(kPollInterval);
   }
@@ -84,30 +84,31 @@
 }  // namespace
 
 ExitCode BatchesCommands::run(CtlContext& context) {
-  const std::string action = context.line.word(1);
-  const std::size_t words = context.line.words.size();
-  if (action == "list" && words == 2) {
+  const std::string action = context.line.argument(1);
+  const std::size_t argumentCount = context.line.arguments.size();
+  if (action == "list" && argumentCount == 2) {
     return list(context);
   }
-  if (action == "show" && words == 3) {
+  if (action == "show" && argumentCount == 3) {
     return show(context);
   }
-  if (action == "cancel" && words == 3) {
+  if (action == "cancel" && argumentCount == 3) {
     return cancel(context);
   }
   return context.output.usage("batches: allowed: list, show ID, cancel ID");
 }
 
 ExitCode BatchesCommands::list(CtlContext& context) {
-  const Result<std::vector<NodeResponse>> answers = queryNodes(context.fleet, "store", kBatchesUrl);
-  if (!answers) {
-    return context.output.fail(answers.error());
+  const Result<std::vector<NodeResponse>> responses =
+      queryNodes(context.fleet, "store", kBatchesUrl);
+  if (!responses) {
+    return context.output.fail(responses.error());
   }
   std::vector<JsonDocument> documents;
   std::map<std::string, const cJSON*> batches;
-  for (const NodeResponse& answer : answers.value()) {
+  for (const NodeResponse& response : responses.value()) {
     Result<JsonDocument> document =
-        JsonDocument::parse(answer.answer ? answer.answer.value().body : "{}", kAnswerBounds);
+        JsonDocument::parse(response.result ? response.result.value().body : "{}", kResponseBounds);
     if (!document) {
       return context.output.fail(document.error());
     }
@@ -117,7 +118,7 @@
       batches[cellOf(item, "id")] = item;
     }
   }
-  const std::string missing = missingResponses(answers.value());
+  const std::string missing = missingResponses(responses.value());
   if (context.output.isJson()) {
     const JsonDocument document = JsonDocument::object();
     cJSON* array = cJSON_AddArrayToObject(document.root(), "batches");
@@ -140,16 +141,16 @@
 }
 
 ExitCode BatchesCommands::show(CtlContext& context) {
-  const Result<NodeResponse> owner = findOwner(context, context.line.word(2));
+  const Result<NodeResponse> owner = queryOwner(context, context.line.argument(2));
   if (!owner) {
     return context.output.fail(owner.error());
   }
-  return printOne(context, owner.value().answer.value().body);
+  return printBatch(context, owner.value().result.value().body);
 }
 
 ExitCode BatchesCommands::cancel(CtlContext& context) {
-  const std::string id = context.line.word(2);
-  const Result<NodeResponse> owner = findOwner(context, id);
+  const std::string id = context.line.argument(2);
+  const Result<NodeResponse> owner = queryOwner(context, id);
   if (!owner) {
     return context.output.fail(owner.error());
   }
@@ -157,13 +158,13 @@
   request.method = "POST";
   request.url = kBatchesUrl + ("/" + id) + "/cancel";
   request.changesState = true;
-  Result<FleetResponse> answer = context.fleet.callNode(owner.value().operatorsAddress, request);
-  if (!answer) {
-    Error error = answer.error();
+  Result<FleetResponse> response = context.fleet.callNode(owner.value().operatorsAddress, request);
+  if (!response) {
+    Error error = response.error();
     error.detail += "; a cancel may be sent again";
     return context.output.fail(error);
   }
-  return printOne(context, answer.value().body);
+  return printBatch(context, response.value().body);
 }
 
 }  // namespace shedshed::ctl
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -103,10 +103,10 @@
      "Version to wait for; alone: show the version of shedctl", "V"},
     POPT_TABLEEND};
 
-struct ContextDeleter {
+struct PoptContextDeleter {
   void operator()(poptContext context) const { poptFreeContext(context); }
 };
-using Context = std::unique_ptr<std::remove_pointer_t<poptContext>, ContextDeleter>;
+using PoptContext = std::unique_ptr<std::remove_pointer_t<poptContext>, PoptContextDeleter>;
 
 std::string helpText(poptContext context) {
   char* text = nullptr;
@@ -143,7 +143,7 @@
   return static_cast<std::uint64_t>(*number);
 }
 
-Status storeUnsigned(const std::string& flag, const std::string& value,
+Status applyUnsigned(const std::string& flag, const std::string& value,
                      std::optional<std::uint64_t>& target) {
   const Result<std::uint64_t> number = parseUnsigned(flag, value);
   if (!number) {
@@ -153,7 +153,7 @@
   return okStatus();
 }
 
-Status storeAddresses(const std::string& flag, const std::string& value,
+Status applyAddresses(const std::string& flag, const std::string& value,
                       std::vector<std::string>& target) {
   std::size_t begin = 0;
   while (begin <= value.size()) {
@@ -168,7 +168,7 @@
   return okStatus();
 }
 
-Status storeTimeout(const std::string& value, CommandLine& line) {
+Status applyTimeout(const std::string& value, CommandLine& line) {
   const std::optional<double> seconds = parseNumber(value, kMaxTimeoutSeconds);
   if (!seconds || *seconds < 1) {
     return flagError("--timeout-s", value, "seconds from 1 to 3600");
@@ -177,7 +177,7 @@
   return okStatus();
 }
 
-Status storeRegister(const std::string& value, CommandLine& line) {
+Status applyRegister(const std::string& value, CommandLine& line) {
   if (value != "settings" && value != "engines" && value != "members") {
     return flagError("--register", value, "settings, engines or members");
   }
@@ -185,10 +185,10 @@
   return okStatus();
 }
 
-Status storeOption(int code, const std::string& value, CommandLine& line) {
+Status applyOption(int code, const std::string& value, CommandLine& line) {
   switch (code) {
   case kNode:
-    return storeAddresses("--node", value, line.nodes);
+    return applyAddresses("--node", value, line.nodes);
   case kKeyFile:
     line.keyFile = value;
     return okStatus();
@@ -196,7 +196,7 @@
     line.json = true;
     return okStatus();
   case kBaseVersion:
-    return storeUnsigned("--base-version", value, line.baseVersion);
+    return applyUnsigned("--base-version", value, line.baseVersion);
   case kOrderId:
     line.orderId = value;
     return okStatus();
@@ -204,23 +204,23 @@
     line.effective = value;
     return okStatus();
   case kRegister:
-    return storeRegister(value, line);
+    return applyRegister(value, line);
   case kTimeout:
-    return storeTimeout(value, line);
+    return applyTimeout(value, line);
   case kAcceptors:
-    return storeAddresses("--acceptors", value, line.acceptors);
+    return applyAddresses("--acceptors", value, line.acceptors);
   case kStores:
-    return storeAddresses("--stores", value, line.stores);
+    return applyAddresses("--stores", value, line.stores);
   case kPerSecond:
     line.perSecond = parseNumber(value, kMaxNumber);
     return line.perSecond ? okStatus() : Status(flagError("--per-s", value, "a number"));
   case kBurst:
-    return storeUnsigned("--burst", value, line.burst);
+    return applyUnsigned("--burst", value, line.burst);
   case kKeyDigest:
     line.keyDigest = value;
     return okStatus();
   case kVersion:
-    return storeUnsigned("--version", value, line.waitVersion);
+    return applyUnsigned("--version", value, line.waitVersion);
   default:
     return okStatus();
   }
@@ -230,7 +230,7 @@
 
 Result<CommandLine> parseCommandLine(int argc, const char** argv) {
   CommandLine line;
-  const Context context(poptGetContext("shedctl", argc, argv, kOptions, 0));
+  const PoptContext context(poptGetContext("shedctl", argc, argv, kOptions, 0));
   poptSetOtherOptionHelp(context.get(), "[OPTION...] COMMAND");
   int code = 0;
   while ((code = poptGetNextOpt(context.get())) >= 0) {
@@ -245,7 +245,7 @@
       line.informationText = versionText("shedctl");
       return line;
     }
-    if (Status status = storeOption(code, value, line); !status) {
+    if (Status status = applyOption(code, value, line); !status) {
       return status.error();
     }
   }
@@ -254,8 +254,8 @@
                      std::string(poptBadOption(context.get(), POPT_BADOPTION_NOALIAS)) + ": " +
                          poptStrerror(code) + "; see --help");
   }
-  while (const char* word = poptGetArg(context.get())) {
-    line.words.emplace_back(word);
+  while (const char* argument = poptGetArg(context.get())) {
+    line.arguments.emplace_back(argument);
   }
   return line;
 }
--- a/src/ctl/command_line.h
+++ b/src/ctl/command_line.h
@@ -26,14 +26,14 @@
   std::optional<double> perSecond;           ///< For `tenants create`.
   std::optional<std::uint64_t> burst;        ///< For `tenants create`.
   std::string keyDigest;                     ///< For `tenants create`.
-  std::vector<std::string> words;            ///< The command and its arguments.
+  std::vector<std::string> arguments;        ///< The command and its arguments.
 
   /// Text of `--help` or `--version`; if it is not empty, nothing else is filled in.
   std::string informationText;
 
   /// Returns word @p index, or "" if there are fewer.
-  std::string word(std::size_t index) const {
-    return index < words.size() ? words[index] : std::string();
+  std::string argument(std::size_t index) const {
+    return index < arguments.size() ? arguments[index] : std::string();
   }
 };
 
--- a/src/ctl/ctl_command.cpp
+++ b/src/ctl/ctl_command.cpp
@@ -21,38 +21,38 @@
 
 constexpr std::size_t kMaxInputBytes = 2U << 20U;
 
-struct Group {
-  const char* word;
-  std::unique_ptr<CtlCommand> (*make)();
+struct CommandGroup {
+  const char* name;
+  std::unique_ptr<CtlCommand> (*makeCommand)();
 };
 
 template <class Command>
-std::unique_ptr<CtlCommand> make() {
+std::unique_ptr<CtlCommand> makeCommand() {
   return std::make_unique<Command>();
 }
 
-constexpr Group kGroups[] = {
-    {"init", make<InitCommand>},        {"status", make<StatusCommand>},
-    {"members", make<MembersCommand>},  {"settings", make<SettingsCommands>},
-    {"engines", make<EnginesCommands>}, {"tenants", make<TenantsCommands>},
-    {"keys", make<KeysCommands>},       {"wait", make<WaitCommand>},
-    {"stores", make<StoresCommands>},   {"slots", make<SlotsCommand>},
-    {"batches", make<BatchesCommands>}, {"explain", make<ExplainCommand>},
+constexpr CommandGroup kCommandGroups[] = {
+    {"init", makeCommand<InitCommand>},        {"status", makeCommand<StatusCommand>},
+    {"members", makeCommand<MembersCommand>},  {"settings", makeCommand<SettingsCommands>},
+    {"engines", makeCommand<EnginesCommands>}, {"tenants", makeCommand<TenantsCommands>},
+    {"keys", makeCommand<KeysCommands>},       {"wait", makeCommand<WaitCommand>},
+    {"stores", makeCommand<StoresCommands>},   {"slots", makeCommand<SlotsCommand>},
+    {"batches", makeCommand<BatchesCommands>}, {"explain", makeCommand<ExplainCommand>},
 };
 
 }  // namespace
 
 ExitCode runCommand(CtlContext& context) {
-  const std::string word = context.line.word(0);
-  for (const Group& group : kGroups) {
-    if (word == group.word) {
-      return group.make()->run(context);
+  const std::string command = context.line.argument(0);
+  for (const CommandGroup& group : kCommandGroups) {
+    if (command == group.name) {
+      return group.makeCommand()->run(context);
     }
   }
-  if (word.empty()) {
+  if (command.empty()) {
     return context.output.usage("no command was given; see shedctl --help");
   }
-  return context.output.usage("no such command: " + word + "; see shedctl --help");
+  return context.output.usage("no such command: " + command + "; see shedctl --help");
 }
 
 Result<std::string> readInput(CtlContext& context, const std::string& name) {
--- a/src/ctl/exit_code.cpp
+++ b/src/ctl/exit_code.cpp
@@ -22,7 +22,7 @@
   }
 }
 
-const char* nextStepOf(const Error& error) {
+const char* recoveryHint(const Error& error) {
   switch (error.code) {
   case ErrorCode::VersionConflict:
     return "read the newest value (shedctl settings get), apply your change to it and send it "
--- a/src/ctl/exit_code.h
+++ b/src/ctl/exit_code.h
@@ -21,7 +21,7 @@
 ExitCode exitCodeOf(const Error& error);
 
 /// Says what the operator can do next; empty if there is nothing to add.
-const char* nextStepOf(const Error& error);
+const char* recoveryHint(const Error& error);
 
 /// Text about the exit codes for `--help`.
 const char* exitCodeHelp();
--- a/src/ctl/fleet_client.cpp
+++ b/src/ctl/fleet_client.cpp
@@ -34,23 +34,23 @@
 }  // namespace
 
 Result<FleetResponse> FleetClient::call(const FleetRequest& request) {
-  Error last = makeError(ErrorCode::StoreUnavailable, "no node was given; see --node");
-  std::optional<Error> unknown;
+  Error lastError = makeError(ErrorCode::StoreUnavailable, "no node was given; see --node");
+  std::optional<Error> unknownOutcome;
   for (const std::string& node : nodes_) {
-    Result<FleetResponse> answer = transport_.exchange(node, request);
-    if (answer) {
-      return answer;
+    Result<FleetResponse> response = transport_.exchange(node, request);
+    if (response) {
+      return response;
     }
-    last = answer.error();
-    last.detail = node + ": " + last.detail;
-    if (unknown ? resolvesEarlierAttempts(last.code) : isFinal(last.code)) {
-      return last;
+    lastError = response.error();
+    lastError.detail = node + ": " + lastError.detail;
+    if (unknownOutcome ? resolvesEarlierAttempts(lastError.code) : isFinal(lastError.code)) {
+      return lastError;
     }
-    if (request.changesState && last.code == ErrorCode::OutcomeUnknown) {
-      unknown = last;
+    if (request.changesState && lastError.code == ErrorCode::OutcomeUnknown) {
+      unknownOutcome = lastError;
     }
   }
-  return unknown.value_or(last);
+  return unknownOutcome.value_or(lastError);
 }
 
 std::string newOrderId() {
--- a/src/ctl/fleet_commands.cpp
+++ b/src/ctl/fleet_commands.cpp
@@ -32,13 +32,13 @@
   return texts;
 }
 
-void addRows(TextTable& table, const char* part, const cJSON* root, const char* name) {
+void addMemberRows(TextTable& table, const char* role, const cJSON* root, const char* name) {
   const cJSON* item = nullptr;
   cJSON_ArrayForEach(item, jsonMember(root, name)) {
     const Result<std::string> id = jsonString(item, "id", name);
     const Result<std::string> storeId = jsonString(item, "store_id", name);
     if (id && storeId) {
-      table.add({part, id.value(), storeId.value()});
+      table.add({role, id.value(), storeId.value()});
     }
   }
 }
@@ -53,8 +53,8 @@
     return context.output.fail(document.error());
   }
   TextTable table({"PART", "NODE", "STORE_ID"});
-  addRows(table, "acceptor", document.value().root(), "acceptors");
-  addRows(table, "store", document.value().root(), "stores");
+  addMemberRows(table, "acceptor", document.value().root(), "acceptors");
+  addMemberRows(table, "store", document.value().root(), "stores");
   context.output.table(table);
   return ExitCode::Ok;
 }
@@ -81,23 +81,23 @@
   request.url = "/v1/fleet/init";
   request.body = body.print();
   request.changesState = true;
-  const Result<FleetResponse> answer = context.fleet.call(request);
-  if (answer) {
-    return printMembers(context, answer.value().body);
+  const Result<FleetResponse> response = context.fleet.call(request);
+  if (response) {
+    return printMembers(context, response.value().body);
   }
-  if (answer.error().code == ErrorCode::AlreadyExists && hasTheseMembers(context)) {
+  if (response.error().code == ErrorCode::AlreadyExists && hasRequestedMembers(context)) {
     context.output.note("the fleet had been formed with these members before");
     return MembersCommand().run(context);
   }
-  return context.output.fail(answer.error());
+  return context.output.fail(response.error());
 }
 
-bool InitCommand::hasTheseMembers(CtlContext& context) {
-  const Result<FleetResponse> answer = context.fleet.call(membersRequest());
-  if (!answer) {
+bool InitCommand::hasRequestedMembers(CtlContext& context) {
+  const Result<FleetResponse> response = context.fleet.call(membersRequest());
+  if (!response) {
     return false;
   }
-  const Result<JsonDocument> document = JsonDocument::parse(answer.value().body);
+  const Result<JsonDocument> document = JsonDocument::parse(response.value().body);
   if (!document) {
     return false;
   }
@@ -107,11 +107,11 @@
 }
 
 ExitCode MembersCommand::run(CtlContext& context) {
-  const Result<FleetResponse> answer = context.fleet.call(membersRequest());
-  if (!answer) {
-    return context.output.fail(answer.error());
+  const Result<FleetResponse> response = context.fleet.call(membersRequest());
+  if (!response) {
+    return context.output.fail(response.error());
   }
-  return printMembers(context, answer.value().body);
+  return printMembers(context, response.value().body);
 }
 
 }  // namespace shedshed::ctl
--- a/src/ctl/fleet_commands.h
+++ b/src/ctl/fleet_commands.h
@@ -13,7 +13,7 @@
 
  private:
   /// True if the fleet has exactly the members that the command line names.
-  static bool hasTheseMembers(CtlContext& context);
+  static bool hasRequestedMembers(CtlContext& context);
 };
 
 class MembersCommand : public CtlCommand {
--- a/src/ctl/fleet_view.cpp
+++ b/src/ctl/fleet_view.cpp
@@ -13,28 +13,28 @@
   return request;
 }
 
-std::string textOf(const cJSON* object, const char* name) {
+std::string stringMember(const cJSON* object, const char* name) {
   const cJSON* member = jsonMember(object, name);
   return cJSON_IsString(member) ? member->valuestring : "";
 }
 
-std::uint64_t numberOf(const cJSON* node) {
+std::uint64_t toUnsigned(const cJSON* node) {
   return cJSON_IsNumber(node) && node->valuedouble >= 0
              ? static_cast<std::uint64_t>(node->valuedouble)
              : 0;
 }
 
-NodeView listed(const cJSON* node) {
+NodeView parseListedNode(const cJSON* node) {
   NodeView view;
-  view.id = textOf(node, "id");
-  view.role = textOf(node, "role");
-  view.state = textOf(node, "state");
-  view.zone = textOf(node, "zone");
-  view.operatorsAddress = textOf(node, "operators_address");
+  view.id = stringMember(node, "id");
+  view.role = stringMember(node, "role");
+  view.state = stringMember(node, "state");
+  view.zone = stringMember(node, "zone");
+  view.operatorsAddress = stringMember(node, "operators_address");
   return view;
 }
 
-void fill(NodeView& view, const std::string& body) {
+void parseStatus(NodeView& view, const std::string& body) {
   const Result<JsonDocument> document = JsonDocument::parse(body);
   if (!document) {
     view.failure = document.error().detail;
@@ -43,15 +43,15 @@
   const cJSON* root = document.value().root();
   view.statusJson = body;
   view.ready = cJSON_IsTrue(jsonMember(root, "ready")) != 0;
-  view.freshRemainingMs = numberOf(jsonMember(root, "fresh_remaining_ms"));
+  view.freshRemainingMs = toUnsigned(jsonMember(root, "fresh_remaining_ms"));
   if (const cJSON* store = jsonMember(root, "store"); cJSON_IsObject(store)) {
     view.store = StoreView{
-        cJSON_IsTrue(jsonMember(store, "member")) != 0, numberOf(jsonMember(store, "held")),
-        numberOf(jsonMember(store, "settled")), numberOf(jsonMember(store, "total"))};
+        cJSON_IsTrue(jsonMember(store, "member")) != 0, toUnsigned(jsonMember(store, "held")),
+        toUnsigned(jsonMember(store, "settled")), toUnsigned(jsonMember(store, "total"))};
   }
   const cJSON* item = nullptr;
   cJSON_ArrayForEach(item, jsonMember(root, "versions")) {
-    view.versions[item->string] = numberOf(item);
+    view.versions[item->string] = toUnsigned(item);
   }
   cJSON_ArrayForEach(item, jsonMember(root, "epochs")) {
     view.ownedPartitions += cJSON_IsTrue(jsonMember(item, "owner")) != 0 ? 1 : 0;
@@ -63,29 +63,29 @@
     view.failure = "no operators' address";
     return;
   }
-  const Result<FleetResponse> answer = fleet.callNode(view.operatorsAddress, statusRequest());
-  if (answer) {
-    fill(view, answer.value().body);
+  const Result<FleetResponse> response = fleet.callNode(view.operatorsAddress, statusRequest());
+  if (response) {
+    parseStatus(view, response.value().body);
   } else {
-    view.failure = answer.error().detail;
+    view.failure = response.error().detail;
   }
 }
 
 }  // namespace
 
 Result<std::vector<NodeView>> readFleet(FleetClient& fleet) {
-  const Result<FleetResponse> answer = fleet.call(statusRequest());
-  if (!answer) {
-    return answer.error();
+  const Result<FleetResponse> response = fleet.call(statusRequest());
+  if (!response) {
+    return response.error();
   }
-  const Result<JsonDocument> document = JsonDocument::parse(answer.value().body);
+  const Result<JsonDocument> document = JsonDocument::parse(response.value().body);
   if (!document) {
     return document.error();
   }
   std::vector<NodeView> views;
   const cJSON* item = nullptr;
   cJSON_ArrayForEach(item, jsonMember(document.value().root(), "nodes")) {
-    views.push_back(listed(item));
+    views.push_back(parseListedNode(item));
   }
   std::vector<std::future<void>> calls;
   for (NodeView& view : views) {
@@ -104,11 +104,11 @@
 Result<std::vector<std::string>> memberStores(FleetClient& fleet) {
   FleetRequest request;
   request.url = "/v1/members";
-  const Result<FleetResponse> answer = fleet.call(request);
-  if (!answer) {
-    return answer.error();
+  const Result<FleetResponse> response = fleet.call(request);
+  if (!response) {
+    return response.error();
   }
-  const Result<JsonDocument> document = JsonDocument::parse(answer.value().body);
+  const Result<JsonDocument> document = JsonDocument::parse(response.value().body);
   if (!document) {
     return document.error();
   }
--- a/src/ctl/http_transport.cpp
+++ b/src/ctl/http_transport.cpp
@@ -20,7 +20,7 @@
 }
 
 /// Error for an answer that is not one of ours.
-Error foreignAnswer(const FleetRequest& request, unsigned status) {
+Error untypedResponseError(const FleetRequest& request, unsigned status) {
   const std::string detail = "answered " + std::to_string(status) + " without a typed error";
   if (request.changesState) {
     return makeError(ErrorCode::OutcomeUnknown, detail, Ran::Unknown);
@@ -29,10 +29,10 @@
 }
 
 /// Reads the typed error in an answer's body.
-Error errorOf(const FleetRequest& request, unsigned status, const std::string& body) {
+Error parseErrorResponse(const FleetRequest& request, unsigned status, const std::string& body) {
   const Result<JsonDocument> document = JsonDocument::parse(body);
   if (!document) {
-    return foreignAnswer(request, status);
+    return untypedResponseError(request, status);
   }
   const cJSON* fields = jsonMember(document.value().root(), "error");
   const Result<std::string> type = jsonString(fields, "type", "/error");
@@ -40,13 +40,13 @@
   const std::optional<ErrorCode> code =
       type ? errorCodeOfName(type.value()) : std::optional<ErrorCode>();
   if (!code || !message) {
-    return foreignAnswer(request, status);
+    return untypedResponseError(request, status);
   }
   return makeError(*code, message.value(),
                    *code == ErrorCode::OutcomeUnknown ? Ran::Unknown : Ran::No);
 }
 
-cxxtools::http::Request httpRequestOf(const FleetRequest& request, const std::string& key) {
+cxxtools::http::Request toHttpRequest(const FleetRequest& request, const std::string& key) {
   cxxtools::http::Request httpRequest(request.url);
   httpRequest.method(request.method);
   httpRequest.setHeader("Authorization", ("Bearer " + key).c_str());
@@ -61,7 +61,7 @@
   return httpRequest;
 }
 
-std::uint64_t versionOf(const cxxtools::http::ReplyHeader& header) {
+std::uint64_t parseEntityTag(const cxxtools::http::ReplyHeader& header) {
   const char* tag = header.getHeader("ETag");
   if (tag == nullptr || *tag != '"') {
     return 0;
@@ -88,14 +88,14 @@
   try {
     cxxtools::http::Client client(host, port);
     const cxxtools::http::ReplyHeader& header = client.execute(
-        httpRequestOf(request, key_), toCxxtools(answerTimeout_), toCxxtools(connectTimeout_));
+        toHttpRequest(request, key_), toCxxtools(responseTimeout_), toCxxtools(connectTimeout_));
     const unsigned status = header.httpReturnCode();
     client.readBody();
     const std::string body = client.body();
     if (status >= kFirstErrorStatus) {
-      return errorOf(request, status, body);
+      return parseErrorResponse(request, status, body);
     }
-    return FleetResponse{body, versionOf(client.header())};
+    return FleetResponse{body, parseEntityTag(client.header())};
   } catch (const std::exception& exception) {
     if (request.changesState) {
       return makeError(ErrorCode::OutcomeUnknown, exception.what(), Ran::Unknown);
--- a/src/ctl/http_transport.h
+++ b/src/ctl/http_transport.h
@@ -14,15 +14,15 @@
   /// @p key is the operators' bearer key. @p answerTimeout must be longer than the server's
   /// deadline for commands.
   explicit HttpTransport(std::string key,
-                         std::chrono::milliseconds answerTimeout = std::chrono::seconds(15),
+                         std::chrono::milliseconds responseTimeout = std::chrono::seconds(15),
                          std::chrono::milliseconds connectTimeout = std::chrono::seconds(2))
-      : key_(std::move(key)), answerTimeout_(answerTimeout), connectTimeout_(connectTimeout) {}
+      : key_(std::move(key)), responseTimeout_(responseTimeout), connectTimeout_(connectTimeout) {}
 
   Result<FleetResponse> exchange(const std::string& node, const FleetRequest& request) override;
 
  private:
   std::string key_;
-  std::chrono::milliseconds answerTimeout_;
+  std::chrono::milliseconds responseTimeout_;
   std::chrono::milliseconds connectTimeout_;
 };
 
--- a/src/ctl/json_cell.h
+++ b/src/ctl/json_cell.h
@@ -9,7 +9,7 @@
 namespace shedshed::ctl {
 
 /// Bounds of a node's answer: the lists of batches and slots are long.
-inline constexpr JsonBounds kAnswerBounds{64U << 20U, 16};
+inline constexpr JsonBounds kResponseBounds{64U << 20U, 16};
 
 /// Returns the member @p name of @p object as text; "-" if it is absent.
 std::string cellOf(const cJSON* object, const char* name);
--- a/src/ctl/keys_commands.cpp
+++ b/src/ctl/keys_commands.cpp
@@ -50,7 +50,7 @@
   return patch.print();
 }
 
-JsonDocument copyOfKeys(const cJSON* tenant) {
+JsonDocument copyKeys(const cJSON* tenant) {
   const cJSON* keys = jsonMember(tenant, "keys");
   return keys == nullptr ? JsonDocument::array() : JsonDocument(cJSON_Duplicate(keys, 1));
 }
@@ -65,7 +65,7 @@
   if (!found) {
     return found.error();
   }
-  JsonDocument keys = copyOfKeys(found.value());
+  JsonDocument keys = copyKeys(found.value());
   cJSON* key = findKey(keys.root(), digest);
   if (key == nullptr) {
     return makeError(ErrorCode::NotFound,
@@ -89,7 +89,7 @@
   if (!found) {
     return found.error();
   }
-  JsonDocument keys = copyOfKeys(found.value());
+  JsonDocument keys = copyKeys(found.value());
   if (const cJSON* key = findKey(keys.root(), digest); key != nullptr) {
     if (cJSON_IsTrue(jsonMember(key, "withdrawn")) != 0) {
       return makeError(ErrorCode::AlreadyExists, "the key was withdrawn; issue a new one");
@@ -105,21 +105,21 @@
 }  // namespace
 
 ExitCode KeysCommands::run(CtlContext& context) {
-  const std::string action = context.line.word(1);
+  const std::string action = context.line.argument(1);
   if (action == "digest") {
     return digest(context);
   }
   if (action != "add" && action != "withdraw") {
     return context.output.usage("keys: found \"" + action + "\"; allowed: digest, add, withdraw");
   }
-  if (context.line.words.size() != 4) {
+  if (context.line.arguments.size() != 4) {
     return context.output.usage("keys " + action + " needs the tenant's name and the digest");
   }
   return action == "add" ? add(context) : withdraw(context);
 }
 
 ExitCode KeysCommands::digest(CtlContext& context) {
-  const Result<std::string> content = readInput(context, context.line.word(2));
+  const Result<std::string> content = readInput(context, context.line.argument(2));
   if (!content) {
     return context.output.usage(content.error().detail);
   }
@@ -134,13 +134,13 @@
 
 ExitCode KeysCommands::add(CtlContext& context) {
   return patchSettings(context, [&context](const std::string& settings) {
-    return addPatch(settings, context.line.word(2), context.line.word(3));
+    return addPatch(settings, context.line.argument(2), context.line.argument(3));
   });
 }
 
 ExitCode KeysCommands::withdraw(CtlContext& context) {
   return patchSettings(context, [&context](const std::string& settings) {
-    return withdrawPatch(settings, context.line.word(2), context.line.word(3));
+    return withdrawPatch(settings, context.line.argument(2), context.line.argument(3));
   });
 }
 
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -17,7 +17,7 @@
 
 /// True if the command talks to the fleet.
 bool needsFleet(const CommandLine& line) {
-  return !line.words.empty() && !(line.word(0) == "keys" && line.word(1) == "digest");
+  return !line.arguments.empty() && !(line.argument(0) == "keys" && line.argument(1) == "digest");
 }
 
 int run(int argc, const char** argv) {
--- a/src/ctl/node_answers.cpp
+++ b/src/ctl/node_query.cpp
@@ -1,4 +1,4 @@
-#include "ctl/node_answers.h"
+#include "ctl/node_query.h"
 
 #include <future>
 
@@ -23,22 +23,23 @@
       return NodeResponse{id, address, fleet.callNode(address, request)};
     }));
   }
-  std::vector<NodeResponse> answers;
+  std::vector<NodeResponse> responses;
   for (std::future<NodeResponse>& call : calls) {
-    answers.push_back(call.get());
+    responses.push_back(call.get());
   }
-  return answers;
+  return responses;
 }
 
-bool isElsewhere(ErrorCode code) {
+bool isNotFoundOnNode(ErrorCode code) {
   return code == ErrorCode::NotFound || code == ErrorCode::NotOwner;
 }
 
-std::string missingResponses(const std::vector<NodeResponse>& answers) {
+std::string missingResponses(const std::vector<NodeResponse>& responses) {
   std::string missing;
-  for (const NodeResponse& answer : answers) {
-    if (!answer.answer && !isElsewhere(answer.answer.error().code)) {
-      missing += (missing.empty() ? "" : "; ") + answer.node + ": " + answer.answer.error().detail;
+  for (const NodeResponse& response : responses) {
+    if (!response.result && !isNotFoundOnNode(response.result.error().code)) {
+      missing +=
+          (missing.empty() ? "" : "; ") + response.node + ": " + response.result.error().detail;
     }
   }
   return missing;
--- a/src/ctl/node_answers.h
+++ b/src/ctl/node_query.h
@@ -14,7 +14,7 @@
 struct NodeResponse {
   std::string node;
   std::string operatorsAddress;
-  Result<FleetResponse> answer;
+  Result<FleetResponse> result;
 };
 
 /// Reads @p url from every node of @p role that is not dead. Fails if no node returns the list of
@@ -24,9 +24,9 @@
 
 /// The ids of the nodes without a response, with the reason; "" if all responded. Nodes that do not
 /// have the requested object (`NotFound`, `NotOwner`) count as having responded.
-std::string missingResponses(const std::vector<NodeResponse>& answers);
+std::string missingResponses(const std::vector<NodeResponse>& responses);
 
 /// True if @p code means that the node does not have the requested object.
-bool isElsewhere(ErrorCode code);
+bool isNotFoundOnNode(ErrorCode code);
 
 }  // namespace shedshed::ctl
--- a/src/ctl/output.cpp
+++ b/src/ctl/output.cpp
@@ -44,14 +44,14 @@
 }
 
 ExitCode Output::fail(const Error& error) {
-  const std::string next = nextStepOf(error);
+  const std::string hint = recoveryHint(error);
   if (json_) {
     line(errorJson(error, ""));
     return exitCodeOf(error);
   }
   errors_ << "error: " << errorTypeName(error.code) << ": " << error.detail << "\n";
-  if (!next.empty()) {
-    errors_ << "next: " << next << "\n";
+  if (!hint.empty()) {
+    errors_ << "next: " << hint << "\n";
   }
   return exitCodeOf(error);
 }
--- a/src/ctl/register_change.cpp
+++ b/src/ctl/register_change.cpp
@@ -9,15 +9,15 @@
 /// Attempts of a patch that is made from the newest settings.
 constexpr int kMaxChangeAttempts = 5;
 
-ExitCode printOutcome(CtlContext& context, const FleetResponse& answer) {
+ExitCode printOutcome(CtlContext& context, const FleetResponse& response) {
   if (context.output.isJson()) {
-    context.output.line(answer.body);
+    context.output.line(response.body);
     return ExitCode::Ok;
   }
-  const Result<JsonDocument> document = JsonDocument::parse(answer.body);
+  const Result<JsonDocument> document = JsonDocument::parse(response.body);
   const bool repeated =
       document && cJSON_IsTrue(jsonMember(document.value().root(), "repeated")) != 0;
-  const std::string version = std::to_string(answer.version);
+  const std::string version = std::to_string(response.version);
   context.output.line("version " + version + (repeated ? " (had taken effect before)" : ""));
   return ExitCode::Ok;
 }
@@ -38,11 +38,11 @@
     request.orderId = line.orderId.empty() ? newOrderId() : line.orderId;
   }
   request.changesState = true;
-  const Result<FleetResponse> answer = context.fleet.call(request);
-  if (answer) {
-    return printOutcome(context, answer.value());
+  const Result<FleetResponse> response = context.fleet.call(request);
+  if (response) {
+    return printOutcome(context, response.value());
   }
-  Error error = answer.error();
+  Error error = response.error();
   if (error.code == ErrorCode::OutcomeUnknown) {
     error.detail += "; send again with" + resendFlags(request);
   }
@@ -55,59 +55,59 @@
 
 ExitCode changeRegister(CtlContext& context, const char* method, const std::string& url,
                         const MakeChange& makeChange) {
-  Error last;
+  Error lastError;
   for (int attempt = 0; attempt < kMaxChangeAttempts; ++attempt) {
     FleetRequest read;
     read.url = url;
-    const Result<FleetResponse> present = context.fleet.call(read);
-    if (!present) {
-      return context.output.fail(present.error());
+    const Result<FleetResponse> current = context.fleet.call(read);
+    if (!current) {
+      return context.output.fail(current.error());
     }
-    const Result<std::string> body = makeChange(present.value().body);
+    const Result<std::string> body = makeChange(current.value().body);
     if (!body) {
       return context.output.fail(body.error());
     }
     if (body.value().empty()) {
-      return printOutcome(context, {"{\"version\":" + std::to_string(present.value().version) +
+      return printOutcome(context, {"{\"version\":" + std::to_string(current.value().version) +
                                         ",\"repeated\":true}",
-                                    present.value().version});
+                                    current.value().version});
     }
     FleetRequest change;
     change.method = method;
     change.url = url;
     change.body = body.value();
-    change.baseVersion = present.value().version;
+    change.baseVersion = current.value().version;
     change.orderId = newOrderId();
     change.changesState = true;
-    const Result<FleetResponse> answer = context.fleet.call(change);
-    if (answer) {
-      return printOutcome(context, answer.value());
+    const Result<FleetResponse> response = context.fleet.call(change);
+    if (response) {
+      return printOutcome(context, response.value());
     }
-    last = answer.error();
-    if (last.code != ErrorCode::VersionConflict) {
+    lastError = response.error();
+    if (lastError.code != ErrorCode::VersionConflict) {
       break;
     }
   }
-  if (last.code == ErrorCode::OutcomeUnknown) {
-    last.detail += "; run the same command again, it takes effect at most once";
+  if (lastError.code == ErrorCode::OutcomeUnknown) {
+    lastError.detail += "; run the same command again, it takes effect at most once";
   }
-  return context.output.fail(last);
+  return context.output.fail(lastError);
 }
 
 ExitCode printRegister(CtlContext& context, const std::string& url) {
   FleetRequest request;
   request.url = url;
-  const Result<FleetResponse> answer = context.fleet.call(request);
-  if (!answer) {
-    return context.output.fail(answer.error());
+  const Result<FleetResponse> response = context.fleet.call(request);
+  if (!response) {
+    return context.output.fail(response.error());
   }
   if (context.output.isJson()) {
-    context.output.line("{\"version\":" + std::to_string(answer.value().version) +
-                        ",\"value\":" + answer.value().body + "}");
+    context.output.line("{\"version\":" + std::to_string(response.value().version) +
+                        ",\"value\":" + response.value().body + "}");
     return ExitCode::Ok;
   }
-  context.output.jsonIndented(answer.value().body);
-  context.output.note("version " + std::to_string(answer.value().version));
+  context.output.jsonIndented(response.value().body);
+  context.output.note("version " + std::to_string(response.value().version));
   return ExitCode::Ok;
 }
 
--- a/src/ctl/settings_commands.cpp
+++ b/src/ctl/settings_commands.cpp
@@ -32,12 +32,12 @@
 
 /// Replaces a register by the file named in the third word.
 ExitCode putFile(CtlContext& context, const char* url) {
-  const std::string file = context.line.word(2);
+  const std::string file = context.line.argument(2);
   if (file.empty()) {
     return context.output.usage("name the file, or - for standard input");
   }
   if (!context.line.baseVersion) {
-    return context.output.usage(context.line.word(0) + " " + context.line.word(1) + " " +
+    return context.output.usage(context.line.argument(0) + " " + context.line.argument(1) + " " +
                                 kNeedsBaseVersion);
   }
   const Result<std::string> value = readInput(context, file);
@@ -52,7 +52,8 @@
 }
 
 /// Returns @p listing with the engine's `draining` set or taken away; "" if it is so already.
-Result<std::string> listingWith(const std::string& listing, const std::string& id, bool draining) {
+Result<std::string> listingWithDraining(const std::string& listing, const std::string& id,
+                                        bool draining) {
   const Result<JsonDocument> document = JsonDocument::parse(listing);
   if (!document) {
     return document.error();
@@ -77,7 +78,7 @@
 }  // namespace
 
 ExitCode SettingsCommands::run(CtlContext& context) {
-  const std::string action = context.line.word(1);
+  const std::string action = context.line.argument(1);
   if (action == "get") {
     return get(context);
   }
@@ -108,15 +109,15 @@
   FleetRequest request;
   request.url = std::string(kSettingsUrl) + "?effective=" + percentEncoded(tenant) +
                 "&route=" + percentEncoded(route);
-  const Result<FleetResponse> answer = context.fleet.call(request);
-  if (!answer) {
-    return context.output.fail(answer.error());
+  const Result<FleetResponse> response = context.fleet.call(request);
+  if (!response) {
+    return context.output.fail(response.error());
   }
   if (context.output.isJson()) {
-    context.output.line(answer.value().body);
+    context.output.line(response.value().body);
     return ExitCode::Ok;
   }
-  const Result<JsonDocument> document = JsonDocument::parse(answer.value().body);
+  const Result<JsonDocument> document = JsonDocument::parse(response.value().body);
   if (!document) {
     return context.output.fail(document.error());
   }
@@ -127,7 +128,7 @@
     table.add({cellOf(item, "name"), cellOf(item, "value"), cellOf(item, "level")});
   }
   context.output.table(table);
-  context.output.note("version " + std::to_string(answer.value().version));
+  context.output.note("version " + std::to_string(response.value().version));
   return ExitCode::Ok;
 }
 
@@ -136,7 +137,7 @@
 }
 
 ExitCode SettingsCommands::patch(CtlContext& context) {
-  const std::string file = context.line.word(2);
+  const std::string file = context.line.argument(2);
   if (file.empty()) {
     return context.output.usage("name the file with the partial tree, or - for standard input");
   }
@@ -164,7 +165,7 @@
 }
 
 ExitCode SettingsCommands::diff(CtlContext& context) {
-  const Result<std::string> requested = readInput(context, context.line.word(2));
+  const Result<std::string> requested = readInput(context, context.line.argument(2));
   if (!requested) {
     return context.output.usage(requested.error().detail);
   }
@@ -189,14 +190,14 @@
 }
 
 ExitCode EnginesCommands::run(CtlContext& context) {
-  const std::string action = context.line.word(1);
+  const std::string action = context.line.argument(1);
   if (action == "list") {
     return list(context);
   }
   if (action == "put") {
     return put(context);
   }
-  if ((action == "drain" || action == "undrain") && context.line.words.size() == 3) {
+  if ((action == "drain" || action == "undrain") && context.line.arguments.size() == 3) {
     return setDraining(context, action == "drain");
   }
   return context.output.usage("engines: found \"" + action +
@@ -209,11 +210,11 @@
   }
   FleetRequest read;
   read.url = kEnginesUrl;
-  const Result<FleetResponse> answer = context.fleet.call(read);
-  if (!answer) {
-    return context.output.fail(answer.error());
+  const Result<FleetResponse> response = context.fleet.call(read);
+  if (!response) {
+    return context.output.fail(response.error());
   }
-  const Result<JsonDocument> document = JsonDocument::parse(answer.value().body);
+  const Result<JsonDocument> document = JsonDocument::parse(response.value().body);
   if (!document) {
     return context.output.fail(document.error());
   }
@@ -225,15 +226,15 @@
                cJSON_IsTrue(jsonMember(item, "draining")) != 0 ? "draining" : ""});
   }
   context.output.table(table);
-  context.output.note("version " + std::to_string(answer.value().version));
+  context.output.note("version " + std::to_string(response.value().version));
   return ExitCode::Ok;
 }
 
 ExitCode EnginesCommands::setDraining(CtlContext& context, bool draining) {
-  const std::string id = context.line.word(2);
+  const std::string id = context.line.argument(2);
   return changeRegister(context, "PUT", kEnginesUrl,
                         [&id, draining](const std::string& listing) -> Result<std::string> {
-                          return listingWith(listing, id, draining);
+                          return listingWithDraining(listing, id, draining);
                         });
 }
 
--- a/src/ctl/slots_command.cpp
+++ b/src/ctl/slots_command.cpp
@@ -1,7 +1,7 @@
 #include "ctl/slots_command.h"
 
 #include "ctl/json_cell.h"
-#include "ctl/node_answers.h"
+#include "ctl/node_query.h"
 
 #include <map>
 
@@ -10,19 +10,19 @@
 namespace {
 
 /// The responses of all stores. The documents own the nodes that the maps point to.
-struct Merged {
+struct MergedSlots {
   std::vector<JsonDocument> documents;
   std::map<std::string, const cJSON*> pools;  ///< By limiter and key.
   std::map<std::string, const cJSON*> lending;
 };
 
-double number(const cJSON* object, const char* name) {
+double numberMember(const cJSON* object, const char* name) {
   const cJSON* member = jsonMember(object, name);
   return cJSON_IsNumber(member) ? member->valuedouble : 0;
 }
 
-void merge(Merged& merged, const std::string& body) {
-  Result<JsonDocument> document = JsonDocument::parse(body, kAnswerBounds);
+void mergeResponse(MergedSlots& merged, const std::string& body) {
+  Result<JsonDocument> document = JsonDocument::parse(body, kResponseBounds);
   if (!document) {
     return;
   }
@@ -30,9 +30,9 @@
   const cJSON* root = merged.documents.back().root();
   const cJSON* item = nullptr;
   cJSON_ArrayForEach(item, jsonMember(root, "pools")) {
-    const cJSON*& kept = merged.pools[cellOf(item, "limiter") + " " + cellOf(item, "key")];
-    if (kept == nullptr || number(kept, "epoch") < number(item, "epoch")) {
-      kept = item;
+    const cJSON*& latest = merged.pools[cellOf(item, "limiter") + " " + cellOf(item, "key")];
+    if (latest == nullptr || numberMember(latest, "epoch") < numberMember(item, "epoch")) {
+      latest = item;
     }
   }
   cJSON_ArrayForEach(item, jsonMember(root, "lending")) {
@@ -41,7 +41,7 @@
 }
 
 /// How N came about, in one line.
-std::string reasonOf(const cJSON* pool, const Merged& merged) {
+std::string sizeExplanation(const cJSON* pool, const MergedSlots& merged) {
   const auto lending = merged.lending.find(cellOf(pool, "key"));
   if (cellOf(pool, "limiter") == "batch") {
     return lending == merged.lending.end() ? "lent room"
@@ -53,14 +53,14 @@
          cellOf(pool, "burst") + " = " + cellOf(pool, "unscaled") + ", x " + cellOf(pool, "scale");
 }
 
-void printTables(CtlContext& context, const Merged& merged) {
+void printTables(CtlContext& context, const MergedSlots& merged) {
   TextTable pools({"POOL", "KEY", "N", "LIVE", "BATCH_ITEMS", "WHY N", "REMARK"});
   TextTable slots({"POOL", "KEY", "SLOT", "CLASS", "HOLDER", "AGE_MS", "EXPIRES_IN_MS"});
   for (const auto& entry : merged.pools) {
     const cJSON* pool = entry.second;
     const bool recovering = cJSON_IsTrue(jsonMember(pool, "recovering")) != 0;
     pools.add({cellOf(pool, "limiter"), cellOf(pool, "key"), cellOf(pool, "size"),
-               cellOf(pool, "live"), cellOf(pool, "batch_items"), reasonOf(pool, merged),
+               cellOf(pool, "live"), cellOf(pool, "batch_items"), sizeExplanation(pool, merged),
                recovering ? "recovering" : ""});
     const cJSON* slot = nullptr;
     cJSON_ArrayForEach(slot, jsonMember(pool, "slots")) {
@@ -74,7 +74,7 @@
   context.output.table(slots);
 }
 
-void printJson(CtlContext& context, const Merged& merged, const std::string& missing) {
+void printJson(CtlContext& context, const MergedSlots& merged, const std::string& missing) {
   const JsonDocument document = JsonDocument::object();
   cJSON* pools = cJSON_AddArrayToObject(document.root(), "pools");
   for (const auto& entry : merged.pools) {
@@ -91,17 +91,18 @@
 }  // namespace
 
 ExitCode SlotsCommand::run(CtlContext& context) {
-  const Result<std::vector<NodeResponse>> answers = queryNodes(context.fleet, "store", "/v1/slots");
-  if (!answers) {
-    return context.output.fail(answers.error());
+  const Result<std::vector<NodeResponse>> responses =
+      queryNodes(context.fleet, "store", "/v1/slots");
+  if (!responses) {
+    return context.output.fail(responses.error());
   }
-  Merged merged;
-  for (const NodeResponse& answer : answers.value()) {
-    if (answer.answer) {
-      merge(merged, answer.answer.value().body);
+  MergedSlots merged;
+  for (const NodeResponse& response : responses.value()) {
+    if (response.result) {
+      mergeResponse(merged, response.result.value().body);
     }
   }
-  const std::string missing = missingResponses(answers.value());
+  const std::string missing = missingResponses(responses.value());
   if (context.output.isJson()) {
     printJson(context, merged, missing);
   } else {
--- a/src/ctl/status_command.cpp
+++ b/src/ctl/status_command.cpp
@@ -23,7 +23,7 @@
 }
 
 /// Names of the registers in which @p node is behind.
-std::vector<std::string> behindIn(const NodeView& node, const Versions& newest) {
+std::vector<std::string> outdatedRegisters(const NodeView& node, const Versions& newest) {
   std::vector<std::string> names;
   for (const auto& version : newest) {
     if (node.responded() && node.versionOf(version.first) < version.second) {
@@ -33,12 +33,12 @@
   return names;
 }
 
-std::string remarkOn(const NodeView& node, const Versions& newest) {
+std::string nodeRemark(const NodeView& node, const Versions& newest) {
   if (!node.responded()) {
     return node.isDead() ? "" : "no answer: " + node.failure;
   }
   std::string remark;
-  for (const std::string& name : behindIn(node, newest)) {
+  for (const std::string& name : outdatedRegisters(node, newest)) {
     remark += (remark.empty() ? "behind in " : ", ") + name;
   }
   return remark;
@@ -55,7 +55,7 @@
     }
     row.push_back(node.responded() ? std::to_string(node.freshRemainingMs) : "-");
     row.push_back(node.responded() ? std::to_string(node.ownedPartitions) : "-");
-    row.push_back(remarkOn(node, newest));
+    row.push_back(nodeRemark(node, newest));
     table.add(std::move(row));
   }
   context.output.table(table);
@@ -75,7 +75,7 @@
     cJSON_AddStringToObject(item, "zone", node.zone.c_str());
     cJSON_AddStringToObject(item, "state", node.state.c_str());
     cJSON* behind = cJSON_AddArrayToObject(item, "behind_in");
-    for (const std::string& name : behindIn(node, newest)) {
+    for (const std::string& name : outdatedRegisters(node, newest)) {
       cJSON_AddItemToArray(behind, cJSON_CreateString(name.c_str()));
     }
     if (node.responded()) {
--- a/src/ctl/store_replacement.cpp
+++ b/src/ctl/store_replacement.cpp
@@ -11,30 +11,30 @@
 constexpr std::chrono::milliseconds kPollInterval(200);
 
 /// True if the same request may succeed later.
-bool isWorthRepeating(const Error& error) {
+bool isRetryable(const Error& error) {
   const ExitCode code = exitCodeOf(error);
   return code == ExitCode::Unavailable || code == ExitCode::Unknown;
 }
 
-std::string share(std::uint64_t part, std::uint64_t total) {
-  return std::to_string(part) + " of " + std::to_string(total) + " partitions";
+std::string partitionProgress(std::uint64_t count, std::uint64_t total) {
+  return std::to_string(count) + " of " + std::to_string(total) + " partitions";
 }
 
 }  // namespace
 
 ExitCode StoreReplacement::run() {
-  const std::chrono::seconds limit(context_.line.timeoutSeconds);
+  const std::chrono::seconds timeout(context_.line.timeoutSeconds);
   while (true) {
-    const Step step = advance();
-    if (step == Step::Done) {
+    const StepResult step = advance();
+    if (step == StepResult::Done) {
       return printDone();
     }
-    if (step == Step::Failed) {
-      return failure_;
+    if (step == StepResult::Failed) {
+      return failureCode_;
     }
-    if (context_.elapsed() >= limit) {
-      const Error late = makeError(ErrorCode::DeadlineExceeded,
-                                   "not done yet: " + reported_ + "; run the same command again");
+    if (context_.elapsed() >= timeout) {
+      const Error late = makeError(ErrorCode::DeadlineExceeded, "not done yet: " + lastProgress_ +
+                                                                    "; run the same command again");
       context_.output.fail(late);
       return ExitCode::NotInForceYet;
     }
@@ -42,41 +42,41 @@
   }
 }
 
-StoreReplacement::Step StoreReplacement::advance() {
+StoreReplacement::StepResult StoreReplacement::advance() {
   const Result<std::vector<NodeView>> nodes = readFleet(context_.fleet);
-  if (!nodes && !isWorthRepeating(nodes.error())) {
-    failure_ = context_.output.fail(nodes.error());
-    return Step::Failed;
+  if (!nodes && !isRetryable(nodes.error())) {
+    failureCode_ = context_.output.fail(nodes.error());
+    return StepResult::Failed;
   }
   if (!nodes) {
-    report("no node answers: " + nodes.error().detail);
-    return Step::Pending;
+    reportProgress("no node answers: " + nodes.error().detail);
+    return StepResult::Pending;
   }
   const auto joining = std::find_if(nodes.value().begin(), nodes.value().end(),
                                     [this](const NodeView& node) { return node.id == newId_; });
   if (joining == nodes.value().end() || !joining->responded()) {
-    report("waiting for " + newId_ + " to join");
-    return Step::Pending;
+    reportProgress("waiting for " + newId_ + " to join");
+    return StepResult::Pending;
   }
   if (!joining->store) {
-    failure_ = context_.output.fail(
+    failureCode_ = context_.output.fail(
         makeError(ErrorCode::InvalidArgument, newId_ + " is a " + joining->role + ", no store"));
-    return Step::Failed;
+    return StepResult::Failed;
   }
   const StoreView store = *joining->store;
   if (!admitted_ && !store.isMember && !store.isComplete()) {
-    report(newId_ + " copies: holds " + share(store.complete, store.total));
-    return Step::Pending;
+    reportProgress(newId_ + " copies: holds " + partitionProgress(store.complete, store.total));
+    return StepResult::Pending;
   }
   if (!admitted_) {
-    return admit(joining->operatorsAddress);
+    return admitStore(joining->operatorsAddress);
   }
   if (store.isAcknowledged()) {
-    return Step::Done;
+    return StepResult::Done;
   }
-  report(newId_ + " is admitted: " + share(store.acknowledged, store.total) +
-         " are owned under the new members");
-  return Step::Pending;
+  reportProgress(newId_ + " is admitted: " + partitionProgress(store.acknowledged, store.total) +
+                 " are owned under the new members");
+  return StepResult::Pending;
 }
 
 Status StoreReplacement::checkMembers() {
@@ -94,11 +94,11 @@
   return okStatus();
 }
 
-StoreReplacement::Step StoreReplacement::admit(const std::string& operatorsAddress) {
+StoreReplacement::StepResult StoreReplacement::admitStore(const std::string& operatorsAddress) {
   if (const Status members = checkMembers(); !members) {
-    return failed(members.error());
+    return handleFailure(members.error());
   }
-  report(newId_ + " holds all partitions: changing the members");
+  reportProgress(newId_ + " holds all partitions: changing the members");
   const JsonDocument body = JsonDocument::object();
   cJSON_AddStringToObject(body.root(), "old", oldId_.c_str());
   cJSON_AddStringToObject(body.root(), "new", newId_.c_str());
@@ -107,28 +107,28 @@
   request.url = "/v1/stores/replace";
   request.body = body.print();
   request.changesState = true;
-  const Result<FleetResponse> answer = context_.fleet.callNode(operatorsAddress, request);
-  if (answer) {
+  const Result<FleetResponse> response = context_.fleet.callNode(operatorsAddress, request);
+  if (response) {
     admitted_ = true;
-    return Step::Pending;
+    return StepResult::Pending;
   }
-  return failed(answer.error());
+  return handleFailure(response.error());
 }
 
-StoreReplacement::Step StoreReplacement::failed(const Error& error) {
-  if (!isWorthRepeating(error)) {
-    failure_ = context_.output.fail(error);
-    return Step::Failed;
+StoreReplacement::StepResult StoreReplacement::handleFailure(const Error& error) {
+  if (!isRetryable(error)) {
+    failureCode_ = context_.output.fail(error);
+    return StepResult::Failed;
   }
-  report(error.detail);
-  return Step::Pending;
+  reportProgress(error.detail);
+  return StepResult::Pending;
 }
 
-void StoreReplacement::report(const std::string& progress) {
-  if (progress != reported_) {
+void StoreReplacement::reportProgress(const std::string& progress) {
+  if (progress != lastProgress_) {
     context_.output.note(progress);
   }
-  reported_ = progress;
+  lastProgress_ = progress;
 }
 
 ExitCode StoreReplacement::printDone() {
--- a/src/ctl/store_replacement.h
+++ b/src/ctl/store_replacement.h
@@ -27,24 +27,24 @@
   ExitCode run();
 
  private:
-  enum class Step { Pending, Done, Failed };
+  enum class StepResult { Pending, Done, Failed };
 
-  Step advance();
+  StepResult advance();
   /// Fails with `NotFound` unless one of the two is a member that is a store: a voter without
   /// partitions is not replaced by a store.
   Status checkMembers();
-  Step admit(const std::string& operatorsAddress);
+  StepResult admitStore(const std::string& operatorsAddress);
   /// Ends the replacement, unless the same request may succeed later.
-  Step failed(const Error& error);
-  void report(const std::string& progress);
+  StepResult handleFailure(const Error& error);
+  void reportProgress(const std::string& progress);
   ExitCode printDone();
 
   CtlContext& context_;
   const std::string oldId_;
   const std::string newId_;
   bool admitted_ = false;
-  std::string reported_;
-  ExitCode failure_ = ExitCode::Ok;
+  std::string lastProgress_;
+  ExitCode failureCode_ = ExitCode::Ok;
 };
 
 }  // namespace shedshed::ctl
--- a/src/ctl/stores_commands.cpp
+++ b/src/ctl/stores_commands.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::chrono::milliseconds kPollInterval(200);
 
-std::vector<NodeView> storesOf(const std::vector<NodeView>& nodes) {
+std::vector<NodeView> filterStores(const std::vector<NodeView>& nodes) {
   std::vector<NodeView> stores;
   for (const NodeView& node : nodes) {
     if (node.role == "store") {
@@ -69,25 +69,25 @@
 }
 
 /// The members that do not hold all data, or do not say so.
-std::vector<std::string> incomplete(const std::vector<std::string>& members,
-                                    const std::vector<NodeView>& nodes) {
+std::vector<std::string> incompleteMembers(const std::vector<std::string>& members,
+                                           const std::vector<NodeView>& nodes) {
   std::vector<std::string> missing;
   for (const std::string& id : members) {
-    bool settled = false;
+    bool acknowledged = false;
     for (const NodeView& node : nodes) {
-      settled = settled || (node.id == id && node.store && node.store->isAcknowledged());
+      acknowledged = acknowledged || (node.id == id && node.store && node.store->isAcknowledged());
     }
-    if (!settled) {
+    if (!acknowledged) {
       missing.push_back(id);
     }
   }
   return missing;
 }
 
-std::string joined(const std::vector<std::string>& words) {
+std::string join(const std::vector<std::string>& texts) {
   std::string text;
-  for (const std::string& word : words) {
-    text += (text.empty() ? "" : ", ") + word;
+  for (const std::string& item : texts) {
+    text += (text.empty() ? "" : ", ") + item;
   }
   return text;
 }
@@ -95,7 +95,7 @@
 }  // namespace
 
 ExitCode StoresCommands::run(CtlContext& context) {
-  const std::string action = context.line.word(1);
+  const std::string action = context.line.argument(1);
   if (action == "list") {
     return list(context);
   }
@@ -113,14 +113,14 @@
   if (!nodes) {
     return context.output.fail(nodes.error());
   }
-  print(context, storesOf(nodes.value()));
+  print(context, filterStores(nodes.value()));
   return ExitCode::Ok;
 }
 
 ExitCode StoresCommands::replace(CtlContext& context) {
-  const std::string oldId = context.line.word(2);
-  const std::string newId = context.line.word(3);
-  if (!isIpPort(oldId) || !isIpPort(newId) || context.line.words.size() != 4) {
+  const std::string oldId = context.line.argument(2);
+  const std::string newId = context.line.argument(3);
+  if (!isIpPort(oldId) || !isIpPort(newId) || context.line.arguments.size() != 4) {
     return context.output.usage("stores replace needs OLD and NEW: the internal addresses "
                                 "\"ip:port\" of the member and of the empty store");
   }
@@ -128,25 +128,25 @@
 }
 
 ExitCode StoresCommands::repair(CtlContext& context) {
-  const std::chrono::seconds limit(context.line.timeoutSeconds);
-  std::string reported;
+  const std::chrono::seconds timeout(context.line.timeoutSeconds);
+  std::string lastProgress;
   while (true) {
     const Result<std::vector<std::string>> members = memberStores(context.fleet);
     const Result<std::vector<NodeView>> nodes = readFleet(context.fleet);
     if (!members || !nodes) {
       return context.output.fail(members ? nodes.error() : members.error());
     }
-    const std::vector<std::string> missing = incomplete(members.value(), nodes.value());
+    const std::vector<std::string> missing = incompleteMembers(members.value(), nodes.value());
     if (missing.empty() && !members.value().empty()) {
-      print(context, storesOf(nodes.value()));
+      print(context, filterStores(nodes.value()));
       return ExitCode::Ok;
     }
-    const std::string progress = "not complete yet: " + joined(missing);
-    if (progress != reported) {
+    const std::string progress = "not complete yet: " + join(missing);
+    if (progress != lastProgress) {
       context.output.note(progress);
     }
-    reported = progress;
-    if (context.elapsed() >= limit) {
+    lastProgress = progress;
+    if (context.elapsed() >= timeout) {
       context.output.fail(makeError(ErrorCode::DeadlineExceeded,
                                     progress + "; put an empty store in the place of one that is "
                                                "lost with shedctl stores replace"));
--- a/src/ctl/tenants_commands.cpp
+++ b/src/ctl/tenants_commands.cpp
@@ -32,7 +32,7 @@
   if (!document) {
     return document.error();
   }
-  const std::string name = line.word(2);
+  const std::string name = line.argument(2);
   JsonDocument tenant = newTenant(line);
   const cJSON* tenants = jsonMember(document.value().root(), "tenants");
   const cJSON* existing = tenants == nullptr ? nullptr : jsonMember(tenants, name.c_str());
@@ -125,11 +125,11 @@
 }  // namespace
 
 ExitCode TenantsCommands::run(CtlContext& context) {
-  const std::string action = context.line.word(1);
+  const std::string action = context.line.argument(1);
   if (action == "list") {
     return list(context);
   }
-  if (action == "create" && context.line.words.size() == 3) {
+  if (action == "create" && context.line.arguments.size() == 3) {
     return create(context);
   }
   if (action == "create") {
@@ -147,16 +147,16 @@
 ExitCode TenantsCommands::list(CtlContext& context) {
   FleetRequest read;
   read.url = "/v1/settings";
-  const Result<FleetResponse> answer = context.fleet.call(read);
-  if (!answer) {
-    return context.output.fail(answer.error());
+  const Result<FleetResponse> response = context.fleet.call(read);
+  if (!response) {
+    return context.output.fail(response.error());
   }
-  const Result<std::vector<TenantRow>> rows = tenantRows(answer.value().body);
+  const Result<std::vector<TenantRow>> rows = tenantRows(response.value().body);
   if (!rows) {
     return context.output.fail(rows.error());
   }
   if (context.output.isJson()) {
-    printJson(context, rows.value(), answer.value().version);
+    printJson(context, rows.value(), response.value().version);
   } else {
     printTable(context, rows.value());
   }
--- a/src/ctl/wait_command.cpp
+++ b/src/ctl/wait_command.cpp
@@ -9,8 +9,8 @@
 constexpr std::chrono::milliseconds kPollInterval(50);
 
 /// Ids of the nodes that do not have @p version in force.
-std::vector<std::string> laggards(const std::vector<NodeView>& nodes,
-                                  const std::string& registerName, std::uint64_t version) {
+std::vector<std::string> nodesBehind(const std::vector<NodeView>& nodes,
+                                     const std::string& registerName, std::uint64_t version) {
   std::vector<std::string> ids;
   for (const NodeView& node : nodes) {
     if (!node.isDead() && node.versionOf(registerName) < version) {
@@ -52,7 +52,7 @@
   if (!context.line.waitVersion) {
     return context.output.usage("wait needs --version V");
   }
-  const std::chrono::seconds limit(context.line.timeoutSeconds);
+  const std::chrono::seconds timeout(context.line.timeoutSeconds);
   while (true) {
     const Result<std::vector<NodeView>> nodes = readFleet(context.fleet);
     if (!nodes && exitCodeOf(nodes.error()) != ExitCode::Unavailable) {
@@ -60,13 +60,13 @@
     }
     std::vector<std::string> behind;
     if (nodes) {
-      behind = laggards(nodes.value(), context.line.registerName, *context.line.waitVersion);
+      behind = nodesBehind(nodes.value(), context.line.registerName, *context.line.waitVersion);
       if (behind.empty() && !nodes.value().empty()) {
         printResult(context, true, behind);
         return ExitCode::Ok;
       }
     }
-    if (context.elapsed() >= limit) {
+    if (context.elapsed() >= timeout) {
       if (!nodes) {
         return context.output.fail(nodes.error());
       }
--- a/tests/ctl/http_transport_test.cpp
+++ b/tests/ctl/http_transport_test.cpp
@@ -9,7 +9,7 @@
 using namespace shedshed;
 using namespace shedshed::ctl;
 
-BOOST_AUTO_TEST_CASE(errors_versions_and_lost_answers_arrive_typed) {
+BOOST_AUTO_TEST_CASE(errors_versions_and_lost_responses_are_typed) {
   test::FakeNode node;
   const std::string address = "127.0.0.1:" + std::to_string(test::freePort());
   OperatorsServerLimits limits;
@@ -32,11 +32,11 @@
   BOOST_TEST((transport.exchange(address, change).error().code == ErrorCode::VersionConflict));
   BOOST_TEST((HttpTransport("wrong-key").exchange(address, change).error().code ==
               ErrorCode::Unauthenticated));
-  node.registers.silent = true;
+  node.registers.dropsChanges = true;
   change.baseVersion = 1;
-  HttpTransport hasty("operator-key", std::chrono::milliseconds(1));
-  const Error lost = hasty.exchange(address, change).error();
-  BOOST_TEST((lost.code == ErrorCode::OutcomeUnknown));
-  BOOST_TEST((lost.ran == Ran::Unknown));
+  HttpTransport shortTimeoutTransport("operator-key", std::chrono::milliseconds(1));
+  const Error lostResponse = shortTimeoutTransport.exchange(address, change).error();
+  BOOST_TEST((lostResponse.code == ErrorCode::OutcomeUnknown));
+  BOOST_TEST((lostResponse.ran == Ran::Unknown));
   server.stop();
 }
