--- a/src/ctl/batches_commands.cpp
+++ b/src/ctl/batches_commands.cpp
@@ -47,11 +47,11 @@
 }
 
 Error batchNotFound(const std::string& id) {
-  return makeError(ErrorCode::NotFound, "no store knows a batch " + id);
+  return makeError(ErrorCode::NotFound, "no store has batch " + id);
 }
 
-/// Returns the answer of the store that owns batch @p id. The ownership may be moving: asks
-/// again until a store answers, all say that they do not know it, or the time is over.
+/// Returns the response of the store that owns batch @p id. Polls while the ownership may be
+/// moving, until the owner responds, a store reports `NotFound`, or the timeout expires.
 Result<NodeResponse> queryOwner(CtlContext& context, const std::string& id) {
   const std::chrono::seconds timeout(context.line.timeoutSeconds);
   while (true) {
@@ -135,7 +135,7 @@
   }
   printBatches(context, rows);
   if (!missing.empty()) {
-    context.output.note("incomplete, no answer from " + missing);
+    context.output.note("incomplete: no response from " + missing);
   }
   return ExitCode::Ok;
 }
--- a/src/ctl/batches_commands.h
+++ b/src/ctl/batches_commands.h
@@ -1,5 +1,5 @@
 /// @file
-/// `batches list|show|cancel`, of all tenants.
+/// `batches list|show|cancel`, for the batches of all tenants.
 #pragma once
 
 #include "ctl/ctl_command.h"
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -20,29 +20,29 @@
 constexpr const char* kCommandHelp =
     "\nCommands:\n"
     "  init                            form the fleet, once (--acceptors, --stores)\n"
-    "  status                          all nodes: roles, versions in force, who is behind\n"
+    "  status                          all nodes: roles, versions in force, outdated nodes\n"
     "  members                         voters of the registers and stores\n"
     "  settings get                    the settings and their version (--effective)\n"
     "  settings set FILE               replace the settings (--base-version)\n"
     "  settings patch FILE             merge a partial tree into the settings\n"
-    "  settings diff FILE              the patch that leads from the settings to FILE\n"
+    "  settings diff FILE              the merge patch from the settings to FILE\n"
     "  engines list                    the platform's listing of engines\n"
     "  engines put FILE                replace the listing (--base-version)\n"
-    "  engines drain|undrain ID        no new calls to an engine; what it runs ends\n"
+    "  engines drain|undrain ID        no new calls to an engine; running calls finish\n"
     "  slots                           pools of slots: N, why that N, holders and their age\n"
     "  batches list                    the batches of all tenants\n"
-    "  batches show|cancel ID          one batch; a cancel may be sent again\n"
-    "  explain REQUEST_ID              what was decided about a call, and why\n"
+    "  batches show|cancel ID          one batch; a cancel is safe to repeat\n"
+    "  explain REQUEST_ID              the decisions made for a call, with reasons\n"
     "  tenants list                    tenants, their share and their keys\n"
     "  tenants create NAME             new tenant (--per-s, --burst, --key-digest)\n"
     "  keys digest FILE                digest of the caller's key in FILE\n"
     "  keys add TENANT DIGEST          list a caller's key\n"
     "  keys withdraw TENANT DIGEST     withdraw a caller's key\n"
-    "  stores list                     stores and how much of the data each holds\n"
-    "  stores replace OLD NEW          put the empty store NEW in the place of OLD; both are\n"
-    "                                  internal addresses, the same one for an emptied store\n"
-    "  stores repair                   until each member holds all data\n"
-    "  wait --version V                until V is in force on all nodes (--register)\n"
+    "  stores list                     stores and the partitions that each holds\n"
+    "  stores replace OLD NEW          replace OLD by the empty store NEW; both are\n"
+    "                                  internal addresses, the same for an emptied store\n"
+    "  stores repair                   wait until each member holds all data\n"
+    "  wait --version V                wait until V is in force on all nodes (--register)\n"
     "\nFILE may be - for standard input.\n"
     "\nExamples:\n"
     "  shedctl --node 10.0.0.1:7001 --key-file op.key status\n"
@@ -83,13 +83,13 @@
     {"base-version", 'b', POPT_ARG_STRING, nullptr, kBaseVersion,
      "Version that the change builds on", "V"},
     {"order-id", 'o', POPT_ARG_STRING, nullptr, kOrderId,
-     "Order id of a change that is sent again; needs --base-version", "ID"},
+     "Order id of a change that is resent; needs --base-version", "ID"},
     {"effective", 'e', POPT_ARG_STRING, nullptr, kEffective,
      "Show the values in force and their level", "TENANT/ROUTE"},
     {"register", '\0', POPT_ARG_STRING, nullptr, kRegister,
      "Register to wait for: settings (default), engines or members", "NAME"},
     {"timeout-s", 't', POPT_ARG_STRING, nullptr, kTimeout,
-     "Longest wait of wait and stores, 30 by default", "SECONDS"},
+     "Timeout of wait and stores, 30 by default", "SECONDS"},
     {"acceptors", '\0', POPT_ARG_STRING, nullptr, kAcceptors,
      "Internal addresses of the voters, separated by commas", "LIST"},
     {"stores", '\0', POPT_ARG_STRING, nullptr, kStores,
@@ -124,7 +124,7 @@
                    flag + ": found \"" + value + "\"; allowed: " + allowed);
 }
 
-/// Returns the number in @p value; nullopt unless it is one from 0 to @p maximum.
+/// Returns the number in @p value; nullopt unless it is a number from 0 to @p maximum.
 std::optional<double> parseNumber(const std::string& value, double maximum) {
   char* end = nullptr;
   const double number = std::strtod(value.c_str(), &end);
--- a/src/ctl/command_line.h
+++ b/src/ctl/command_line.h
@@ -26,19 +26,19 @@
   std::optional<double> perSecond;           ///< For `tenants create`.
   std::optional<std::uint64_t> burst;        ///< For `tenants create`.
   std::string keyDigest;                     ///< For `tenants create`.
-  std::vector<std::string> arguments;        ///< The command and its arguments.
+  std::vector<std::string> arguments;        ///< Positional: the command and its arguments.
 
   /// Text of `--help` or `--version`; if it is not empty, nothing else is filled in.
   std::string informationText;
 
-  /// Returns word @p index, or "" if there are fewer.
+  /// Returns positional argument @p index, or "" if there are fewer.
   std::string argument(std::size_t index) const {
     return index < arguments.size() ? arguments[index] : std::string();
   }
 };
 
-/// Parses the arguments. Fails with `InvalidArgument`; the detail names flag, value and what is
-/// allowed.
+/// Parses the arguments. Fails with `InvalidArgument`; the detail names the flag, the value and the
+/// allowed values.
 Result<CommandLine> parseCommandLine(int argc, const char** argv);
 
 }  // namespace shedshed::ctl
--- a/src/ctl/ctl_command.cpp
+++ b/src/ctl/ctl_command.cpp
@@ -52,7 +52,7 @@
   if (command.empty()) {
     return context.output.usage("no command was given; see shedctl --help");
   }
-  return context.output.usage("no such command: " + command + "; see shedctl --help");
+  return context.output.usage("unknown command: " + command + "; see shedctl --help");
 }
 
 Result<std::string> readInput(CtlContext& context, const std::string& name) {
--- a/src/ctl/ctl_command.h
+++ b/src/ctl/ctl_command.h
@@ -13,28 +13,28 @@
 
 namespace shedshed::ctl {
 
-/// What a command works with.
+/// The inputs, outputs and clock of a command.
 struct CtlContext {
   const CommandLine& line;
   FleetClient& fleet;
   Output& output;
   std::istream& input;  ///< Read when a file is named "-".
-  /// Time since the program's start; tests hand in their own.
+  /// Time since the program's start; tests inject a fake clock.
   std::function<std::chrono::milliseconds()> elapsed;
   std::function<void(std::chrono::milliseconds)> pause;
 };
 
-/// A command or a group of commands with the same first word.
+/// A command, or a group of commands with the same first argument.
 class CtlCommand {
  public:
   virtual ~CtlCommand() = default;
   virtual ExitCode run(CtlContext& context) = 0;
 };
 
-/// Runs the command that the words name. New groups are added to the table in the source file.
+/// Runs the command that the first argument names. New groups are added to `kCommandGroups`.
 ExitCode runCommand(CtlContext& context);
 
-/// Reads the file named @p name, or the input if it is "-". The error names the file.
+/// Reads the file named @p name, or `CtlContext::input` if it is "-". The error names the file.
 Result<std::string> readInput(CtlContext& context, const std::string& name);
 
 }  // namespace shedshed::ctl
--- a/src/ctl/explain_command.cpp
+++ b/src/ctl/explain_command.cpp
@@ -53,11 +53,12 @@
   const std::string missing = missingResponses(responses.value());
   if (!missing.empty()) {
     return context.output.fail(
-        makeError(ErrorCode::StoreUnavailable, "no node that answers knows the call; " + missing));
+        makeError(ErrorCode::StoreUnavailable,
+                  "no responding node has a record of the call; no response from " + missing));
   }
   return context.output.fail(
-      makeError(ErrorCode::NotFound,
-                "no data node remembers call " + id + "; each keeps its last calls only"));
+      makeError(ErrorCode::NotFound, "no data node has a record of call " + id +
+                                         "; each keeps its most recent calls only"));
 }
 
 }  // namespace shedshed::ctl
--- a/src/ctl/explain_command.h
+++ b/src/ctl/explain_command.h
@@ -1,12 +1,12 @@
 /// @file
-/// `explain REQUEST_ID`: what was decided about one call and why.
+/// `explain REQUEST_ID`: the decisions made for one call, with reasons.
 #pragma once
 
 #include "ctl/ctl_command.h"
 
 namespace shedshed::ctl {
 
-/// Asks all data nodes; each remembers its last calls only.
+/// Queries all data nodes; each keeps a record of its most recent calls only.
 class ExplainCommand : public CtlCommand {
  public:
   ExitCode run(CtlContext& context) override;
--- a/src/ctl/fleet_client.cpp
+++ b/src/ctl/fleet_client.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kOrderIdBytes = 16;
 
-/// True if no other node can answer differently.
+/// True if every node would return the same error.
 bool isFinal(ErrorCode code) {
   switch (code) {
   case ErrorCode::InvalidArgument:
@@ -24,8 +24,8 @@
   }
 }
 
-/// True if the answer was given after a look at what took effect, so that it also tells the
-/// outcome of earlier attempts with the same order id.
+/// True if the node checked the committed changes before it returned the error, so that it also
+/// resolves the outcome of earlier attempts with the same order id.
 bool resolvesEarlierAttempts(ErrorCode code) {
   return code == ErrorCode::VersionConflict || code == ErrorCode::IdempotencyKeyReused ||
          code == ErrorCode::AlreadyExists;
@@ -34,7 +34,7 @@
 }  // namespace
 
 Result<FleetResponse> FleetClient::call(const FleetRequest& request) {
-  Error lastError = makeError(ErrorCode::StoreUnavailable, "no node was given; see --node");
+  Error lastError = makeError(ErrorCode::StoreUnavailable, "no node address was given; see --node");
   std::optional<Error> unknownOutcome;
   for (const std::string& node : nodes_) {
     Result<FleetResponse> response = transport_.exchange(node, request);
--- a/src/ctl/fleet_client.h
+++ b/src/ctl/fleet_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Client of the operators' HTTP of any node of the fleet.
+/// Client of the operators' HTTP interface, which every node of the fleet serves.
 #pragma once
 
 #include "kernel/error.h"
@@ -11,7 +11,7 @@
 
 namespace shedshed::ctl {
 
-/// One call. A change carries a base version and an order id.
+/// One request. A change carries a base version and an order id, its idempotency key.
 struct FleetRequest {
   std::string method = "GET";
   std::string url;
@@ -38,14 +38,15 @@
 };
 
 /// Sends requests to the given nodes in turn. A change is sent to the next node with the same order
-/// id, which the registers' ledger makes safe.
+/// id, by which the registers apply it at most once.
 class FleetClient {
  public:
   FleetClient(Transport& transport, std::vector<std::string> nodes)
       : transport_(transport), nodes_(std::move(nodes)) {}
 
-  /// Calls the first node that can answer. For a change of which one attempt may have taken
-  /// effect, only a response that resolves that order id ends the search; else `OutcomeUnknown`.
+  /// Calls the nodes in order until one returns success or an error that every node would return.
+  /// For a change of which one attempt may have taken effect, only a response that resolves that
+  /// order id ends the search; else the result is `OutcomeUnknown`.
   Result<FleetResponse> call(const FleetRequest& request);
 
   /// Calls one node.
--- a/src/ctl/fleet_commands.cpp
+++ b/src/ctl/fleet_commands.cpp
@@ -86,7 +86,7 @@
     return printMembers(context, response.value().body);
   }
   if (response.error().code == ErrorCode::AlreadyExists && hasRequestedMembers(context)) {
-    context.output.note("the fleet had been formed with these members before");
+    context.output.note("the fleet was already formed with these members");
     return MembersCommand().run(context);
   }
   return context.output.fail(response.error());
--- a/src/ctl/fleet_commands.h
+++ b/src/ctl/fleet_commands.h
@@ -6,7 +6,8 @@
 
 namespace shedshed::ctl {
 
-/// Forms the fleet. Sent again after a lost answer, it compares the members instead.
+/// Forms the fleet. If the fleet exists, as after a lost response, succeeds when its members are
+/// the requested ones.
 class InitCommand : public CtlCommand {
  public:
   ExitCode run(CtlContext& context) override;
--- a/src/ctl/fleet_view.h
+++ b/src/ctl/fleet_view.h
@@ -1,5 +1,5 @@
 /// @file
-/// The status of every node, as each reports it itself.
+/// The status of every node, as reported by the node itself.
 #pragma once
 
 #include "ctl/fleet_client.h"
@@ -12,7 +12,7 @@
 
 /// Progress of a store's replicas of the partitions.
 struct StoreView {
-  bool isMember = false;           ///< The members list names it with its present disk.
+  bool isMember = false;           ///< The members list contains it with its current disk.
   std::uint64_t complete = 0;      ///< Partitions replicated completely.
   std::uint64_t acknowledged = 0;  ///< Of these, the ones whose owner counts it as a replica.
   std::uint64_t total = 0;
--- a/src/ctl/http_transport.cpp
+++ b/src/ctl/http_transport.cpp
@@ -19,16 +19,16 @@
   return cxxtools::Milliseconds(static_cast<double>(duration.count()));
 }
 
-/// Error for an answer that is not one of ours.
+/// Returns the error for a response without a typed error, as an intermediary may send.
 Error untypedResponseError(const FleetRequest& request, unsigned status) {
-  const std::string detail = "answered " + std::to_string(status) + " without a typed error";
+  const std::string detail = "HTTP status " + std::to_string(status) + " without a typed error";
   if (request.changesState) {
     return makeError(ErrorCode::OutcomeUnknown, detail, Ran::Unknown);
   }
   return makeError(ErrorCode::StoreUnavailable, detail);
 }
 
-/// Reads the typed error in an answer's body.
+/// Parses the typed error in a response body.
 Error parseErrorResponse(const FleetRequest& request, unsigned status, const std::string& body) {
   const Result<JsonDocument> document = JsonDocument::parse(body);
   if (!document) {
@@ -78,7 +78,8 @@
   const auto port =
       static_cast<unsigned short>(std::strtoul(node.c_str() + colon + 1, nullptr, 10));
   try {
-    // The client does not tell a failed connect from a lost answer; a connect of our own does.
+    // The HTTP client reports a failed connect and a lost response alike. A separate connect tells
+    // whether the request can have been sent.
     cxxtools::net::TcpSocket probe;
     probe.setTimeout(toCxxtools(connectTimeout_));
     probe.connect(cxxtools::net::AddrInfo(host, port));
--- a/src/ctl/json_cell.h
+++ b/src/ctl/json_cell.h
@@ -1,5 +1,5 @@
 /// @file
-/// Cells of tables from JSON answers.
+/// Formats members of JSON responses as table cells.
 #pragma once
 
 #include "settings/json.h"
@@ -8,7 +8,7 @@
 
 namespace shedshed::ctl {
 
-/// Bounds of a node's answer: the lists of batches and slots are long.
+/// Parser limits for a node's response: lists of batches and slots are long.
 inline constexpr JsonBounds kResponseBounds{64U << 20U, 16};
 
 /// Returns the member @p name of @p object as text; "-" if it is absent.
--- a/src/ctl/keys_commands.cpp
+++ b/src/ctl/keys_commands.cpp
@@ -41,7 +41,7 @@
   return nullptr;
 }
 
-/// Makes the patch that replaces the tenant's keys; a merge patch replaces an array as a whole.
+/// Returns the patch that replaces the tenant's keys; a merge patch replaces an array as a whole.
 std::string keysPatch(const std::string& tenant, JsonDocument keys) {
   const JsonDocument patch = JsonDocument::object();
   cJSON* tenants = cJSON_AddObjectToObject(patch.root(), "tenants");
@@ -125,7 +125,7 @@
   }
   const std::string key = trimmed(content.value());
   if (key.empty()) {
-    return context.output.usage("the file holds no key");
+    return context.output.usage("the key file is empty");
   }
   const std::string digest = SettingsTree::digestOfKey(key);
   context.output.line(context.output.isJson() ? "{\"digest\":\"" + digest + "\"}" : digest);
--- a/src/ctl/keys_commands.h
+++ b/src/ctl/keys_commands.h
@@ -6,7 +6,7 @@
 
 namespace shedshed::ctl {
 
-/// Keys themselves never travel to the fleet, only their digests.
+/// Only digests of keys are sent to the fleet, never the keys.
 class KeysCommands : public CtlCommand {
  public:
   ExitCode run(CtlContext& context) override;
--- a/src/ctl/main.cpp
+++ b/src/ctl/main.cpp
@@ -1,4 +1,4 @@
-// The operators' command line: wiring only.
+// Entry point of shedctl, the operators' command line.
 #include "ctl/command_line.h"
 #include "ctl/ctl_command.h"
 #include "ctl/http_transport.h"
@@ -15,7 +15,7 @@
 using namespace shedshed;
 using namespace shedshed::ctl;
 
-/// True if the command talks to the fleet.
+/// True if the command sends requests to the fleet.
 bool needsFleet(const CommandLine& line) {
   return !line.arguments.empty() && !(line.argument(0) == "keys" && line.argument(1) == "digest");
 }
@@ -35,7 +35,7 @@
   if (needsFleet(line)) {
     if (line.nodes.empty() || line.keyFile.empty()) {
       return static_cast<int>(
-          output.usage("give --node IP:PORT and --key-file FILE; see shedctl --help"));
+          output.usage("--node IP:PORT and --key-file FILE are required; see shedctl --help"));
     }
     const Result<std::string> read = readBearerKeyFile(line.keyFile);
     if (!read) {
--- a/src/ctl/node_query.h
+++ b/src/ctl/node_query.h
@@ -1,5 +1,5 @@
 /// @file
-/// One query to all nodes of a role, each of which knows a part of the result.
+/// Queries all nodes of a role, each of which holds a part of the result.
 #pragma once
 
 #include "ctl/fleet_client.h"
--- a/src/ctl/output.h
+++ b/src/ctl/output.h
@@ -1,5 +1,5 @@
 /// @file
-/// What `shedctl` prints: tables for people, JSON for programs.
+/// Output of `shedctl`: text tables or JSON.
 #pragma once
 
 #include "ctl/exit_code.h"
@@ -21,7 +21,7 @@
   std::vector<std::vector<std::string>> rows_;
 };
 
-/// Where commands print to.
+/// Prints the results and errors of commands.
 class Output {
  public:
   Output(std::ostream& results, std::ostream& errors, bool json)
@@ -38,14 +38,14 @@
 
   void table(const TextTable& table) { table.print(results_); }
 
-  /// Prints a hint for people; nothing with `--json`.
+  /// Prints a note to the error stream; nothing with `--json`.
   void note(const std::string& text);
 
-  /// Prints the error and what to do next, and returns its exit code. With `--json` the error goes
-  /// to the results, in the form of docs/API.md.
+  /// Prints the error with its recovery hint, and returns its exit code. With `--json` the error is
+  /// printed to the result stream, in the form of docs/API.md.
   ExitCode fail(const Error& error);
 
-  /// Prints an error in the command line itself.
+  /// Prints a command-line error, and returns `ExitCode::Usage`.
   ExitCode usage(const std::string& text);
 
  private:
--- a/src/ctl/register_change.cpp
+++ b/src/ctl/register_change.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Attempts of a patch that is made from the newest settings.
+/// Attempts of a change that conflicts with concurrent changes.
 constexpr int kMaxChangeAttempts = 5;
 
 ExitCode printOutcome(CtlContext& context, const FleetResponse& response) {
@@ -44,7 +44,7 @@
   }
   Error error = response.error();
   if (error.code == ErrorCode::OutcomeUnknown) {
-    error.detail += "; send again with" + resendFlags(request);
+    error.detail += "; resend with" + resendFlags(request);
   }
   return context.output.fail(error);
 }
@@ -89,7 +89,7 @@
     }
   }
   if (lastError.code == ErrorCode::OutcomeUnknown) {
-    lastError.detail += "; run the same command again, it takes effect at most once";
+    lastError.detail += "; run the same command again: it takes effect at most once";
   }
   return context.output.fail(lastError);
 }
--- a/src/ctl/register_change.h
+++ b/src/ctl/register_change.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sending changes of a register, shared by several commands.
+/// Sends changes of a register; shared by several commands.
 #pragma once
 
 #include "ctl/ctl_command.h"
@@ -8,18 +8,18 @@
 
 namespace shedshed::ctl {
 
-/// Sends @p request, a change, with an idempotency key (order id). A missing base version or order
-/// id is filled in from the command line; without `--order-id` a new one is chosen. Prints the
-/// outcome, on an unknown one also the flags for resending it.
+/// Sends the change @p request with an idempotency key (order id). A missing base version or order
+/// id is taken from the command line; without `--order-id` a new one is generated. Prints the
+/// outcome, and if that is unknown, the flags for resending the change.
 ExitCode sendChange(CtlContext& context, FleetRequest request);
 
-/// Makes the body of a change from a register's value; an empty text means that the change is
-/// in effect already.
+/// Returns the body of a change to a register's value; an empty text means that the change is
+/// already in effect.
 using MakeChange = std::function<Result<std::string>(const std::string& value)>;
 
-/// Reads the register at @p url, makes a change of its value, and sends it with @p method. If
-/// another change is committed in between, reads and makes it again, a few times. Repeating such a
-/// command is always safe, since the change is made from the value as it is.
+/// Reads the register at @p url, computes a change of its value, and sends it with @p method.
+/// Retries a few times from the read on if another change is committed in between. Repeating such a
+/// command is safe, since the change is computed from the current value.
 ExitCode changeRegister(CtlContext& context, const char* method, const std::string& url,
                         const MakeChange& makeChange);
 
--- a/src/ctl/settings_commands.cpp
+++ b/src/ctl/settings_commands.cpp
@@ -11,7 +11,7 @@
 constexpr const char* kSettingsUrl = "/v1/settings";
 constexpr const char* kEnginesUrl = "/v1/engines";
 constexpr const char* kNeedsBaseVersion =
-    "needs --base-version: the version that the change builds on, as the get command shows it";
+    "needs --base-version: the version that the change is based on, as the get command prints it";
 
 /// Returns @p text with everything but letters, digits and "-_." percent-encoded.
 std::string percentEncoded(const std::string& text) {
@@ -30,11 +30,11 @@
   return encoded;
 }
 
-/// Replaces a register by the file named in the third word.
+/// Replaces the register at @p url by the file that the third argument names.
 ExitCode putFile(CtlContext& context, const char* url) {
   const std::string file = context.line.argument(2);
   if (file.empty()) {
-    return context.output.usage("name the file, or - for standard input");
+    return context.output.usage("a file is required, or - for standard input");
   }
   if (!context.line.baseVersion) {
     return context.output.usage(context.line.argument(0) + " " + context.line.argument(1) + " " +
@@ -51,7 +51,7 @@
   return sendChange(context, std::move(request));
 }
 
-/// Returns @p listing with the engine's `draining` set or taken away; "" if it is so already.
+/// Returns @p listing with the engine's `draining` set or removed; "" if it is already so.
 Result<std::string> listingWithDraining(const std::string& listing, const std::string& id,
                                         bool draining) {
   const Result<JsonDocument> document = JsonDocument::parse(listing);
@@ -139,10 +139,11 @@
 ExitCode SettingsCommands::patch(CtlContext& context) {
   const std::string file = context.line.argument(2);
   if (file.empty()) {
-    return context.output.usage("name the file with the partial tree, or - for standard input");
+    return context.output.usage(
+        "a file with the partial tree is required, or - for standard input");
   }
   if (!context.line.orderId.empty() && !context.line.baseVersion) {
-    return context.output.usage("--order-id needs the --base-version of the first sending");
+    return context.output.usage("--order-id needs the --base-version of the first attempt");
   }
   const Result<std::string> tree = readInput(context, file);
   if (!tree) {
--- a/src/ctl/slots_command.cpp
+++ b/src/ctl/slots_command.cpp
@@ -40,11 +40,11 @@
   }
 }
 
-/// How N came about, in one line.
+/// Returns the formula of the pool size N with its values, in one line.
 std::string sizeExplanation(const cJSON* pool, const MergedSlots& merged) {
   const auto lending = merged.lending.find(cellOf(pool, "key"));
   if (cellOf(pool, "limiter") == "batch") {
-    return lending == merged.lending.end() ? "lent room"
+    return lending == merged.lending.end() ? "lendable capacity"
                                            : "room " + cellOf(lending->second, "room") +
                                                  " - live " + cellOf(lending->second, "live") +
                                                  " - reserve " + cellOf(lending->second, "reserve");
@@ -109,7 +109,7 @@
     printTables(context, merged);
   }
   if (!missing.empty()) {
-    context.output.note("incomplete, no answer from " + missing);
+    context.output.note("incomplete: no response from " + missing);
   }
   return ExitCode::Ok;
 }
--- a/src/ctl/slots_command.h
+++ b/src/ctl/slots_command.h
@@ -1,13 +1,13 @@
 /// @file
-/// `slots`: all pools, N, why that N, and who holds the slots.
+/// `slots`: all slot pools, their sizes (N) with the reason, and the holders of the slots.
 #pragma once
 
 #include "ctl/ctl_command.h"
 
 namespace shedshed::ctl {
 
-/// Merges the answers of all stores. Of a pool that two stores claim to own, the one with the
-/// higher epoch counts.
+/// Merges the responses of all stores. If two stores claim to own a pool, the response with the
+/// higher epoch is used.
 class SlotsCommand : public CtlCommand {
  public:
   ExitCode run(CtlContext& context) override;
--- a/src/ctl/status_command.cpp
+++ b/src/ctl/status_command.cpp
@@ -22,7 +22,7 @@
   return newest;
 }
 
-/// Names of the registers in which @p node is behind.
+/// Returns the registers of which @p node does not have the newest version.
 std::vector<std::string> outdatedRegisters(const NodeView& node, const Versions& newest) {
   std::vector<std::string> names;
   for (const auto& version : newest) {
@@ -35,7 +35,7 @@
 
 std::string nodeRemark(const NodeView& node, const Versions& newest) {
   if (!node.responded()) {
-    return node.isDead() ? "" : "no answer: " + node.failure;
+    return node.isDead() ? "" : "no response: " + node.failure;
   }
   std::string remark;
   for (const std::string& name : outdatedRegisters(node, newest)) {
--- a/src/ctl/status_command.h
+++ b/src/ctl/status_command.h
@@ -1,5 +1,5 @@
 /// @file
-/// `status`: all nodes, what they hold in force, and who is behind.
+/// `status`: all nodes, their versions in force, and the registers in which they are outdated.
 #pragma once
 
 #include "ctl/ctl_command.h"
--- a/src/ctl/store_replacement.cpp
+++ b/src/ctl/store_replacement.cpp
@@ -49,7 +49,7 @@
     return StepResult::Failed;
   }
   if (!nodes) {
-    reportProgress("no node answers: " + nodes.error().detail);
+    reportProgress("no node responded: " + nodes.error().detail);
     return StepResult::Pending;
   }
   const auto joining = std::find_if(nodes.value().begin(), nodes.value().end(),
@@ -59,13 +59,13 @@
     return StepResult::Pending;
   }
   if (!joining->store) {
-    failureCode_ = context_.output.fail(
-        makeError(ErrorCode::InvalidArgument, newId_ + " is a " + joining->role + ", no store"));
+    failureCode_ = context_.output.fail(makeError(
+        ErrorCode::InvalidArgument, newId_ + " has role " + joining->role + "; expected a store"));
     return StepResult::Failed;
   }
   const StoreView store = *joining->store;
   if (!admitted_ && !store.isMember && !store.isComplete()) {
-    reportProgress(newId_ + " copies: holds " + partitionProgress(store.complete, store.total));
+    reportProgress(newId_ + " is copying: holds " + partitionProgress(store.complete, store.total));
     return StepResult::Pending;
   }
   if (!admitted_) {
@@ -74,8 +74,8 @@
   if (store.isAcknowledged()) {
     return StepResult::Done;
   }
-  reportProgress(newId_ + " is admitted: " + partitionProgress(store.acknowledged, store.total) +
-                 " are owned under the new members");
+  reportProgress(newId_ + " is a member: " + partitionProgress(store.acknowledged, store.total) +
+                 " recovered with the new members");
   return StepResult::Pending;
 }
 
@@ -88,8 +88,7 @@
       std::any_of(stores.value().begin(), stores.value().end(),
                   [this](const std::string& store) { return store == oldId_ || store == newId_; });
   if (!known) {
-    return makeError(ErrorCode::NotFound,
-                     oldId_ + " is no member that is a store; see shedctl members");
+    return makeError(ErrorCode::NotFound, oldId_ + " is not a member store; see shedctl members");
   }
   return okStatus();
 }
@@ -98,7 +97,7 @@
   if (const Status members = checkMembers(); !members) {
     return handleFailure(members.error());
   }
-  reportProgress(newId_ + " holds all partitions: changing the members");
+  reportProgress(newId_ + " holds all partitions: changing the members list");
   const JsonDocument body = JsonDocument::object();
   cJSON_AddStringToObject(body.root(), "old", oldId_.c_str());
   cJSON_AddStringToObject(body.root(), "new", newId_.c_str());
--- a/src/ctl/store_replacement.h
+++ b/src/ctl/store_replacement.h
@@ -9,11 +9,10 @@
 
 namespace shedshed::ctl {
 
-/// Performs one replacement and waits until it is done.
+/// Replaces one store and waits for completion.
 ///
-/// 1. The joining store runs as a non-member: the owners copy all partitions to it, but it counts
-/// for
-///    no majority.
+/// 1. The joining store runs as a non-member: the owners copy all partitions to it, but it does
+///    not count towards a majority.
 /// 2. Once its replicas are complete, it is requested to join: it copies the registers and changes
 ///    the members list.
 /// 3. The owners recover their partitions with the new members. The replacement is done only
@@ -34,7 +33,7 @@
   /// partitions is not replaced by a store.
   Status checkMembers();
   StepResult admitStore(const std::string& operatorsAddress);
-  /// Ends the replacement, unless the same request may succeed later.
+  /// Returns `Failed` after a permanent error, `Pending` if the same request may succeed later.
   StepResult handleFailure(const Error& error);
   void reportProgress(const std::string& progress);
   ExitCode printDone();
--- a/src/ctl/stores_commands.cpp
+++ b/src/ctl/stores_commands.cpp
@@ -68,7 +68,7 @@
   }
 }
 
-/// The members that do not hold all data, or do not say so.
+/// Returns the members that have not reported that they hold all data.
 std::vector<std::string> incompleteMembers(const std::vector<std::string>& members,
                                            const std::vector<NodeView>& nodes) {
   std::vector<std::string> missing;
@@ -148,8 +148,8 @@
     lastProgress = progress;
     if (context.elapsed() >= timeout) {
       context.output.fail(makeError(ErrorCode::DeadlineExceeded,
-                                    progress + "; put an empty store in the place of one that is "
-                                               "lost with shedctl stores replace"));
+                                    progress + "; replace a lost store by an empty one with "
+                                               "shedctl stores replace"));
       return ExitCode::NotInForceYet;
     }
     context.pause(kPollInterval);
--- a/src/ctl/stores_commands.h
+++ b/src/ctl/stores_commands.h
@@ -6,7 +6,7 @@
 
 namespace shedshed::ctl {
 
-/// Each command may be run again after any failure; it goes on where the fleet is.
+/// Each command may be rerun after any failure; it resumes from the state of the fleet.
 class StoresCommands : public CtlCommand {
  public:
   ExitCode run(CtlContext& context) override;
--- a/src/ctl/tenants_commands.cpp
+++ b/src/ctl/tenants_commands.cpp
@@ -23,7 +23,7 @@
     cJSON_AddStringToObject(key, "digest", line.keyDigest.c_str());
     cJSON_AddItemToArray(keys, key);
   }
-  // Through text, so that raw numbers compare as numbers.
+  // `addUnsigned` adds raw JSON; parsing the printed text makes it comparable as a number.
   return JsonDocument(cJSON_Parse(tenant.print().c_str()));
 }
 
@@ -68,7 +68,7 @@
   return counts;
 }
 
-/// One tenant as it is listed.
+/// One row of the list of tenants.
 struct TenantRow {
   std::string name;
   EffectiveSettings values;
--- a/src/ctl/wait_command.h
+++ b/src/ctl/wait_command.h
@@ -1,12 +1,12 @@
 /// @file
-/// `wait --version V`: until a version of a register is in force on all nodes.
+/// `wait --version V`: waits until a version of a register is in force on all nodes.
 #pragma once
 
 #include "ctl/ctl_command.h"
 
 namespace shedshed::ctl {
 
-/// A node counts until the directory calls it dead; a node that does not answer is waited for.
+/// Waits for every node that the directory does not list as dead, including unresponsive ones.
 class WaitCommand : public CtlCommand {
  public:
   ExitCode run(CtlContext& context) override;
--- a/tests/ctl/http_transport_test.cpp
+++ b/tests/ctl/http_transport_test.cpp
@@ -1,4 +1,4 @@
-// shedctl's HTTP against a real operators' server on a loopback socket.
+// HttpTransport against an OperatorsServer on a loopback socket.
 #include "ctl/http_transport.h"
 
 #include "operators/fake_services.h"
--- a/tests/ctl/shedctl_test.cpp
+++ b/tests/ctl/shedctl_test.cpp
@@ -1,4 +1,4 @@
-// shedctl against faked nodes: sending again, exit codes, the commands' requests and output.
+// shedctl against fake nodes: resending, exit codes, and the requests and output of the commands.
 #include "ctl/ctl_command.h"
 
 #include "settings/json.h"
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Answers from a script for each node and URL; the last answer is repeated.
+/// Returns scripted responses for each node and method; the last one is repeated.
 class ScriptedTransport : public Transport {
  public:
   Result<FleetResponse> exchange(const std::string& node, const FleetRequest& request) override {
@@ -199,7 +199,8 @@
 
 namespace {
 
-/// A status that lists the stores a (127.0.0.1:1) and b (127.0.0.2:1), with what the node holds.
+/// A status response with the progress of the node itself, and the list of two nodes, 10.0.0.1:1 at
+/// 127.0.0.1:1 and 10.0.0.2:1 at 127.0.0.2:1.
 FleetResponse storeStatus(bool member, int held, int settled, const char* role = "store") {
   return {std::string(R"({"ready":true,"store":{"member":)") + (member ? "true" : "false") +
               R"(,"held":)" + std::to_string(held) + R"(,"settled":)" + std::to_string(settled) +
@@ -212,7 +213,7 @@
 
 const FleetResponse kStoreMembers{R"({"stores":[{"id":"10.0.0.1:1"},{"id":"10.0.0.9:1"}]})", 2};
 
-/// Scripts the first node for so many polls, each a list and its own status, then the members.
+/// Scripts the first node for @p polls polls, each a list and its own status, then the members.
 void scriptPolls(CtlHarness& harness, int polls) {
   for (int i = 0; i < 2 * polls; ++i) {
     harness.addResponse(kFirstNode, "GET", storeStatus(true, 64, 64));
@@ -273,7 +274,7 @@
   nonMember.addResponse(kSecondNode, "GET", storeStatus(false, 64, 0));
   BOOST_TEST(
       (nonMember.run({"stores", "replace", "10.0.0.8:1", "10.0.0.2:1"}) == ExitCode::Refused));
-  BOOST_TEST(nonMember.errors.str().find("10.0.0.8:1 is no member") != std::string::npos);
+  BOOST_TEST(nonMember.errors.str().find("10.0.0.8:1 is not a member") != std::string::npos);
   BOOST_TEST((rejected.run({"stores", "replace", "10.0.0.9:1"}) == ExitCode::Usage));
 }
 
