--- a/tests/ctl/shedctl_test.cpp
+++ b/tests/ctl/shedctl_test.cpp
@@ -25,11 +25,11 @@
     if (script.empty()) {
       return makeError(ErrorCode::StoreUnavailable, "refused");
     }
-    const Result<FleetResponse> answer = script.front();
+    const Result<FleetResponse> response = script.front();
     if (script.size() > 1) {
       script.pop_front();
     }
-    return answer;
+    return response;
   }
   std::map<std::string, std::deque<Result<FleetResponse>>> scripts;
   std::vector<std::pair<std::string, FleetRequest>> requests;
@@ -60,8 +60,8 @@
     return runCommand(context);
   }
   void addResponse(const std::string& node, const std::string& method,
-                   Result<FleetResponse> answer) {
-    transport.scripts[node + " " + method].push_back(std::move(answer));
+                   Result<FleetResponse> response) {
+    transport.scripts[node + " " + method].push_back(std::move(response));
   }
 
   ScriptedTransport transport;
