--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -20,29 +20,29 @@
 constexpr const char* kCommandHelp =
     "\nCommands:\n"
     "  init                            form the fleet, once (--acceptors, --stores)\n"
-    "  status                          all nodes: roles, versions in force, who is behind\n"
+    "  status                          all nodes: roles, versions in force, outdated nodes\n"
     "  members                         voters of the registers and stores\n"
     "  settings get                    the settings and their version (--effective)\n"
     "  settings set FILE               replace the settings (--base-version)\n"
     "  settings patch FILE             merge a partial tree into the settings\n"
-    "  settings diff FILE              the patch that leads from the settings to FILE\n"
+    "  settings diff FILE              the merge patch from the settings to FILE\n"
     "  engines list                    the platform's listing of engines\n"
     "  engines put FILE                replace the listing (--base-version)\n"
-    "  engines drain|undrain ID        no new calls to an engine; what it runs ends\n"
+    "  engines drain|undrain ID        no new calls to an engine; running calls finish\n"
     "  slots                           pools of slots: N, why that N, holders and their age\n"
     "  batches list                    the batches of all tenants\n"
-    "  batches show|cancel ID          one batch; a cancel may be sent again\n"
-    "  explain REQUEST_ID              what was decided about a call, and why\n"
+    "  batches show|cancel ID          one batch; a cancel is safe to repeat\n"
+    "  explain REQUEST_ID              the decisions made for a call, with reasons\n"
     "  tenants list                    tenants, their share and their keys\n"
     "  tenants create NAME             new tenant (--per-s, --burst, --key-digest)\n"
     "  keys digest FILE                digest of the caller's key in FILE\n"
     "  keys add TENANT DIGEST          list a caller's key\n"
     "  keys withdraw TENANT DIGEST     withdraw a caller's key\n"
-    "  stores list                     stores and how much of the data each holds\n"
-    "  stores replace OLD NEW          put the empty store NEW in the place of OLD; both are\n"
-    "                                  internal addresses, the same one for an emptied store\n"
-    "  stores repair                   until each member holds all data\n"
-    "  wait --version V                until V is in force on all nodes (--register)\n"
+    "  stores list                     stores and the partitions that each holds\n"
+    "  stores replace OLD NEW          replace OLD by the empty store NEW; both are\n"
+    "                                  internal addresses, the same for an emptied store\n"
+    "  stores repair                   wait until each member holds all data\n"
+    "  wait --version V                wait until V is in force on all nodes (--register)\n"
     "\nFILE may be - for standard input.\n"
     "\nExamples:\n"
     "  shedctl --node 10.0.0.1:7001 --key-file op.key status\n"
@@ -83,13 +83,13 @@
     {"base-version", 'b', POPT_ARG_STRING, nullptr, kBaseVersion,
      "Version that the change builds on", "V"},
     {"order-id", 'o', POPT_ARG_STRING, nullptr, kOrderId,
-     "Order id of a change that is sent again; needs --base-version", "ID"},
+     "Order id of a change that is resent; needs --base-version", "ID"},
     {"effective", 'e', POPT_ARG_STRING, nullptr, kEffective,
      "Show the values in force and their level", "TENANT/ROUTE"},
     {"register", '\0', POPT_ARG_STRING, nullptr, kRegister,
      "Register to wait for: settings (default), engines or members", "NAME"},
     {"timeout-s", 't', POPT_ARG_STRING, nullptr, kTimeout,
-     "Longest wait of wait and stores, 30 by default", "SECONDS"},
+     "Timeout of wait and stores, 30 by default", "SECONDS"},
     {"acceptors", '\0', POPT_ARG_STRING, nullptr, kAcceptors,
      "Internal addresses of the voters, separated by commas", "LIST"},
     {"stores", '\0', POPT_ARG_STRING, nullptr, kStores,
@@ -103,10 +103,10 @@
      "Version to wait for; alone: show the version of shedctl", "V"},
     POPT_TABLEEND};
 
-struct ContextDeleter {
+struct PoptContextDeleter {
   void operator()(poptContext context) const { poptFreeContext(context); }
 };
-using Context = std::unique_ptr<std::remove_pointer_t<poptContext>, ContextDeleter>;
+using PoptContext = std::unique_ptr<std::remove_pointer_t<poptContext>, PoptContextDeleter>;
 
 std::string helpText(poptContext context) {
   char* text = nullptr;
@@ -124,7 +124,7 @@
                    flag + ": found \"" + value + "\"; allowed: " + allowed);
 }
 
-/// Returns the number in @p value; nullopt unless it is one from 0 to @p maximum.
+/// Returns the number in @p value; nullopt unless it is a number from 0 to @p maximum.
 std::optional<double> parseNumber(const std::string& value, double maximum) {
   char* end = nullptr;
   const double number = std::strtod(value.c_str(), &end);
@@ -143,7 +143,7 @@
   return static_cast<std::uint64_t>(*number);
 }
 
-Status storeUnsigned(const std::string& flag, const std::string& value,
+Status applyUnsigned(const std::string& flag, const std::string& value,
                      std::optional<std::uint64_t>& target) {
   const Result<std::uint64_t> number = parseUnsigned(flag, value);
   if (!number) {
@@ -153,7 +153,7 @@
   return okStatus();
 }
 
-Status storeAddresses(const std::string& flag, const std::string& value,
+Status applyAddresses(const std::string& flag, const std::string& value,
                       std::vector<std::string>& target) {
   std::size_t begin = 0;
   while (begin <= value.size()) {
@@ -168,7 +168,7 @@
   return okStatus();
 }
 
-Status storeTimeout(const std::string& value, CommandLine& line) {
+Status applyTimeout(const std::string& value, CommandLine& line) {
   const std::optional<double> seconds = parseNumber(value, kMaxTimeoutSeconds);
   if (!seconds || *seconds < 1) {
     return flagError("--timeout-s", value, "seconds from 1 to 3600");
@@ -177,7 +177,7 @@
   return okStatus();
 }
 
-Status storeRegister(const std::string& value, CommandLine& line) {
+Status applyRegister(const std::string& value, CommandLine& line) {
   if (value != "settings" && value != "engines" && value != "members") {
     return flagError("--register", value, "settings, engines or members");
   }
@@ -185,10 +185,10 @@
   return okStatus();
 }
 
-Status storeOption(int code, const std::string& value, CommandLine& line) {
+Status applyOption(int code, const std::string& value, CommandLine& line) {
   switch (code) {
   case kNode:
-    return storeAddresses("--node", value, line.nodes);
+    return applyAddresses("--node", value, line.nodes);
   case kKeyFile:
     line.keyFile = value;
     return okStatus();
@@ -196,7 +196,7 @@
     line.json = true;
     return okStatus();
   case kBaseVersion:
-    return storeUnsigned("--base-version", value, line.baseVersion);
+    return applyUnsigned("--base-version", value, line.baseVersion);
   case kOrderId:
     line.orderId = value;
     return okStatus();
@@ -204,23 +204,23 @@
     line.effective = value;
     return okStatus();
   case kRegister:
-    return storeRegister(value, line);
+    return applyRegister(value, line);
   case kTimeout:
-    return storeTimeout(value, line);
+    return applyTimeout(value, line);
   case kAcceptors:
-    return storeAddresses("--acceptors", value, line.acceptors);
+    return applyAddresses("--acceptors", value, line.acceptors);
   case kStores:
-    return storeAddresses("--stores", value, line.stores);
+    return applyAddresses("--stores", value, line.stores);
   case kPerSecond:
     line.perSecond = parseNumber(value, kMaxNumber);
     return line.perSecond ? okStatus() : Status(flagError("--per-s", value, "a number"));
   case kBurst:
-    return storeUnsigned("--burst", value, line.burst);
+    return applyUnsigned("--burst", value, line.burst);
   case kKeyDigest:
     line.keyDigest = value;
     return okStatus();
   case kVersion:
-    return storeUnsigned("--version", value, line.waitVersion);
+    return applyUnsigned("--version", value, line.waitVersion);
   default:
     return okStatus();
   }
@@ -230,7 +230,7 @@
 
 Result<CommandLine> parseCommandLine(int argc, const char** argv) {
   CommandLine line;
-  const Context context(poptGetContext("shedctl", argc, argv, kOptions, 0));
+  const PoptContext context(poptGetContext("shedctl", argc, argv, kOptions, 0));
   poptSetOtherOptionHelp(context.get(), "[OPTION...] COMMAND");
   int code = 0;
   while ((code = poptGetNextOpt(context.get())) >= 0) {
@@ -245,7 +245,7 @@
       line.informationText = versionText("shedctl");
       return line;
     }
-    if (Status status = storeOption(code, value, line); !status) {
+    if (Status status = applyOption(code, value, line); !status) {
       return status.error();
     }
   }
@@ -254,8 +254,8 @@
                      std::string(poptBadOption(context.get(), POPT_BADOPTION_NOALIAS)) + ": " +
                          poptStrerror(code) + "; see --help");
   }
-  while (const char* word = poptGetArg(context.get())) {
-    line.words.emplace_back(word);
+  while (const char* argument = poptGetArg(context.get())) {
+    line.arguments.emplace_back(argument);
   }
   return line;
 }
--- a/src/ctl/fleet_client.cpp
+++ b/src/ctl/fleet_client.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kOrderIdBytes = 16;
 
-/// True if no other node can answer differently.
+/// True if every node would return the same error.
 bool isFinal(ErrorCode code) {
   switch (code) {
   case ErrorCode::InvalidArgument:
@@ -24,8 +24,8 @@
   }
 }
 
-/// True if the answer was given after a look at what took effect, so that it also tells the
-/// outcome of earlier attempts with the same order id.
+/// True if the node checked the committed changes before it returned the error, so that it also
+/// resolves the outcome of earlier attempts with the same order id.
 bool resolvesEarlierAttempts(ErrorCode code) {
   return code == ErrorCode::VersionConflict || code == ErrorCode::IdempotencyKeyReused ||
          code == ErrorCode::AlreadyExists;
@@ -34,23 +34,23 @@
 }  // namespace
 
 Result<FleetResponse> FleetClient::call(const FleetRequest& request) {
-  Error last = makeError(ErrorCode::StoreUnavailable, "no node was given; see --node");
-  std::optional<Error> unknown;
+  Error lastError = makeError(ErrorCode::StoreUnavailable, "no node address was given; see --node");
+  std::optional<Error> unknownOutcome;
   for (const std::string& node : nodes_) {
-    Result<FleetResponse> answer = transport_.exchange(node, request);
-    if (answer) {
-      return answer;
+    Result<FleetResponse> response = transport_.exchange(node, request);
+    if (response) {
+      return response;
     }
-    last = answer.error();
-    last.detail = node + ": " + last.detail;
-    if (unknown ? resolvesEarlierAttempts(last.code) : isFinal(last.code)) {
-      return last;
+    lastError = response.error();
+    lastError.detail = node + ": " + lastError.detail;
+    if (unknownOutcome ? resolvesEarlierAttempts(lastError.code) : isFinal(lastError.code)) {
+      return lastError;
     }
-    if (request.changesState && last.code == ErrorCode::OutcomeUnknown) {
-      unknown = last;
+    if (request.changesState && lastError.code == ErrorCode::OutcomeUnknown) {
+      unknownOutcome = lastError;
     }
   }
-  return unknown.value_or(last);
+  return unknownOutcome.value_or(lastError);
 }
 
 std::string newOrderId() {
--- a/src/ctl/http_transport.cpp
+++ b/src/ctl/http_transport.cpp
@@ -19,20 +19,20 @@
   return cxxtools::Milliseconds(static_cast<double>(duration.count()));
 }
 
-/// Error for an answer that is not one of ours.
-Error foreignAnswer(const FleetRequest& request, unsigned status) {
-  const std::string detail = "answered " + std::to_string(status) + " without a typed error";
+/// Returns the error for a response without a typed error, as an intermediary may send.
+Error untypedResponseError(const FleetRequest& request, unsigned status) {
+  const std::string detail = "HTTP status " + std::to_string(status) + " without a typed error";
   if (request.changesState) {
     return makeError(ErrorCode::OutcomeUnknown, detail, Ran::Unknown);
   }
   return makeError(ErrorCode::StoreUnavailable, detail);
 }
 
-/// Reads the typed error in an answer's body.
-Error errorOf(const FleetRequest& request, unsigned status, const std::string& body) {
+/// Parses the typed error in a response body.
+Error parseErrorResponse(const FleetRequest& request, unsigned status, const std::string& body) {
   const Result<JsonDocument> document = JsonDocument::parse(body);
   if (!document) {
-    return foreignAnswer(request, status);
+    return untypedResponseError(request, status);
   }
   const cJSON* fields = jsonMember(document.value().root(), "error");
   const Result<std::string> type = jsonString(fields, "type", "/error");
@@ -40,13 +40,13 @@
   const std::optional<ErrorCode> code =
       type ? errorCodeOfName(type.value()) : std::optional<ErrorCode>();
   if (!code || !message) {
-    return foreignAnswer(request, status);
+    return untypedResponseError(request, status);
   }
   return makeError(*code, message.value(),
                    *code == ErrorCode::OutcomeUnknown ? Ran::Unknown : Ran::No);
 }
 
-cxxtools::http::Request httpRequestOf(const FleetRequest& request, const std::string& key) {
+cxxtools::http::Request toHttpRequest(const FleetRequest& request, const std::string& key) {
   cxxtools::http::Request httpRequest(request.url);
   httpRequest.method(request.method);
   httpRequest.setHeader("Authorization", ("Bearer " + key).c_str());
@@ -61,7 +61,7 @@
   return httpRequest;
 }
 
-std::uint64_t versionOf(const cxxtools::http::ReplyHeader& header) {
+std::uint64_t parseEntityTag(const cxxtools::http::ReplyHeader& header) {
   const char* tag = header.getHeader("ETag");
   if (tag == nullptr || *tag != '"') {
     return 0;
@@ -78,7 +78,8 @@
   const auto port =
       static_cast<unsigned short>(std::strtoul(node.c_str() + colon + 1, nullptr, 10));
   try {
-    // The client does not tell a failed connect from a lost answer; a connect of our own does.
+    // The HTTP client reports a failed connect and a lost response alike. A separate connect tells
+    // whether the request can have been sent.
     cxxtools::net::TcpSocket probe;
     probe.setTimeout(toCxxtools(connectTimeout_));
     probe.connect(cxxtools::net::AddrInfo(host, port));
@@ -88,14 +89,14 @@
   try {
     cxxtools::http::Client client(host, port);
     const cxxtools::http::ReplyHeader& header = client.execute(
-        httpRequestOf(request, key_), toCxxtools(answerTimeout_), toCxxtools(connectTimeout_));
+        toHttpRequest(request, key_), toCxxtools(responseTimeout_), toCxxtools(connectTimeout_));
     const unsigned status = header.httpReturnCode();
     client.readBody();
     const std::string body = client.body();
     if (status >= kFirstErrorStatus) {
-      return errorOf(request, status, body);
+      return parseErrorResponse(request, status, body);
     }
-    return FleetResponse{body, versionOf(client.header())};
+    return FleetResponse{body, parseEntityTag(client.header())};
   } catch (const std::exception& exception) {
     if (request.changesState) {
       return makeError(ErrorCode::OutcomeUnknown, exception.what(), Ran::Unknown);
--- a/src/ctl/store_replacement.h
+++ b/src/ctl/store_replacement.h
@@ -9,11 +9,10 @@
 
 namespace shedshed::ctl {
 
-/// Performs one replacement and waits until it is done.
+/// Replaces one store and waits for completion.
 ///
-/// 1. The joining store runs as a non-member: the owners copy all partitions to it, but it counts
-/// for
-///    no majority.
+/// 1. The joining store runs as a non-member: the owners copy all partitions to it, but it does
+///    not count towards a majority.
 /// 2. Once its replicas are complete, it is requested to join: it copies the registers and changes
 ///    the members list.
 /// 3. The owners recover their partitions with the new members. The replacement is done only
@@ -27,24 +26,24 @@
   ExitCode run();
 
  private:
-  enum class Step { Pending, Done, Failed };
+  enum class StepResult { Pending, Done, Failed };
 
-  Step advance();
+  StepResult advance();
   /// Fails with `NotFound` unless one of the two is a member that is a store: a voter without
   /// partitions is not replaced by a store.
   Status checkMembers();
-  Step admit(const std::string& operatorsAddress);
-  /// Ends the replacement, unless the same request may succeed later.
-  Step failed(const Error& error);
-  void report(const std::string& progress);
+  StepResult admitStore(const std::string& operatorsAddress);
+  /// Returns `Failed` after a permanent error, `Pending` if the same request may succeed later.
+  StepResult handleFailure(const Error& error);
+  void reportProgress(const std::string& progress);
   ExitCode printDone();
 
   CtlContext& context_;
   const std::string oldId_;
   const std::string newId_;
   bool admitted_ = false;
-  std::string reported_;
-  ExitCode failure_ = ExitCode::Ok;
+  std::string lastProgress_;
+  ExitCode failureCode_ = ExitCode::Ok;
 };
 
 }  // namespace shedshed::ctl
