--- a/standins/engine_behaviour.cpp
+++ b/standins/engine_behaviour.cpp
@@ -15,14 +15,14 @@
 };
 using JsonPointer = std::unique_ptr<cJSON, JsonDeleter>;
 
-std::string print(const cJSON* json) {
+std::string serialize(const cJSON* json) {
   char* text = cJSON_PrintUnformatted(json);
   std::string result = text;
   cJSON_free(text);
   return result;
 }
 
-std::string joinedMessages(const cJSON* messages) {
+std::string concatenateMessages(const cJSON* messages) {
   std::string prompt;
   const cJSON* message = nullptr;
   cJSON_ArrayForEach(message, messages) {
@@ -35,7 +35,7 @@
   return prompt;
 }
 
-std::string joined(const std::vector<std::string>& tokens) {
+std::string concatenateTokens(const std::vector<std::string>& tokens) {
   std::string text;
   for (const std::string& token : tokens) {
     text += token;
@@ -49,28 +49,28 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   std::size_t cached = 0;
   std::size_t blocks = 0;
-  bool stillWarm = true;
-  std::uint64_t chain = 0;
-  for (std::size_t at = 0; at < prompt.size(); at += kBlockBytes) {
-    const std::size_t length = std::min(kBlockBytes, prompt.size() - at);
-    chain = XXH3_64bits_withSeed(prompt.data() + at, length, chain);
+  bool prefixCached = true;
+  std::uint64_t chainHash = 0;
+  for (std::size_t offset = 0; offset < prompt.size(); offset += kBlockBytes) {
+    const std::size_t length = std::min(kBlockBytes, prompt.size() - offset);
+    chainHash = XXH3_64bits_withSeed(prompt.data() + offset, length, chainHash);
     ++blocks;
-    stillWarm = stillWarm && index_.count(chain) != 0;
-    cached += stillWarm ? 1 : 0;
-    insert(chain);
+    prefixCached = prefixCached && index_.count(chainHash) != 0;
+    cached += prefixCached ? 1 : 0;
+    insert(chainHash);
   }
   *blockCount = blocks;
   return cached;
 }
 
-void PrefixCache::insert(std::uint64_t block) {
-  const auto found = index_.find(block);
+void PrefixCache::insert(std::uint64_t blockHash) {
+  const auto found = index_.find(blockHash);
   if (found != index_.end()) {
     recent_.splice(recent_.begin(), recent_, found->second);
     return;
   }
-  recent_.push_front(block);
-  index_[block] = recent_.begin();
+  recent_.push_front(blockHash);
+  index_[blockHash] = recent_.begin();
   if (recent_.size() > capacity_) {
     index_.erase(recent_.back());
     recent_.pop_back();
@@ -84,7 +84,7 @@
     return std::nullopt;
   }
   EngineRequest request;
-  request.prompt = joinedMessages(messages);
+  request.prompt = concatenateMessages(messages);
   request.stream = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(json.get(), "stream")) != 0;
   const cJSON* maxTokens = cJSON_GetObjectItemCaseSensitive(json.get(), "max_tokens");
   if (cJSON_IsNumber(maxTokens) && maxTokens->valuedouble >= 1) {
@@ -93,7 +93,7 @@
   return request;
 }
 
-std::vector<std::string> answerTokens(const std::string& prompt, std::uint32_t count) {
+std::vector<std::string> completionTokens(const std::string& prompt, std::uint32_t count) {
   char digest[32];
   std::snprintf(digest, sizeof(digest), "%016llx",
                 static_cast<unsigned long long>(XXH3_64bits(prompt.data(), prompt.size())));
@@ -121,11 +121,11 @@
   } else {
     cJSON_AddNullToObject(choice, "finish_reason");
   }
-  return print(root.get());
+  return serialize(root.get());
 }
 
-std::string answerJson(const std::string& id, const std::string& model,
-                       const std::vector<std::string>& tokens) {
+std::string completionJson(const std::string& id, const std::string& model,
+                           const std::vector<std::string>& tokens) {
   const JsonPointer root(cJSON_CreateObject());
   cJSON_AddStringToObject(root.get(), "id", id.c_str());
   cJSON_AddStringToObject(root.get(), "object", "chat.completion");
@@ -136,11 +136,11 @@
   cJSON_AddNumberToObject(choice, "index", 0);
   cJSON* message = cJSON_AddObjectToObject(choice, "message");
   cJSON_AddStringToObject(message, "role", "assistant");
-  cJSON_AddStringToObject(message, "content", joined(tokens).c_str());
+  cJSON_AddStringToObject(message, "content", concatenateTokens(tokens).c_str());
   cJSON_AddStringToObject(choice, "finish_reason", "stop");
   cJSON* usage = cJSON_AddObjectToObject(root.get(), "usage");
   cJSON_AddNumberToObject(usage, "completion_tokens", static_cast<double>(tokens.size()));
-  return print(root.get());
+  return serialize(root.get());
 }
 
 }  // namespace shedshed::standin
--- a/standins/engine_behaviour.h
+++ b/standins/engine_behaviour.h
@@ -34,7 +34,7 @@
   std::size_t touch(const std::string& prompt, std::size_t* blockCount);
 
  private:
-  void insert(std::uint64_t block);
+  void insert(std::uint64_t blockHash);
   const std::size_t capacity_;
   std::mutex mutex_;
   std::list<std::uint64_t> recent_;
@@ -53,14 +53,14 @@
 
 /// The text of the answer, a word each token. The first word is a digest of the prompt, so that a
 /// caller can tell whether an answer is its own.
-std::vector<std::string> answerTokens(const std::string& prompt, std::uint32_t count);
+std::vector<std::string> completionTokens(const std::string& prompt, std::uint32_t count);
 
 /// One streamed chunk, as JSON.
 std::string chunkJson(const std::string& id, const std::string& model, const std::string& token,
                       bool last);
 
 /// A whole answer, as JSON.
-std::string answerJson(const std::string& id, const std::string& model,
-                       const std::vector<std::string>& tokens);
+std::string completionJson(const std::string& id, const std::string& model,
+                           const std::vector<std::string>& tokens);
 
 }  // namespace shedshed::standin
--- a/standins/engine_server.cpp
+++ b/standins/engine_server.cpp
@@ -16,8 +16,8 @@
 using Response = http::response<http::string_body>;
 
 constexpr std::size_t kMaxBodyBytes = 4U << 20U;
-constexpr std::size_t kStackBytes = 256U << 10U;
-constexpr std::chrono::milliseconds kFreezePoll{20};
+constexpr std::size_t kCoroutineStackBytes = 256U << 10U;
+constexpr std::chrono::milliseconds kFreezePollInterval{20};
 
 tcp::endpoint endpointOf(const std::string& address) {
   const std::size_t colon = address.rfind(':');
@@ -30,9 +30,9 @@
       std::chrono::duration<double, std::milli>(value));
 }
 
-double numberOf(const cJSON* json, const char* name, double otherwise) {
+double numberOf(const cJSON* json, const char* name, double fallback) {
   const cJSON* item = cJSON_GetObjectItemCaseSensitive(json, name);
-  return cJSON_IsNumber(item) ? item->valuedouble : otherwise;
+  return cJSON_IsNumber(item) ? item->valuedouble : fallback;
 }
 
 }  // namespace
@@ -62,25 +62,25 @@
   bool handle(const Request& request) {
     waitWhileFrozen();
     if (request.target() == "/health") {
-      return answer(request, http::status::ok, engine_.healthJson());
+      return sendJson(request, http::status::ok, engine_.healthJson());
     }
     if (request.target() == "/log") {
-      return answer(request, http::status::ok, engine_.logJson());
+      return sendJson(request, http::status::ok, engine_.logJson());
     }
     if (request.target() == "/control") {
-      const bool known = engine_.control(request.body());
-      return answer(request, known ? http::status::ok : http::status::bad_request,
-                    known ? R"({"ok":true})" : R"({"error":"unknown action"})");
+      const bool known = engine_.applyControl(request.body());
+      return sendJson(request, known ? http::status::ok : http::status::bad_request,
+                      known ? R"({"ok":true})" : R"({"error":"unknown action"})");
     }
     if (request.target() == "/v1/chat/completions") {
-      return complete(request);
+      return handleCompletion(request);
     }
-    return answer(request, http::status::not_found, R"({"error":"not found"})");
+    return sendJson(request, http::status::not_found, R"({"error":"not found"})");
   }
 
   void waitWhileFrozen() {
     while (engine_.frozen()) {
-      pause(kFreezePoll);
+      pause(kFreezePollInterval);
     }
   }
 
@@ -90,7 +90,7 @@
     timer.async_wait(yield_[error]);
   }
 
-  bool answer(const Request& request, http::status status, const std::string& body) {
+  bool sendJson(const Request& request, http::status status, const std::string& body) {
     Response response{status, request.version()};
     response.set(http::field::content_type, "application/json");
     response.set("X-Request-Id", requestIdOf(request));
@@ -106,63 +106,63 @@
     return std::string(request["X-Request-Id"]);
   }
 
-  bool complete(const Request& request) {
+  bool handleCompletion(const Request& request) {
     const std::string id = requestIdOf(request);
-    const std::size_t record = engine_.log_.size();
+    const std::size_t recordIndex = engine_.log_.size();
     engine_.log_.push_back({id, "received", {}});
     const std::optional<EngineRequest> parsed = parseEngineRequest(request.body());
     if (!parsed) {
-      engine_.log_[record].outcome = "refused";
-      return answer(request, http::status::bad_request, R"({"error":"no messages"})");
+      engine_.log_[recordIndex].outcome = "refused";
+      return sendJson(request, http::status::bad_request, R"({"error":"no messages"})");
     }
-    engine_.log_[record].promptDigest = answerTokens(parsed->prompt, 1).front();
+    engine_.log_[recordIndex].promptDigest = completionTokens(parsed->prompt, 1).front();
     if (engine_.fault_ == Fault::Reset) {
-      engine_.log_[record].outcome = "reset";
+      engine_.log_[recordIndex].outcome = "reset";
       stream_.socket().set_option(asio::socket_base::linger(true, 0));
       return false;
     }
-    engine_.takeRoom(yield_);
-    const bool keep = runInRoom(request, *parsed, id, record);
-    engine_.giveRoomBack();
-    return keep;
+    engine_.acquireCapacity(yield_);
+    const bool keepAlive = executeRequest(request, *parsed, id, recordIndex);
+    engine_.releaseCapacity();
+    return keepAlive;
   }
 
-  bool runInRoom(const Request& request, const EngineRequest& parsed, const std::string& id,
-                 std::size_t record) {
-    engine_.log_[record].outcome = "running";
+  bool executeRequest(const Request& request, const EngineRequest& parsed, const std::string& id,
+                      std::size_t recordIndex) {
+    engine_.log_[recordIndex].outcome = "running";
     std::size_t blocks = 0;
     const std::size_t cached = engine_.cache_.touch(parsed.prompt, &blocks);
     pause(milliseconds(engine_.profile_.prefillMsPerBlock * static_cast<double>(blocks - cached) *
                        engine_.slowFactor_));
     if (engine_.fault_ == Fault::Late) {
-      pause(milliseconds(engine_.lateSeconds_ * 1000));
+      pause(milliseconds(engine_.responseDelaySeconds_ * 1000));
     }
-    const std::string shownId = engine_.fault_ == Fault::Cross ? "crossed-" + id : id;
+    const std::string responseId = engine_.fault_ == Fault::Cross ? "crossed-" + id : id;
     const std::uint32_t count =
         parsed.maxTokens != 0 ? parsed.maxTokens : engine_.profile_.defaultTokens;
-    const std::vector<std::string> tokens = answerTokens(parsed.prompt, count);
-    const bool whole = parsed.stream ? streamAnswer(request, shownId, tokens)
-                                     : wholeAnswer(request, shownId, tokens);
-    engine_.log_[record].outcome = whole ? "done" : "broken";
-    return whole && request.keep_alive();
+    const std::vector<std::string> tokens = completionTokens(parsed.prompt, count);
+    const bool sent = parsed.stream ? streamCompletion(request, responseId, tokens)
+                                    : sendCompletion(request, responseId, tokens);
+    engine_.log_[recordIndex].outcome = sent ? "done" : "broken";
+    return sent && request.keep_alive();
   }
 
   double tokenMilliseconds() const {
     return engine_.profile_.decodeMsPerToken * engine_.slowFactor_;
   }
 
-  bool wholeAnswer(const Request& request, const std::string& id,
-                   const std::vector<std::string>& tokens) {
+  bool sendCompletion(const Request& request, const std::string& id,
+                      const std::vector<std::string>& tokens) {
     pause(milliseconds(tokenMilliseconds() * static_cast<double>(tokens.size())));
     waitWhileFrozen();
     Response response{http::status::ok, request.version()};
     response.set(http::field::content_type, "application/json");
     response.set("X-Request-Id", id);
-    response.body() = answerJson(id, engine_.profile_.model, tokens);
+    response.body() = completionJson(id, engine_.profile_.model, tokens);
     response.prepare_payload();
     beast::error_code error;
     if (engine_.fault_ == Fault::Cut) {
-      writeHalf(response);
+      writeTruncated(response);
       return false;
     }
     http::async_write(stream_, response, yield_[error]);
@@ -170,7 +170,7 @@
   }
 
   /// Writes the header and half of the body, then lets the connection end.
-  void writeHalf(const Response& response) {
+  void writeTruncated(const Response& response) {
     std::ostringstream text;
     text << response;
     const std::string bytes = text.str();
@@ -179,13 +179,13 @@
     asio::async_write(stream_, asio::buffer(bytes.data(), length), yield_[error]);
   }
 
-  bool streamAnswer(const Request& request, const std::string& id,
-                    const std::vector<std::string>& tokens) {
-    http::response<http::empty_body> head{http::status::ok, request.version()};
-    head.set(http::field::content_type, "text/event-stream");
-    head.set("X-Request-Id", id);
-    head.chunked(true);
-    http::response_serializer<http::empty_body> serializer{head};
+  bool streamCompletion(const Request& request, const std::string& id,
+                        const std::vector<std::string>& tokens) {
+    http::response<http::empty_body> header{http::status::ok, request.version()};
+    header.set(http::field::content_type, "text/event-stream");
+    header.set("X-Request-Id", id);
+    header.chunked(true);
+    http::response_serializer<http::empty_body> serializer{header};
     beast::error_code error;
     http::async_write_header(stream_, serializer, yield_[error]);
     for (std::size_t i = 0; i < tokens.size() && !error; ++i) {
@@ -240,36 +240,36 @@
           [this, shared](asio::yield_context yield) {
             Session(*this, std::move(*shared), yield).run();
           },
-          boost::coroutines::attributes(kStackBytes));
+          boost::coroutines::attributes(kCoroutineStackBytes));
     }
     acceptNext();
   });
 }
 
-bool EngineServer::takeRoom(asio::yield_context yield) {
+bool EngineServer::acquireCapacity(asio::yield_context yield) {
   if (running_ < profile_.maxRunning) {
     ++running_;
     return true;
   }
   auto timer = std::make_shared<asio::steady_timer>(io_, asio::steady_timer::time_point::max());
-  queue_.push_back(timer);
+  waiting_.push_back(timer);
   beast::error_code error;
   timer->async_wait(yield[error]);
   return true;
 }
 
-void EngineServer::giveRoomBack() {
-  if (queue_.empty()) {
+void EngineServer::releaseCapacity() {
+  if (waiting_.empty()) {
     --running_;
     return;
   }
   // The room passes on to the first in the queue; `running_` stays.
-  const std::shared_ptr<asio::steady_timer> first = queue_.front();
-  queue_.pop_front();
+  const std::shared_ptr<asio::steady_timer> first = waiting_.front();
+  waiting_.pop_front();
   first->cancel();
 }
 
-bool EngineServer::control(const std::string& body) {
+bool EngineServer::applyControl(const std::string& body) {
   const std::unique_ptr<cJSON, void (*)(cJSON*)> json(
       cJSON_ParseWithLength(body.data(), body.size()), &cJSON_Delete);
   const cJSON* item = cJSON_GetObjectItemCaseSensitive(json.get(), "action");
@@ -285,7 +285,7 @@
     slowFactor_ = numberOf(json.get(), "factor", 10);
   } else if (action == "late") {
     fault_ = Fault::Late;
-    lateSeconds_ = numberOf(json.get(), "seconds", 10);
+    responseDelaySeconds_ = numberOf(json.get(), "seconds", 10);
   } else if (action == "cut") {
     fault_ = Fault::Cut;
     cutAfterEvents_ = static_cast<std::uint32_t>(numberOf(json.get(), "after_events", 3));
--- a/standins/engine_server.h
+++ b/standins/engine_server.h
@@ -35,10 +35,10 @@
   friend class Session;
 
   void acceptNext();
-  bool takeRoom(boost::asio::yield_context yield);
-  void giveRoomBack();
+  bool acquireCapacity(boost::asio::yield_context yield);
+  void releaseCapacity();
   /// Carries out a control order. Returns false if it is not known.
-  bool control(const std::string& body);
+  bool applyControl(const std::string& body);
   std::string healthJson() const;
   std::string logJson() const;
   bool frozen() const;
@@ -48,11 +48,11 @@
   PrefixCache cache_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::uint32_t running_ = 0;
-  std::deque<std::shared_ptr<boost::asio::steady_timer>> queue_;
+  std::deque<std::shared_ptr<boost::asio::steady_timer>> waiting_;
   bool draining_ = false;
   Fault fault_ = Fault::None;
   double slowFactor_ = 1;
-  double lateSeconds_ = 0;
+  double responseDelaySeconds_ = 0;
   std::uint32_t cutAfterEvents_ = 0;
   std::chrono::steady_clock::time_point frozenUntil_{};
   std::vector<RunRecord> log_;
--- a/standins/load_caller.cpp
+++ b/standins/load_caller.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint64_t kMaxBodyBytes = 64U << 20U;
 constexpr std::size_t kReadBytes = 16U << 10U;
 /// Bytes kept of the answer, to look across the borders of two reads.
-constexpr std::size_t kMarkBytes = 64;
+constexpr std::size_t kStreamTailBytes = 64;
 
 tcp::endpoint endpointOf(const std::string& address) {
   const std::size_t colon = address.rfind(':');
@@ -61,8 +61,8 @@
 class Exchange {
  public:
   Exchange(asio::io_context& io, asio::yield_context yield, const PlannedCall& call,
-           Clock::time_point arrival, ClassRecord& classRecord)
-      : stream_(io), yield_(yield), call_(call), arrival_(arrival), classRecord_(classRecord) {
+           Clock::time_point arrival, ClassResults& classResults)
+      : stream_(io), yield_(yield), call_(call), arrival_(arrival), classResults_(classResults) {
     record_.arrivedSeconds = call.arrivedSeconds;
     parser_.body_limit(kMaxBodyBytes);
   }
@@ -85,12 +85,12 @@
     if (!send() || !readHeader()) {
       return failure();
     }
-    const bool good = record_.status == static_cast<int>(http::status::ok);
-    const bool whole = readBody(good);
-    if (good) {
-      return whole && (!call_.callerClass->stream || done_) ? "ok" : failure();
+    const bool succeeded = record_.status == static_cast<int>(http::status::ok);
+    const bool bodyComplete = readBody(succeeded);
+    if (succeeded) {
+      return bodyComplete && (!call_.callerClass->stream || streamDone_) ? "ok" : failure();
     }
-    return errorTypeOf(body_, record_.status);
+    return errorTypeOf(errorBody_, record_.status);
   }
 
   std::string failure() const { return timedOut_ ? "timeout" : "broken"; }
@@ -106,7 +106,7 @@
     request.prepare_payload();
     beast::error_code error;
     http::async_write(stream_, request, yield_[error]);
-    return note(error);
+    return checkError(error);
   }
 
   bool readHeader() {
@@ -115,57 +115,57 @@
     record_.status = static_cast<int>(parser_.get().result_int());
     record_.requestId = std::string(parser_.get()["X-Request-Id"]);
     record_.retryAfter = parser_.get().find(http::field::retry_after) != parser_.get().end();
-    return note(error);
+    return checkError(error);
   }
 
-  bool readBody(bool good) {
+  bool readBody(bool succeeded) {
     while (!parser_.is_done()) {
-      parser_.get().body().data = chunk_;
-      parser_.get().body().size = sizeof(chunk_);
+      parser_.get().body().data = readBuffer_;
+      parser_.get().body().size = sizeof(readBuffer_);
       beast::error_code error;
       http::async_read_some(stream_, buffer_, parser_, yield_[error]);
-      const std::size_t length = sizeof(chunk_) - parser_.get().body().size;
+      const std::size_t length = sizeof(readBuffer_) - parser_.get().body().size;
       if (length > 0) {
-        received(std::string(chunk_, length), good);
+        handleBody(std::string(readBuffer_, length), succeeded);
       }
       if (error && error != http::error::need_buffer) {
-        return note(error);
+        return checkError(error);
       }
     }
     return true;
   }
 
-  void received(const std::string& bytes, bool good) {
-    if (!good) {
-      body_ += bytes;
+  void handleBody(const std::string& bytes, bool succeeded) {
+    if (!succeeded) {
+      errorBody_ += bytes;
       return;
     }
     if (!call_.callerClass->stream) {
-      noteToken();
+      recordToken();
       return;
     }
-    tail_ += bytes;
-    if (tail_.find("data: [DONE]") != std::string::npos) {
-      done_ = true;
+    streamTail_ += bytes;
+    if (streamTail_.find("data: [DONE]") != std::string::npos) {
+      streamDone_ = true;
     }
     if (bytes.find("\"choices\"") != std::string::npos) {
-      noteToken();
+      recordToken();
     }
-    if (tail_.size() > kMarkBytes) {
-      tail_.erase(0, tail_.size() - kMarkBytes);
+    if (streamTail_.size() > kStreamTailBytes) {
+      streamTail_.erase(0, streamTail_.size() - kStreamTailBytes);
     }
   }
 
-  void noteToken() {
+  void recordToken() {
     if (record_.firstTokenMicroseconds == 0) {
       record_.firstTokenMicroseconds = microsecondsSince(arrival_);
     } else {
-      classRecord_.addBetweenTokens(microsecondsSince(lastToken_));
+      classResults_.addBetweenTokens(microsecondsSince(lastToken_));
     }
     lastToken_ = Clock::now();
   }
 
-  bool note(const beast::error_code& error) {
+  bool checkError(const beast::error_code& error) {
     timedOut_ = timedOut_ || error == beast::error::timeout;
     return !error;
   }
@@ -174,14 +174,14 @@
   asio::yield_context yield_;
   const PlannedCall& call_;
   const Clock::time_point arrival_;
-  ClassRecord& classRecord_;
+  ClassResults& classResults_;
   CallRecord record_;
   beast::flat_buffer buffer_;
   http::response_parser<http::buffer_body> parser_;
-  char chunk_[kReadBytes];
-  std::string body_;  ///< Of a refusal.
-  std::string tail_;  ///< Last bytes of a stream.
-  bool done_ = false;
+  char readBuffer_[kReadBytes];
+  std::string errorBody_;   ///< Of a refusal.
+  std::string streamTail_;  ///< Last bytes of a stream.
+  bool streamDone_ = false;
   bool timedOut_ = false;
   Clock::time_point lastToken_{};
 };
@@ -189,9 +189,9 @@
 }  // namespace
 
 void makeCall(asio::io_context& io, asio::yield_context yield, const PlannedCall& call,
-              Clock::time_point arrival, Clock::duration timeout, ClassRecord& record) {
-  const auto exchange = std::make_unique<Exchange>(io, yield, call, arrival, record);
-  record.add(exchange->run(timeout));
+              Clock::time_point arrival, Clock::duration timeout, ClassResults& results) {
+  const auto exchange = std::make_unique<Exchange>(io, yield, call, arrival, results);
+  results.add(exchange->run(timeout));
 }
 
 }  // namespace shedshed::standin
--- a/standins/load_caller.h
+++ b/standins/load_caller.h
@@ -25,6 +25,6 @@
 /// first token counts from the planned arrival, so that a late caller does not hide a slow answer.
 void makeCall(boost::asio::io_context& io, boost::asio::yield_context yield,
               const PlannedCall& call, std::chrono::steady_clock::time_point arrival,
-              std::chrono::steady_clock::duration timeout, ClassRecord& record);
+              std::chrono::steady_clock::duration timeout, ClassResults& results);
 
 }  // namespace shedshed::standin
--- a/standins/load_generator.cpp
+++ b/standins/load_generator.cpp
@@ -8,9 +8,9 @@
 
 namespace asio = boost::asio;
 
-constexpr std::size_t kStackBytes = 128U << 10U;
+constexpr std::size_t kCoroutineStackBytes = 128U << 10U;
 /// Lengths of the hexadecimal words that prompts are made of.
-constexpr std::size_t kWordBytes = 8;
+constexpr std::size_t kWordDigits = 8;
 
 LoadGenerator::Clock::duration seconds(double value) {
   return std::chrono::duration_cast<LoadGenerator::Clock::duration>(
@@ -18,11 +18,11 @@
 }
 
 /// Text of @p bytes that depends on @p seed alone.
-std::string textOf(std::uint64_t seed, std::size_t bytes) {
+std::string pseudoRandomText(std::uint64_t seed, std::size_t bytes) {
   std::mt19937_64 random(seed);
   std::string text;
   while (text.size() < bytes) {
-    char word[kWordBytes + 2];
+    char word[kWordDigits + 2];
     std::snprintf(word, sizeof(word), "%08x ", static_cast<unsigned>(random() & 0xffffffffU));
     text += word;
   }
@@ -35,20 +35,20 @@
 LoadGenerator::LoadGenerator(asio::io_context& io, const LoadPlan& plan, std::size_t index)
     : io_(io), plan_(plan), callerClass_(plan.classes[index]),
       idPrefix_("load-" + std::to_string(plan.seed) + "-" + std::to_string(index) + "-"),
-      random_(plan.seed * 1000003 + index), timer_(io), record_(plan.timelineSeconds) {}
+      random_(plan.seed * 1000003 + index), timer_(io), results_(plan.timelineSeconds) {}
 
 void LoadGenerator::start(Clock::time_point begin) {
   begin_ = begin;
   schedule(nextArrival(0));
 }
 
-double LoadGenerator::nextArrival(double at) {
-  while (at < plan_.durationSeconds) {
-    const double rate = rateAt(callerClass_.rates, at);
-    const double change = nextChange(callerClass_.rates, at);
+double LoadGenerator::nextArrival(double offsetSeconds) {
+  while (offsetSeconds < plan_.durationSeconds) {
+    const double rate = rateAt(callerClass_.rates, offsetSeconds);
+    const double change = nextRateChange(callerClass_.rates, offsetSeconds);
     // A Poisson process has no memory: at a change of the rate the wait is drawn anew.
     if (rate > 0) {
-      const double arrival = at + std::exponential_distribution<double>(rate)(random_);
+      const double arrival = offsetSeconds + std::exponential_distribution<double>(rate)(random_);
       if (change < 0 || arrival < change) {
         return arrival < plan_.durationSeconds ? arrival : -1;
       }
@@ -56,48 +56,48 @@
     if (change < 0) {
       return -1;
     }
-    at = change;
+    offsetSeconds = change;
   }
   return -1;
 }
 
-void LoadGenerator::schedule(double at) {
-  if (at < 0) {
+void LoadGenerator::schedule(double offsetSeconds) {
+  if (offsetSeconds < 0) {
     return;
   }
-  timer_.expires_at(begin_ + seconds(at));
-  timer_.async_wait([this, at](const boost::system::error_code& error) {
+  timer_.expires_at(begin_ + seconds(offsetSeconds));
+  timer_.async_wait([this, offsetSeconds](const boost::system::error_code& error) {
     if (!error) {
-      launch(at);
-      schedule(nextArrival(at));
+      startCall(offsetSeconds);
+      schedule(nextArrival(offsetSeconds));
     }
   });
 }
 
-void LoadGenerator::launch(double at) {
+void LoadGenerator::startCall(double offsetSeconds) {
   const auto prefix = static_cast<std::uint32_t>(random_() % callerClass_.prefixes);
   auto call = std::make_shared<PlannedCall>();
   call->callerClass = &callerClass_;
-  call->target = target(prefix);
-  call->prompt = prompt(prefix);
-  call->requestId = idPrefix_ + std::to_string(calls_++);
-  call->arrivedSeconds = at;
+  call->target = chooseTarget(prefix);
+  call->prompt = makePrompt(prefix);
+  call->requestId = idPrefix_ + std::to_string(callCount_++);
+  call->arrivedSeconds = offsetSeconds;
   asio::spawn(
       io_,
       [this, call](asio::yield_context yield) {
         const Clock::time_point arrival = begin_ + seconds(call->arrivedSeconds);
-        makeCall(io_, yield, *call, arrival, seconds(plan_.callTimeoutSeconds), record_);
+        makeCall(io_, yield, *call, arrival, seconds(plan_.callTimeoutSeconds), results_);
       },
-      boost::coroutines::attributes(kStackBytes));
+      boost::coroutines::attributes(kCoroutineStackBytes));
 }
 
-std::string LoadGenerator::target(std::uint32_t prefix) {
+std::string LoadGenerator::chooseTarget(std::uint32_t prefix) {
   const std::vector<std::string>& targets = callerClass_.targets;
   if (callerClass_.choice == TargetChoice::Random) {
     return targets[random_() % targets.size()];
   }
   if (callerClass_.choice == TargetChoice::RoundRobin) {
-    return targets[calls_ % targets.size()];
+    return targets[callCount_ % targets.size()];
   }
   std::size_t best = 0;
   std::uint64_t bestWeight = 0;
@@ -111,10 +111,11 @@
   return targets[best];
 }
 
-std::string LoadGenerator::prompt(std::uint32_t prefix) {
+std::string LoadGenerator::makePrompt(std::uint32_t prefix) {
   const std::uint64_t prefixSeed =
       XXH3_64bits_withSeed(callerClass_.name.data(), callerClass_.name.size(), plan_.seed + prefix);
-  return textOf(prefixSeed, callerClass_.prefixBytes) + textOf(random_(), callerClass_.tailBytes);
+  return pseudoRandomText(prefixSeed, callerClass_.prefixBytes) +
+         pseudoRandomText(random_(), callerClass_.tailBytes);
 }
 
 }  // namespace shedshed::standin
--- a/standins/load_generator.h
+++ b/standins/load_generator.h
@@ -27,15 +27,15 @@
   /// Starts the arrivals, counted from @p begin.
   void start(Clock::time_point begin);
 
-  std::string json() const { return record_.json(callerClass_.name); }
+  std::string json() const { return results_.json(callerClass_.name); }
 
  private:
   /// The time of the next arrival after @p seconds; negative if there is none.
-  double nextArrival(double seconds);
-  void schedule(double seconds);
-  void launch(double seconds);
-  std::string target(std::uint32_t prefix);
-  std::string prompt(std::uint32_t prefix);
+  double nextArrival(double offsetSeconds);
+  void schedule(double offsetSeconds);
+  void startCall(double offsetSeconds);
+  std::string chooseTarget(std::uint32_t prefix);
+  std::string makePrompt(std::uint32_t prefix);
 
   boost::asio::io_context& io_;
   const LoadPlan& plan_;
@@ -44,8 +44,8 @@
   std::mt19937_64 random_;
   boost::asio::steady_timer timer_;
   Clock::time_point begin_{};
-  ClassRecord record_;
-  std::uint64_t calls_ = 0;
+  ClassResults results_;
+  std::uint64_t callCount_ = 0;
 };
 
 }  // namespace shedshed::standin
--- a/standins/load_histogram.cpp
+++ b/standins/load_histogram.cpp
@@ -6,15 +6,15 @@
 namespace shedshed::standin {
 namespace {
 
-constexpr std::uint64_t kHalf = LatencyHistogram::kSubBuckets / 2;
+constexpr std::uint64_t kHalfSubBuckets = LatencyHistogram::kSubBuckets / 2;
 
 /// How often @p value must be halved to lie below `kSubBuckets`.
-unsigned halvingsOf(std::uint64_t value) {
-  unsigned halvings = 0;
-  while ((value >> halvings) >= LatencyHistogram::kSubBuckets) {
-    ++halvings;
+unsigned shiftOf(std::uint64_t value) {
+  unsigned shift = 0;
+  while ((value >> shift) >= LatencyHistogram::kSubBuckets) {
+    ++shift;
   }
-  return halvings;
+  return shift;
 }
 
 }  // namespace
@@ -22,17 +22,17 @@
 LatencyHistogram::LatencyHistogram() : buckets_(bucketOf(kMaximum) + 1, 0) {}
 
 std::size_t LatencyHistogram::bucketOf(std::uint64_t value) {
-  const unsigned halvings = halvingsOf(value);
-  return static_cast<std::size_t>(halvings * kHalf + (value >> halvings));
+  const unsigned shift = shiftOf(value);
+  return static_cast<std::size_t>(shift * kHalfSubBuckets + (value >> shift));
 }
 
 std::uint64_t LatencyHistogram::upperBoundOf(std::size_t bucket) {
   if (bucket < kSubBuckets) {
     return bucket;
   }
-  const std::size_t halvings = bucket / kHalf - 1;
-  const std::uint64_t position = bucket - halvings * kHalf;
-  return ((position + 1) << halvings) - 1;
+  const std::size_t shift = bucket / kHalfSubBuckets - 1;
+  const std::uint64_t position = bucket - shift * kHalfSubBuckets;
+  return ((position + 1) << shift) - 1;
 }
 
 void LatencyHistogram::record(std::uint64_t microseconds) {
@@ -49,12 +49,13 @@
 }
 
 std::uint64_t LatencyHistogram::valueAt(double quantile) const {
-  const double wanted = std::ceil(std::clamp(quantile, 0.0, 1.0) * static_cast<double>(count_));
-  const std::uint64_t rank = std::max<std::uint64_t>(1, static_cast<std::uint64_t>(wanted));
-  std::uint64_t seen = 0;
+  const double requestedRank =
+      std::ceil(std::clamp(quantile, 0.0, 1.0) * static_cast<double>(count_));
+  const std::uint64_t rank = std::max<std::uint64_t>(1, static_cast<std::uint64_t>(requestedRank));
+  std::uint64_t cumulativeCount = 0;
   for (std::size_t bucket = 0; bucket < buckets_.size(); ++bucket) {
-    seen += buckets_[bucket];
-    if (seen >= rank) {
+    cumulativeCount += buckets_[bucket];
+    if (cumulativeCount >= rank) {
       return std::min(upperBoundOf(bucket), maximum_);
     }
   }
--- a/standins/load_main.cpp
+++ b/standins/load_main.cpp
@@ -17,7 +17,7 @@
 
 constexpr int kUsageExit = 2;
 /// Time between the start of the program and the first arrival.
-constexpr std::chrono::milliseconds kLeadTime{50};
+constexpr std::chrono::milliseconds kStartDelay{50};
 
 /// Returns the value of `--plan`, "-" without it; empty after a usage error.
 std::string planPath(int argc, const char** argv) {
@@ -55,7 +55,7 @@
   for (std::size_t i = 0; i < plan.classes.size(); ++i) {
     generators.push_back(std::make_unique<LoadGenerator>(io, plan, i));
   }
-  const LoadGenerator::Clock::time_point begin = LoadGenerator::Clock::now() + kLeadTime;
+  const LoadGenerator::Clock::time_point begin = LoadGenerator::Clock::now() + kStartDelay;
   for (const auto& generator : generators) {
     generator->start(begin);
   }
@@ -75,10 +75,10 @@
   if (path.empty()) {
     return kUsageExit;
   }
-  std::string problem;
-  const std::optional<LoadPlan> plan = shedshed::standin::parseLoadPlan(readPlan(path), problem);
+  std::string error;
+  const std::optional<LoadPlan> plan = shedshed::standin::parseLoadPlan(readPlan(path), error);
   if (!plan) {
-    std::fprintf(stderr, "shedshed-load: %s\n", problem.c_str());
+    std::fprintf(stderr, "shedshed-load: %s\n", error.c_str());
     return kUsageExit;
   }
   run(*plan);
--- a/standins/load_plan.cpp
+++ b/standins/load_plan.cpp
@@ -9,18 +9,18 @@
 
 using JsonPointer = std::unique_ptr<cJSON, decltype(&cJSON_Delete)>;
 
-double numberOf(const cJSON* json, const char* name, double otherwise) {
+double numberOf(const cJSON* json, const char* name, double fallback) {
   const cJSON* item = cJSON_GetObjectItemCaseSensitive(json, name);
-  return cJSON_IsNumber(item) ? item->valuedouble : otherwise;
+  return cJSON_IsNumber(item) ? item->valuedouble : fallback;
 }
 
-std::uint32_t countOf(const cJSON* json, const char* name, std::uint32_t otherwise) {
-  return static_cast<std::uint32_t>(std::max(0.0, numberOf(json, name, otherwise)));
+std::uint32_t countOf(const cJSON* json, const char* name, std::uint32_t fallback) {
+  return static_cast<std::uint32_t>(std::max(0.0, numberOf(json, name, fallback)));
 }
 
-std::string textOf(const cJSON* json, const char* name, const std::string& otherwise) {
+std::string textOf(const cJSON* json, const char* name, const std::string& fallback) {
   const cJSON* item = cJSON_GetObjectItemCaseSensitive(json, name);
-  return cJSON_IsString(item) ? item->valuestring : otherwise;
+  return cJSON_IsString(item) ? item->valuestring : fallback;
 }
 
 std::vector<RateStep> ratesOf(const cJSON* json) {
@@ -72,10 +72,10 @@
 
 }  // namespace
 
-std::optional<LoadPlan> parseLoadPlan(const std::string& json, std::string& problem) {
+std::optional<LoadPlan> parseLoadPlan(const std::string& json, std::string& error) {
   const JsonPointer root(cJSON_ParseWithLength(json.data(), json.size()), &cJSON_Delete);
   if (!cJSON_IsObject(root.get())) {
-    problem = "the plan is not a JSON object";
+    error = "the plan is not a JSON object";
     return std::nullopt;
   }
   LoadPlan plan;
@@ -87,12 +87,12 @@
   cJSON_ArrayForEach(item, cJSON_GetObjectItemCaseSensitive(root.get(), "classes")) {
     plan.classes.push_back(classOf(item));
     if (plan.classes.back().targets.empty()) {
-      problem = "class \"" + plan.classes.back().name + "\" has no targets";
+      error = "class \"" + plan.classes.back().name + "\" has no targets";
       return std::nullopt;
     }
   }
   if (plan.classes.empty()) {
-    problem = "the plan has no classes";
+    error = "the plan has no classes";
     return std::nullopt;
   }
   return plan;
@@ -108,7 +108,7 @@
   return rate;
 }
 
-double nextChange(const std::vector<RateStep>& rates, double seconds) {
+double nextRateChange(const std::vector<RateStep>& rates, double seconds) {
   for (const RateStep& step : rates) {
     if (step.fromSeconds > seconds) {
       return step.fromSeconds;
--- a/standins/load_plan.h
+++ b/standins/load_plan.h
@@ -47,12 +47,12 @@
 };
 
 /// Parses a plan; nullopt with a message in @p problem if it is not one.
-std::optional<LoadPlan> parseLoadPlan(const std::string& json, std::string& problem);
+std::optional<LoadPlan> parseLoadPlan(const std::string& json, std::string& error);
 
 /// Rate in force at @p seconds; 0 before the first step.
 double rateAt(const std::vector<RateStep>& rates, double seconds);
 
 /// The next time after @p seconds at which the rate changes; negative if it does not.
-double nextChange(const std::vector<RateStep>& rates, double seconds);
+double nextRateChange(const std::vector<RateStep>& rates, double seconds);
 
 }  // namespace shedshed::standin
--- a/standins/load_record.cpp
+++ b/standins/load_record.cpp
@@ -36,9 +36,9 @@
     cJSON_AddNumberToObject(json, "ok", static_cast<double>(entry.ok));
     cJSON_AddNumberToObject(json, "refused", static_cast<double>(entry.refused));
     const double median = static_cast<double>(entry.firstToken.valueAt(0.5));
-    const double high = static_cast<double>(entry.firstToken.valueAt(0.9));
+    const double p90 = static_cast<double>(entry.firstToken.valueAt(0.9));
     cJSON_AddNumberToObject(json, "first_token_p50_ms", milliseconds(median));
-    cJSON_AddNumberToObject(json, "first_token_p90_ms", milliseconds(high));
+    cJSON_AddNumberToObject(json, "first_token_p90_ms", milliseconds(p90));
     cJSON_AddItemToArray(array, json);
   }
   return array;
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-TimelineEntry& ClassRecord::entryAt(double seconds) {
+TimelineEntry& ClassResults::entryAt(double seconds) {
   const auto index = static_cast<std::size_t>(seconds / timelineSeconds_);
   if (timeline_.size() <= index) {
     timeline_.resize(index + 1);
@@ -54,7 +54,7 @@
   return timeline_[index];
 }
 
-void ClassRecord::add(const CallRecord& call) {
+void ClassResults::add(const CallRecord& call) {
   TimelineEntry& entry = entryAt(call.arrivedSeconds);
   ++sent_;
   ++entry.sent;
@@ -76,7 +76,7 @@
   }
 }
 
-std::string ClassRecord::json(const std::string& name) const {
+std::string ClassResults::json(const std::string& name) const {
   cJSON* root = cJSON_CreateObject();
   cJSON_AddStringToObject(root, "name", name.c_str());
   cJSON_AddNumberToObject(root, "sent", static_cast<double>(sent_));
--- a/standins/load_record.h
+++ b/standins/load_record.h
@@ -31,9 +31,9 @@
 };
 
 /// Results of one class.
-class ClassRecord {
+class ClassResults {
  public:
-  explicit ClassRecord(double timelineSeconds) : timelineSeconds_(timelineSeconds) {}
+  explicit ClassResults(double timelineSeconds) : timelineSeconds_(timelineSeconds) {}
 
   /// Adds one finished call.
   void add(const CallRecord& call);
--- a/tests/load/load_test.cpp
+++ b/tests/load/load_test.cpp
@@ -45,17 +45,17 @@
   BOOST_TEST(rateAt(rates, 0.5) == 0.0);
   BOOST_TEST(rateAt(rates, 1) == 10.0);
   BOOST_TEST(rateAt(rates, 9) == 100.0);
-  BOOST_TEST(nextChange(rates, 1) == 5.0);
-  BOOST_TEST(nextChange(rates, 5) < 0.0);
+  BOOST_TEST(nextRateChange(rates, 1) == 5.0);
+  BOOST_TEST(nextRateChange(rates, 5) < 0.0);
 }
 
 BOOST_AUTO_TEST_CASE(a_plan_without_targets_is_refused) {
-  std::string problem;
-  BOOST_TEST(!parseLoadPlan("[]", problem).has_value());
-  BOOST_TEST(!parseLoadPlan(R"({"classes":[{"name":"a"}]})", problem).has_value());
-  BOOST_TEST(problem == "class \"a\" has no targets");
+  std::string error;
+  BOOST_TEST(!parseLoadPlan("[]", error).has_value());
+  BOOST_TEST(!parseLoadPlan(R"({"classes":[{"name":"a"}]})", error).has_value());
+  BOOST_TEST(error == "class \"a\" has no targets");
   const auto plan = parseLoadPlan(
-      R"({"seed":7,"classes":[{"name":"a","targets":["127.0.0.1:1"],"stream":false}]})", problem);
+      R"({"seed":7,"classes":[{"name":"a","targets":["127.0.0.1:1"],"stream":false}]})", error);
   BOOST_REQUIRE(plan.has_value());
   BOOST_TEST(plan->seed == 7U);
   BOOST_TEST(!plan->classes[0].stream);
