--- a/standins/engine_behaviour.h
+++ b/standins/engine_behaviour.h
@@ -1,6 +1,6 @@
 /// @file
-/// What a stand-in engine does with a request: how long, which text, and which fault on command.
-/// No I/O.
+/// Simulated inference: timing profile, prefix cache, generated text and injectable faults of the
+/// stand-in engine. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,24 +13,31 @@
 
 namespace shedshed::standin {
 
-/// Times and bounds of a stand-in engine.
+/// Timing and capacity of a stand-in engine.
 struct EngineProfile {
   std::string model = "m";
   std::uint32_t maxRunning = 8;
-  double prefillMsPerBlock = 4;  ///< For each prompt block that is not in the prefix cache.
+  double prefillMsPerBlock = 4;  ///< Per prompt block missing from the prefix cache.
   double decodeMsPerToken = 8;
-  std::uint32_t defaultTokens = 16;  ///< When the request gives no `max_tokens`.
-  std::size_t cacheBlocks = 4096;    ///< Prompt blocks kept by the prefix cache.
+  std::uint32_t defaultTokens = 16;  ///< Used if the request sets no `max_tokens`.
+  std::size_t cacheBlocks = 4096;    ///< Capacity of the prefix cache, in prompt blocks.
 };
 
-/// A fault that stays until `normal`.
-enum class Fault { None, Late, Cut, Cross, Reset };
+/// Injected fault. Stays in force until another one or the control action `normal` replaces it.
+enum class Fault {
+  None,
+  Late,   ///< Delays the response after prefill.
+  Cut,    ///< Ends the connection in the middle of the response.
+  Cross,  ///< Answers with a request ID that is not the caller's.
+  Reset,  ///< Resets the connection before any response.
+};
 
-/// Prompt blocks seen lately; a hit saves prefill. Thread-safe.
+/// LRU cache of prompt block hashes; leading blocks that hit need no prefill. Thread-safe.
 class PrefixCache {
  public:
   explicit PrefixCache(std::size_t capacity) : capacity_(capacity) {}
-  /// Returns how many leading blocks of @p prompt were cached, and caches all of them.
+  /// Returns how many leading blocks of @p prompt were cached, and caches all of them. Stores the
+  /// total number of blocks in @p blockCount.
   std::size_t touch(const std::string& prompt, std::size_t* blockCount);
 
  private:
@@ -48,18 +55,18 @@
   std::uint32_t maxTokens = 0;
 };
 
-/// Parses the body; nullopt if it is not a chat completion request.
+/// Returns nullopt if @p body is not a chat completion request.
 std::optional<EngineRequest> parseEngineRequest(const std::string& body);
 
-/// The text of the answer, a word each token. The first word is a digest of the prompt, so that a
-/// caller can tell whether an answer is its own.
+/// Returns the tokens of the completion, one word per token. The first word is a digest of the
+/// prompt, so that a caller can check that the completion belongs to its request.
 std::vector<std::string> completionTokens(const std::string& prompt, std::uint32_t count);
 
-/// One streamed chunk, as JSON.
+/// Returns one `chat.completion.chunk` object as JSON.
 std::string chunkJson(const std::string& id, const std::string& model, const std::string& token,
                       bool last);
 
-/// A whole answer, as JSON.
+/// Returns a `chat.completion` object as JSON.
 std::string completionJson(const std::string& id, const std::string& model,
                            const std::vector<std::string>& tokens);
 
--- a/standins/engine_main.cpp
+++ b/standins/engine_main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// `shedshed-engine`: one or more stand-in engines in one process, for tests and the bench.
+/// `shedshed-engine`: runs one or more stand-in engines in one process, for tests and benchmarks.
 #include "standins/engine_server.h"
 
 #include <boost/asio/signal_set.hpp>
@@ -24,14 +24,15 @@
 
 bool parse(int argc, const char** argv, Options& options) {
   const poptOption table[] = {
-      {"host", 0, POPT_ARG_STRING, &options.host, 0, "IP number to listen on", "IP"},
+      {"host", 0, POPT_ARG_STRING, &options.host, 0, "IP address to listen on", "IP"},
       {"port", 0, POPT_ARG_INT, &options.firstPort, 0, "port of the first engine", "N"},
-      {"count", 0, POPT_ARG_INT, &options.count, 0, "engines, on consecutive ports", "N"},
-      {"model", 0, POPT_ARG_STRING, &options.model, 0, "model served", "NAME"},
-      {"max-running", 0, POPT_ARG_INT, &options.maxRunning, 0, "requests run at once", "N"},
+      {"count", 0, POPT_ARG_INT, &options.count, 0, "number of engines, on consecutive ports", "N"},
+      {"model", 0, POPT_ARG_STRING, &options.model, 0, "name of the served model", "NAME"},
+      {"max-running", 0, POPT_ARG_INT, &options.maxRunning, 0,
+       "maximum number of concurrent requests per engine", "N"},
       {"prefill-ms", 0, POPT_ARG_DOUBLE, &options.prefillMsPerBlock, 0,
-       "prefill time of one prompt block", "MS"},
-      {"decode-ms", 0, POPT_ARG_DOUBLE, &options.decodeMsPerToken, 0, "decode time of one token",
+       "prefill time per uncached prompt block", "MS"},
+      {"decode-ms", 0, POPT_ARG_DOUBLE, &options.decodeMsPerToken, 0, "decode time per token",
        "MS"},
       POPT_AUTOHELP POPT_TABLEEND};
   const poptContext context = poptGetContext("shedshed-engine", argc, argv, table, 0);
--- a/standins/engine_server.cpp
+++ b/standins/engine_server.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-/// One connection.
+/// Serves the requests of one connection in a coroutine.
 class EngineServer::Session {
  public:
   Session(EngineServer& engine, tcp::socket socket, asio::yield_context yield)
@@ -58,7 +58,7 @@
   }
 
  private:
-  /// Returns false when the connection must end.
+  /// Returns false if the connection has to be closed.
   bool handle(const Request& request) {
     waitWhileFrozen();
     if (request.target() == "/health") {
@@ -169,7 +169,7 @@
     return !error;
   }
 
-  /// Writes the header and half of the body, then lets the connection end.
+  /// Writes the header and half of the body; the caller then closes the connection.
   void writeTruncated(const Response& response) {
     std::ostringstream text;
     text << response;
@@ -263,7 +263,7 @@
     --running_;
     return;
   }
-  // The room passes on to the first in the queue; `running_` stays.
+  // The oldest waiting request takes over the capacity, so `running_` does not change.
   const std::shared_ptr<asio::steady_timer> first = waiting_.front();
   waiting_.pop_front();
   first->cancel();
--- a/standins/engine_server.h
+++ b/standins/engine_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP face of a stand-in engine. Several may share one process and one io_context.
+/// HTTP server of a stand-in engine. Several servers may share a process and an io_context.
 #pragma once
 
 #include "standins/engine_behaviour.h"
@@ -16,8 +16,9 @@
 
 namespace shedshed::standin {
 
-/// A stand-in engine: runs at most `maxRunning` requests, queues the rest in order of arrival,
-/// knows nothing of priority. Runs on a single-threaded io_context.
+/// Serves chat completions with simulated timing. Runs at most `maxRunning` requests at once and
+/// queues the others first in, first out, regardless of priority. Not thread-safe: requires a
+/// single-threaded io_context.
 class EngineServer {
  public:
   EngineServer(boost::asio::io_context& io, EngineProfile profile);
@@ -29,15 +30,16 @@
   struct RunRecord {
     std::string requestId;
     std::string outcome;
-    std::string promptDigest;  ///< First word of the answer; empty if the request was refused.
+    std::string promptDigest;  ///< First token of the completion; empty for a refused request.
   };
   class Session;
   friend class Session;
 
   void acceptNext();
+  /// Waits for capacity to run one more request. Always returns true.
   bool acquireCapacity(boost::asio::yield_context yield);
   void releaseCapacity();
-  /// Carries out a control order. Returns false if it is not known.
+  /// Applies a control action given as JSON. Returns false if the action is unknown.
   bool applyControl(const std::string& body);
   std::string healthJson() const;
   std::string logJson() const;
--- a/standins/load_caller.cpp
+++ b/standins/load_caller.cpp
@@ -18,7 +18,7 @@
 constexpr int kHttpVersion = 11;
 constexpr std::uint64_t kMaxBodyBytes = 64U << 20U;
 constexpr std::size_t kReadBytes = 16U << 10U;
-/// Bytes kept of the answer, to look across the borders of two reads.
+/// Trailing bytes of the stream kept to find a marker that is split across two reads.
 constexpr std::size_t kStreamTailBytes = 64;
 
 tcp::endpoint endpointOf(const std::string& address) {
@@ -48,7 +48,7 @@
   return body;
 }
 
-/// The `error.type` of a refusal's body.
+/// Returns the `error.type` of an error response, or "status_N" without one.
 std::string errorTypeOf(const std::string& body, int status) {
   const std::unique_ptr<cJSON, decltype(&cJSON_Delete)> root(
       cJSON_ParseWithLength(body.data(), body.size()), &cJSON_Delete);
@@ -57,7 +57,7 @@
   return cJSON_IsString(type) ? type->valuestring : "status_" + std::to_string(status);
 }
 
-/// Reads one answer.
+/// Sends one request and reads its response.
 class Exchange {
  public:
   Exchange(asio::io_context& io, asio::yield_context yield, const PlannedCall& call,
@@ -165,6 +165,7 @@
     lastToken_ = Clock::now();
   }
 
+  /// Remembers a timeout. Returns true if there was no error.
   bool checkError(const beast::error_code& error) {
     timedOut_ = timedOut_ || error == beast::error::timeout;
     return !error;
@@ -179,8 +180,8 @@
   beast::flat_buffer buffer_;
   http::response_parser<http::buffer_body> parser_;
   char readBuffer_[kReadBytes];
-  std::string errorBody_;   ///< Of a refusal.
-  std::string streamTail_;  ///< Last bytes of a stream.
+  std::string errorBody_;   ///< Body of an error response.
+  std::string streamTail_;  ///< Last bytes of the event stream.
   bool streamDone_ = false;
   bool timedOut_ = false;
   Clock::time_point lastToken_{};
--- a/standins/load_generator.cpp
+++ b/standins/load_generator.cpp
@@ -9,7 +9,7 @@
 namespace asio = boost::asio;
 
 constexpr std::size_t kCoroutineStackBytes = 128U << 10U;
-/// Lengths of the hexadecimal words that prompts are made of.
+/// Length of the hexadecimal words that make up a prompt.
 constexpr std::size_t kWordDigits = 8;
 
 LoadGenerator::Clock::duration seconds(double value) {
@@ -17,7 +17,7 @@
       std::chrono::duration<double>(value));
 }
 
-/// Text of @p bytes that depends on @p seed alone.
+/// Returns text of @p bytes bytes that depends only on @p seed.
 std::string pseudoRandomText(std::uint64_t seed, std::size_t bytes) {
   std::mt19937_64 random(seed);
   std::string text;
@@ -46,7 +46,7 @@
   while (offsetSeconds < plan_.durationSeconds) {
     const double rate = rateAt(callerClass_.rates, offsetSeconds);
     const double change = nextRateChange(callerClass_.rates, offsetSeconds);
-    // A Poisson process has no memory: at a change of the rate the wait is drawn anew.
+    // A Poisson process is memoryless, so the waiting time may be redrawn when the rate changes.
     if (rate > 0) {
       const double arrival = offsetSeconds + std::exponential_distribution<double>(rate)(random_);
       if (change < 0 || arrival < change) {
--- a/standins/load_generator.h
+++ b/standins/load_generator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Open-loop arrivals: calls start at their planned times, however slow the answers are.
+/// Open-loop load generator: calls start at their planned times, however slow the responses are.
 #pragma once
 
 #include "standins/load_caller.h"
@@ -16,21 +16,23 @@
 
 namespace shedshed::standin {
 
-/// Calls of one class. Arrivals are a Poisson process of the class's rate, from a seed.
+/// Generates the calls of one class. Arrivals are a Poisson process with the rate of the class,
+/// reproducible from the seed of the plan.
 class LoadGenerator {
  public:
   using Clock = std::chrono::steady_clock;
 
-  /// Keeps references; they must outlive it. @p index tells the classes of one plan apart.
+  /// @p io and @p plan must outlive the generator. @p index is the position of the class in the
+  /// plan.
   LoadGenerator(boost::asio::io_context& io, const LoadPlan& plan, std::size_t index);
 
-  /// Starts the arrivals, counted from @p begin.
+  /// Schedules the arrivals; their times are offsets from @p begin.
   void start(Clock::time_point begin);
 
   std::string json() const { return results_.json(callerClass_.name); }
 
  private:
-  /// The time of the next arrival after @p seconds; negative if there is none.
+  /// Returns the next arrival after @p offsetSeconds; negative if there is none.
   double nextArrival(double offsetSeconds);
   void schedule(double offsetSeconds);
   void startCall(double offsetSeconds);
--- a/standins/load_histogram.cpp
+++ b/standins/load_histogram.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint64_t kHalfSubBuckets = LatencyHistogram::kSubBuckets / 2;
 
-/// How often @p value must be halved to lie below `kSubBuckets`.
+/// Returns the smallest right shift that brings @p value below `kSubBuckets`.
 unsigned shiftOf(std::uint64_t value) {
   unsigned shift = 0;
   while ((value >> shift) >= LatencyHistogram::kSubBuckets) {
--- a/standins/load_histogram.h
+++ b/standins/load_histogram.h
@@ -1,6 +1,6 @@
 /// @file
-/// A histogram of durations with bounded relative error, after the log-linear layout of HDR
-/// histograms. No I/O.
+/// Latency histogram with bounded relative error, in the log-linear bucket layout of
+/// HdrHistogram. No I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,24 @@
 /// are exact.
 class LatencyHistogram {
  public:
-  /// Buckets of the first, exact range.
+  /// Number of buckets in the first range, which is exact.
   static constexpr std::uint64_t kSubBuckets = 128;
-  /// Larger values are counted as this one (one hour, in microseconds).
+  /// Larger values are clamped to this one (one hour, in microseconds).
   static constexpr std::uint64_t kMaximum = 3600ULL * 1000 * 1000;
 
   LatencyHistogram();
 
-  /// Records one duration in microseconds.
   void record(std::uint64_t microseconds);
 
   std::uint64_t count() const { return count_; }
-  /// Exact smallest and largest recorded value; 0 without any.
+  /// Exact smallest and largest recorded value; 0 if the histogram is empty.
   std::uint64_t minimum() const { return count_ == 0 ? 0 : minimum_; }
   std::uint64_t maximum() const { return maximum_; }
-  /// Exact mean; 0 without any.
+  /// Exact mean; 0 if the histogram is empty.
   double mean() const;
 
-  /// The upper bound of the bucket that holds the value at @p quantile (0 to 1), at most the
-  /// largest recorded value; 0 without any.
+  /// Returns the upper bound of the bucket that holds the value at @p quantile (0 to 1), but at
+  /// most the largest recorded value; 0 if the histogram is empty.
   std::uint64_t valueAt(double quantile) const;
 
  private:
--- a/standins/load_main.cpp
+++ b/standins/load_main.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// `shedshed-load`: stand-in callers with open-loop arrivals. Reads a plan, prints what the callers
-/// saw as JSON.
+/// `shedshed-load`: open-loop load generator. Reads a load plan and prints the results as JSON.
 #include "standins/load_generator.h"
 
 #include <cstdio>
@@ -16,14 +15,14 @@
 using shedshed::standin::LoadPlan;
 
 constexpr int kUsageExit = 2;
-/// Time between the start of the program and the first arrival.
+/// Time between the start of the program and the start of the load run.
 constexpr std::chrono::milliseconds kStartDelay{50};
 
-/// Returns the value of `--plan`, "-" without it; empty after a usage error.
+/// Returns the value of `--plan`, or "-" if it is not given; empty after a usage error.
 std::string planPath(int argc, const char** argv) {
   char* path = nullptr;
   const poptOption table[] = {{"plan", 0, POPT_ARG_STRING, &path, 0,
-                               "JSON file of the plan (default: standard input)", "FILE"},
+                               "load plan, a JSON file (default: standard input)", "FILE"},
                               POPT_AUTOHELP POPT_TABLEEND};
   const poptContext context = poptGetContext("shedshed-load", argc, argv, table, 0);
   const int status = poptGetNextOpt(context);
--- a/standins/load_record.h
+++ b/standins/load_record.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the stand-in callers saw, and its JSON.
+/// Results of the load generator and their JSON form.
 #pragma once
 
 #include "standins/load_histogram.h"
@@ -13,16 +13,16 @@
 
 /// Outcome of one call.
 struct CallRecord {
-  std::string outcome;  ///< "ok", the error type of a refusal, or "broken", "timeout", "connect".
-  int status = 0;       ///< HTTP status; 0 without an answer.
-  bool retryAfter = false;  ///< The answer says when to come back.
+  std::string outcome;  ///< "ok", "broken", "timeout", "connect", or the type of an error response.
+  int status = 0;       ///< HTTP status; 0 if there was no response.
+  bool retryAfter = false;  ///< The response has a Retry-After header.
   std::string requestId;
-  double arrivedSeconds = 0;                 ///< Since the start of the run.
-  std::uint64_t firstTokenMicroseconds = 0;  ///< 0 without a first token.
+  double arrivedSeconds = 0;                 ///< Planned arrival, from the start of the run.
+  std::uint64_t firstTokenMicroseconds = 0;  ///< 0 if no token was received.
   std::uint64_t totalMicroseconds = 0;
 };
 
-/// One entry of the timeline: calls by the time of their arrival.
+/// Calls that arrived in one interval of the timeline.
 struct TimelineEntry {
   std::uint64_t sent = 0;
   std::uint64_t ok = 0;
@@ -30,17 +30,17 @@
   LatencyHistogram firstToken;
 };
 
-/// Results of one class.
+/// Aggregated results of one caller class.
 class ClassResults {
  public:
   explicit ClassResults(double timelineSeconds) : timelineSeconds_(timelineSeconds) {}
 
   /// Adds one finished call.
   void add(const CallRecord& call);
-  /// Adds the time between two tokens of one stream.
+  /// Adds one inter-token latency of a stream.
   void addBetweenTokens(std::uint64_t microseconds) { betweenTokens_.record(microseconds); }
 
-  /// The results as a JSON object, without a newline.
+  /// Returns the results as a JSON object, without a trailing newline.
   std::string json(const std::string& name) const;
 
  private:
