--- a/standins/engine_behaviour.h
+++ b/standins/engine_behaviour.h
@@ -29,7 +29,7 @@
   Late,   ///< Delays the response after prefill.
   Cut,    ///< Ends the connection in the middle of the response.
   Cross,  ///< Answers with a request ID that is not the caller's.
-  Reset,  ///< Resets the connection before any response.
+  Reset   ///< Resets the connection before any response.
 };
 
 /// LRU cache of prompt block hashes; leading blocks that hit need no prefill. Thread-safe.
