--- a/standins/load_generator.h
+++ b/standins/load_generator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Open-loop arrivals: calls start at their planned times, however slow the answers are.
+/// Open-loop load generator: calls start at their planned times, however slow the responses are.
 #pragma once
 
 #include "standins/load_caller.h"
@@ -16,26 +16,28 @@
 
 namespace shedshed::standin {
 
-/// Calls of one class. Arrivals are a Poisson process of the class's rate, from a seed.
+/// Generates the calls of one class. Arrivals are a Poisson process with the rate of the class,
+/// reproducible from the seed of the plan.
 class LoadGenerator {
  public:
   using Clock = std::chrono::steady_clock;
 
-  /// Keeps references; they must outlive it. @p index tells the classes of one plan apart.
+  /// @p io and @p plan must outlive the generator. @p index is the position of the class in the
+  /// plan.
   LoadGenerator(boost::asio::io_context& io, const LoadPlan& plan, std::size_t index);
 
-  /// Starts the arrivals, counted from @p begin.
+  /// Schedules the arrivals; their times are offsets from @p begin.
   void start(Clock::time_point begin);
 
-  std::string json() const { return record_.json(callerClass_.name); }
+  std::string json() const { return results_.json(callerClass_.name); }
 
  private:
-  /// The time of the next arrival after @p seconds; negative if there is none.
-  double nextArrival(double seconds);
-  void schedule(double seconds);
-  void launch(double seconds);
-  std::string target(std::uint32_t prefix);
-  std::string prompt(std::uint32_t prefix);
+  /// Returns the next arrival after @p offsetSeconds; negative if there is none.
+  double nextArrival(double offsetSeconds);
+  void schedule(double offsetSeconds);
+  void startCall(double offsetSeconds);
+  std::string chooseTarget(std::uint32_t prefix);
+  std::string makePrompt(std::uint32_t prefix);
 
   boost::asio::io_context& io_;
   const LoadPlan& plan_;
@@ -44,8 +46,8 @@
   std::mt19937_64 random_;
   boost::asio::steady_timer timer_;
   Clock::time_point begin_{};
-  ClassRecord record_;
-  std::uint64_t calls_ = 0;
+  ClassResults results_;
+  std::uint64_t callCount_ = 0;
 };
 
 }  // namespace shedshed::standin
