--- a/src/assembly/control_cores.cpp
+++ b/src/assembly/control_cores.cpp
@@ -3,7 +3,7 @@
 namespace shedshed {
 namespace {
 
-RegisterOptions acceptorOptions(const NodeOptions& options) {
+RegisterOptions registerOptions(const NodeOptions& options) {
   RegisterOptions registers;
   registers.hasDisk = !options.self.storeId.empty();
   registers.storeId = options.self.storeId;
@@ -11,7 +11,7 @@
   return registers;
 }
 
-ConfigurationOptions provingOptions(const NodeOptions& options) {
+ConfigurationOptions configurationOptions(const NodeOptions& options) {
   ConfigurationOptions configuration;
   configuration.seeds = options.seeds;
   configuration.isControl = true;
@@ -56,9 +56,9 @@
 
 ControlCores::ControlCores(CoreHost& host, const NodeOptions& options, ListingSource* listing)
     : directory(host.context(ServiceId::Directory), options.self, options.seeds, options.directory),
-      registers(host.context(ServiceId::Register), acceptorOptions(options)),
+      registers(host.context(ServiceId::Register), registerOptions(options)),
       configuration(host.context(ServiceId::Configuration), &directory, registers,
-                    provingOptions(options)) {
+                    configurationOptions(options)) {
   registers.setConfigurationSource(configuration);
   host.attach(ServiceId::Directory, directory);
   host.attach(ServiceId::Register, registers);
--- a/src/assembly/data_cores.cpp
+++ b/src/assembly/data_cores.cpp
@@ -3,13 +3,13 @@
 namespace shedshed {
 namespace {
 
-RegisterOptions proposerOptions(const NodeOptions& options) {
+RegisterOptions registerOptions(const NodeOptions& options) {
   RegisterOptions registers;
   registers.safeguards = options.safeguards.registers;
   return registers;
 }
 
-ConfigurationOptions pullingOptions(const NodeOptions& options) {
+ConfigurationOptions configurationOptions(const NodeOptions& options) {
   ConfigurationOptions configuration;
   configuration.seeds = options.seeds;
   return configuration;
@@ -30,10 +30,10 @@
 
 BatchRunnerOptions runnerOptions(const NodeOptions& options) {
   BatchRunnerOptions runner;
-  runner.retryDelay = options.batches.retryPause;
-  runner.maxItemsInFlightPerBatch = options.batches.itemsPerBatch;
-  runner.maxItemsInFlight = options.batches.itemsInAll;
-  runner.maxEngineCallsPerItem = options.batches.mostRuns;
+  runner.retryDelay = options.batches.retryDelay;
+  runner.maxItemsInFlightPerBatch = options.batches.maxItemsInFlightPerBatch;
+  runner.maxItemsInFlight = options.batches.maxItemsInFlight;
+  runner.maxEngineCallsPerItem = options.batches.maxEngineCallsPerItem;
   return runner;
 }
 
@@ -41,9 +41,9 @@
 
 DataCores::DataCores(CoreHost& host, const NodeOptions& options, EngineProbe* probe)
     : directory(host.context(ServiceId::Directory), options.self, options.seeds, options.directory),
-      registers(host.context(ServiceId::Register), proposerOptions(options)),
+      registers(host.context(ServiceId::Register), registerOptions(options)),
       configuration(host.context(ServiceId::Configuration), &directory, registers,
-                    pullingOptions(options)),
+                    configurationOptions(options)),
       locator(directory, configuration),
       slots(host.context(ServiceId::SlotClient), locator, slotOptions(options)),
       batches(host.context(ServiceId::BatchClient), locator, batchOptions(options)),
--- a/src/assembly/node_options.h
+++ b/src/assembly/node_options.h
@@ -29,10 +29,10 @@
 /// Times and bounds of batches that depend on where the fleet runs.
 struct BatchOptions {
   Duration requestDeadline = std::chrono::seconds(10);  ///< Of a caller's batch call.
-  Duration retryPause = std::chrono::seconds(2);        ///< See `BatchRunnerOptions`.
-  std::uint32_t itemsPerBatch = 16;                     ///< See `BatchRunnerOptions`.
-  std::uint32_t itemsInAll = 64;                        ///< See `BatchRunnerOptions`.
-  std::uint32_t mostRuns = 3;                           ///< See `BatchRunnerOptions`.
+  Duration retryDelay = std::chrono::seconds(2);        ///< See `BatchRunnerOptions`.
+  std::uint32_t maxItemsInFlightPerBatch = 16;          ///< See `BatchRunnerOptions`.
+  std::uint32_t maxItemsInFlight = 64;                  ///< See `BatchRunnerOptions`.
+  std::uint32_t maxEngineCallsPerItem = 3;              ///< See `BatchRunnerOptions`.
 };
 
 /// Identity and surroundings of a node.
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 /// Time for the announcement that this node drains to reach the others.
-constexpr std::chrono::milliseconds kDrainNotice{300};
+constexpr std::chrono::milliseconds kDrainAnnouncementDelay{300};
 
 /// Longest wait for other stores to take over the partitions of this store.
-constexpr std::chrono::seconds kHandOverLimit{10};
+constexpr std::chrono::seconds kHandoverTimeout{10};
 
 /// Interval of the checks for the end of the hand-over.
-constexpr std::chrono::milliseconds kHandOverPoll{20};
+constexpr std::chrono::milliseconds kHandoverPollInterval{20};
 
 NodeOptions nodeOptions(const ProcessSettings& settings, const std::string& storeId) {
   NodeOptions options;
@@ -33,10 +33,10 @@
 }
 
 ControlProcess::ControlProcess(const ProcessSettings& settings, const ProcessKeys& keys,
-                               LogStructuredStore* ring)
-    : settings_(settings), process_(settings, keys, ring),
+                               LogStructuredStore* logStore)
+    : settings_(settings), process_(settings, keys, logStore),
       cores_(process_.runtime(),
-             nodeOptions(settings, ring == nullptr ? std::string() : ring->storeId())),
+             nodeOptions(settings, logStore == nullptr ? std::string() : logStore->storeId())),
       forming_(cores_.registers,
                static_cast<std::uint32_t>(membersNeeded(settings.toleratedLosses))),
       services_{cores_.registers} {
@@ -97,17 +97,17 @@
     draining_ = true;
     cores_.directory.announceDraining(true);
   });
-  waitForStopSignal(kDrainNotice);
-  const Time deadline = monotonicNow() + kHandOverLimit;
-  bool done = handedOver();
+  waitForStopSignal(kDrainAnnouncementDelay);
+  const Time deadline = monotonicNow() + kHandoverTimeout;
+  bool done = ownershipReleased();
   while (!done && monotonicNow() < deadline) {
-    waitForStopSignal(kHandOverPoll);
-    done = handedOver();
+    waitForStopSignal(kHandoverPollInterval);
+    done = ownershipReleased();
   }
   logInfo("process", done ? "drained" : "stopping while partitions are still owned");
 }
 
-bool ControlProcess::handedOver() {
+bool ControlProcess::ownershipReleased() {
   bool done = true;
   process_.runtime().runAndWait(
       [this, &done] { done = !cores_.store || cores_.store->partitions.ownershipTransferred(); });
--- a/src/control/control_process.h
+++ b/src/control/control_process.h
@@ -65,10 +65,10 @@
 /// One control process, from its start to its end.
 class ControlProcess {
  public:
-  /// @p ring must be open; null on a register node without a disk. Arguments must outlive the
+  /// @p logStore must be open; null on a register node without a disk. Arguments must outlive the
   /// object.
   ControlProcess(const ProcessSettings& settings, const ProcessKeys& keys,
-                 LogStructuredStore* ring);
+                 LogStructuredStore* logStore);
 
   /// Runs until the platform asks to stop. Returns the exit code.
   int run();
@@ -76,7 +76,7 @@
  private:
   NodeStatus status();
   void drain();
-  bool handedOver();
+  bool ownershipReleased();
   void addStoreServices();
 
   const ProcessSettings& settings_;
--- a/src/control/main.cpp
+++ b/src/control/main.cpp
@@ -17,22 +17,22 @@
   }
   PosixFileSystem files;
   RandomEngine random(std::random_device{}());
-  std::unique_ptr<LogStructuredStore> ring;
+  std::unique_ptr<LogStructuredStore> logStore;
   if (!start.settings()->dataFolder.empty()) {
-    const auto knobs =
+    const auto storeOptions =
         LogStructuredStore::optionsFor(files, start.settings()->dataFolder, LogStoreOptions{});
-    if (!knobs) {
-      logError("storage", knobs.error());
+    if (!storeOptions) {
+      logError("storage", storeOptions.error());
       return 1;
     }
     auto opened =
-        LogStructuredStore::open(files, start.settings()->dataFolder, knobs.value(), random);
+        LogStructuredStore::open(files, start.settings()->dataFolder, storeOptions.value(), random);
     if (!opened) {
       logError("storage", opened.error());
       return 1;
     }
-    ring = std::move(opened).value();
+    logStore = std::move(opened).value();
   }
-  ControlProcess process(*start.settings(), start.keys(), ring.get());
+  ControlProcess process(*start.settings(), start.keys(), logStore.get());
   endProcess(process.run());
 }
--- a/src/data/data_process.cpp
+++ b/src/data/data_process.cpp
@@ -11,17 +11,17 @@
 constexpr std::size_t kServingThreads = 2;
 
 /// Calls that still run this long after the request to stop are aborted.
-constexpr std::chrono::seconds kDrainLimit{20};
+constexpr std::chrono::seconds kDrainTimeout{20};
 
 /// Longest wait, after the last call, for the owners to acknowledge the return of slots and
-/// batches. Together with `kDrainLimit` within the platform's warning of 25 s.
-constexpr std::chrono::seconds kReturnLimit{3};
+/// batches. Together with `kDrainTimeout` within the platform's warning of 25 s.
+constexpr std::chrono::seconds kReturnTimeout{3};
 
 /// Time for the announcement that this node drains to reach the others.
-constexpr std::chrono::milliseconds kDrainNotice{300};
+constexpr std::chrono::milliseconds kDrainAnnouncementDelay{300};
 
 /// Interval of the checks for the end of the last call while draining.
-constexpr std::chrono::milliseconds kDrainPoll{20};
+constexpr std::chrono::milliseconds kDrainPollInterval{20};
 
 NodeOptions nodeOptions(const ProcessSettings& settings) {
   NodeOptions options;
@@ -93,17 +93,17 @@
     cores_.directory.announceDraining(true);
     cores_.runner->drain();
   });
-  waitForStopSignal(kDrainNotice);
-  const Time deadline = monotonicNow() + kDrainLimit;
+  waitForStopSignal(kDrainAnnouncementDelay);
+  const Time deadline = monotonicNow() + kDrainTimeout;
   while (!idle() && monotonicNow() < deadline) {
-    waitForStopSignal(kDrainPoll);
+    waitForStopSignal(kDrainPollInterval);
   }
   const bool drained = idle();
-  const Time returnDeadline = monotonicNow() + kReturnLimit;
-  while (drained && !allReturned() && monotonicNow() < returnDeadline) {
-    waitForStopSignal(kDrainPoll);
+  const Time returnDeadline = monotonicNow() + kReturnTimeout;
+  while (drained && !slotsAndRunsReturned() && monotonicNow() < returnDeadline) {
+    waitForStopSignal(kDrainPollInterval);
   }
-  if (drained && !allReturned()) {
+  if (drained && !slotsAndRunsReturned()) {
     process_.runtime().runAndWait([this] {
       logInfo("process", cores_.runner->allRunsReturned() ? "slots are not all released"
                                                           : "batch runs are not all handed back");
@@ -113,7 +113,7 @@
   logInfo("process", drained ? "drained" : "stopping with calls still running");
 }
 
-bool DataProcess::allReturned() {
+bool DataProcess::slotsAndRunsReturned() {
   bool done = false;
   process_.runtime().runAndWait(
       [this, &done] { done = cores_.runner->allRunsReturned() && cores_.slots.idle(); });
--- a/src/data/data_process.h
+++ b/src/data/data_process.h
@@ -47,7 +47,7 @@
   NodeStatus status();
   void drain();
   bool idle();
-  bool allReturned();
+  bool slotsAndRunsReturned();
 
   const ProcessSettings& settings_;
   NodeProcess process_;
--- a/src/process/event_loop_node.cpp
+++ b/src/process/event_loop_node.cpp
@@ -13,14 +13,14 @@
 /// A store that fails must be replaced as the owner of its partitions within about a second.
 constexpr Duration kPingInterval = std::chrono::milliseconds(350);
 /// Batches are due within seconds: lent capacity is returned within some ticks.
-constexpr double kLendingGrowth = 0.1;
+constexpr double kEventLoopLendingGrowthPerTick = 0.1;
 /// Live requests that arrive in this time find free capacity at once. Each engine frees a slot
 /// about as often.
-constexpr Duration kLiveReserve = std::chrono::milliseconds(40);
-constexpr Duration kItemRetryPause = std::chrono::milliseconds(300);
+constexpr Duration kLendingReserveHorizon = std::chrono::milliseconds(40);
+constexpr Duration kItemRetryDelay = std::chrono::milliseconds(300);
 /// A batch of some 150 items, each of which takes up to a second, is due within some seconds.
-constexpr std::uint32_t kItemsPerBatch = 64;
-constexpr std::uint32_t kItemsInAll = 224;
+constexpr std::uint32_t kMaxItemsInFlightPerBatch = 64;
+constexpr std::uint32_t kMaxItemsInFlight = 224;
 
 NodeId withPort(const NodeId& seed, std::uint16_t port) {
   const std::string host = seed.address.substr(0, seed.address.rfind(':'));
@@ -69,13 +69,13 @@
     options.seeds.push_back(settings.seedPort == 0 ? seed : withPort(seed, settings.seedPort));
   }
   options.directory.pingInterval = kPingInterval;
-  options.lending.growthPerTick = kLendingGrowth;
-  options.lending.reserveHorizon = kLiveReserve;
+  options.lending.growthPerTick = kEventLoopLendingGrowthPerTick;
+  options.lending.reserveHorizon = kLendingReserveHorizon;
   options.batches.requestDeadline = kBatchCallDeadline;
-  options.batches.retryPause = kItemRetryPause;
-  options.batches.itemsPerBatch = kItemsPerBatch;
-  options.batches.itemsInAll = kItemsInAll;
-  options.batches.mostRuns = std::numeric_limits<std::uint32_t>::max();
+  options.batches.retryDelay = kItemRetryDelay;
+  options.batches.maxItemsInFlightPerBatch = kMaxItemsInFlightPerBatch;
+  options.batches.maxItemsInFlight = kMaxItemsInFlight;
+  options.batches.maxEngineCallsPerItem = std::numeric_limits<std::uint32_t>::max();
   return options;
 }
 
--- a/src/process/gateway_process.cpp
+++ b/src/process/gateway_process.cpp
@@ -9,14 +9,14 @@
 
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
-constexpr std::size_t kReadyBodyBytes = 1024;
+constexpr std::size_t kMaxReadinessBodyBytes = 1024;
 
 /// Time in which clients may still connect after readiness checks fail.
-constexpr std::chrono::milliseconds kLateClients{2600};
+constexpr std::chrono::milliseconds kLateConnectionPeriod{2600};
 /// Interval of the checks for the end of the last call while draining.
-constexpr std::chrono::milliseconds kDrainPoll{50};
+constexpr std::chrono::milliseconds kDrainPollInterval{50};
 /// The process ends this long before the platform would end it.
-constexpr Duration kStopMargin = std::chrono::milliseconds(1200);
+constexpr Duration kShutdownMargin = std::chrono::milliseconds(1200);
 
 }  // namespace
 
@@ -43,7 +43,7 @@
                                          false,
                                          &journal_},
       items_(services_), gateway_(services_, dialect, settings.clientAddress),
-      readiness_(node_.loop, settings.readyAddress, kReadyBodyBytes,
+      readiness_(node_.loop, settings.readyAddress, kMaxReadinessBodyBytes,
                  [this](const BufferedRequest& call, const BufferedRequestServer::Done& done) {
                    done(answerReady(call));
                  }) {
@@ -86,14 +86,15 @@
     cores_.runner->drain();
   });
   const Time drainStart = monotonicNow();
-  const Time deadline = drainStart + settings_.shutdownGracePeriod - kStopMargin;
-  while (monotonicNow() - drainStart < kLateClients) {
-    waitForStopSignal(kDrainPoll);
+  const Time deadline = drainStart + settings_.shutdownGracePeriod - kShutdownMargin;
+  while (monotonicNow() - drainStart < kLateConnectionPeriod) {
+    waitForStopSignal(kDrainPollInterval);
   }
   // A platform with few ready processes sends clients all the same; calls accepted now would be
   // aborted.
   node_.runtime.runAndWait([this] { gateway_.stopAccepting(); });
-  const bool done = EventLoopNode::pollUntil(deadline, kDrainPoll, [this] { return idle(); });
+  const bool done =
+      EventLoopNode::pollUntil(deadline, kDrainPollInterval, [this] { return idle(); });
   logInfo("process", done ? "drained" : "stopping with calls still running");
 }
 
--- a/src/process/node_status.cpp
+++ b/src/process/node_status.cpp
@@ -7,15 +7,15 @@
 namespace shedshed {
 namespace {
 
-Status freshness(Duration remaining) {
+Status checkFreshness(Duration remaining) {
   if (remaining > Duration{0}) {
     return okStatus();
   }
   return makeError(ErrorCode::NotReady, "the configuration is not proved to be current");
 }
 
-void describeTable(const PartitionStore& partitions, TableKind kind, const char* name,
-                   std::vector<PartitionEpoch>& out) {
+void appendOwnedPartitions(const PartitionStore& partitions, TableKind kind, const char* name,
+                           std::vector<PartitionEpoch>& out) {
   for (std::uint32_t index = 0; index < kPartitionCount; ++index) {
     const PartitionId partition{kind, index};
     if (partitions.owns(partition)) {
@@ -33,7 +33,7 @@
   status.role = describeSelf(settings, "").role;
   status.zone = settings.zone;
   status.freshRemaining = configuration.freshUntil() - monotonicNow();
-  status.ready = freshness(status.freshRemaining);
+  status.ready = checkFreshness(status.freshRemaining);
   for (const char* name : {kSettingsRegister, kEnginesRegister, kMembersRegister}) {
     status.versionsInForce[name] = configuration.current(name).version;
   }
@@ -43,8 +43,8 @@
 
 std::vector<PartitionEpoch> describePartitions(const PartitionStore& partitions) {
   std::vector<PartitionEpoch> owned;
-  describeTable(partitions, TableKind::Slots, "slots", owned);
-  describeTable(partitions, TableKind::Batches, "batches", owned);
+  appendOwnedPartitions(partitions, TableKind::Slots, "slots", owned);
+  appendOwnedPartitions(partitions, TableKind::Batches, "batches", owned);
   return owned;
 }
 
--- a/src/process/process_start.cpp
+++ b/src/process/process_start.cpp
@@ -9,8 +9,8 @@
 namespace shedshed {
 namespace {
 
-constexpr int kUsageExit = 2;
-constexpr int kDiskFailureExit = 3;
+constexpr int kUsageExitCode = 2;
+constexpr int kDiskFailureExitCode = 3;
 
 const char* logLevelName(LogLevel level) {
   switch (level) {
@@ -66,7 +66,7 @@
   Result<ProcessSettings> parsed = parseProcessSettings(argc, const_cast<const char**>(argv), kind);
   if (!parsed) {
     std::fprintf(stderr, "%s: %s\n", argv[0], parsed.error().detail.c_str());
-    exitCode_ = kUsageExit;
+    exitCode_ = kUsageExitCode;
     return;
   }
   settings_ = std::move(parsed.value());
@@ -77,7 +77,7 @@
   Result<ProcessKeys> keys = readProcessKeys(settings_);
   if (!keys) {
     std::fprintf(stderr, "%s: %s\n", argv[0], keys.error().detail.c_str());
-    exitCode_ = kUsageExit;
+    exitCode_ = kUsageExitCode;
     return;
   }
   keys_ = std::move(keys.value());
@@ -92,7 +92,7 @@
 
 void failStop(const Error& error) {
   logError("process", error);
-  std::_Exit(kDiskFailureExit);
+  std::_Exit(kDiskFailureExitCode);
 }
 
 }  // namespace shedshed
--- a/src/process/state_process.cpp
+++ b/src/process/state_process.cpp
@@ -9,50 +9,50 @@
 namespace shedshed {
 namespace {
 
-constexpr Duration kStopMargin = std::chrono::milliseconds(1200);
+constexpr Duration kShutdownMargin = std::chrono::milliseconds(1200);
 /// Time for the announcement that this node drains to reach the others.
-constexpr std::chrono::milliseconds kDrainNotice{300};
-constexpr std::chrono::milliseconds kHandOverPoll{50};
+constexpr std::chrono::milliseconds kDrainAnnouncementDelay{300};
+constexpr std::chrono::milliseconds kHandoverPollInterval{50};
 
 constexpr std::uint64_t kMegabyte = 1U << 20U;
-/// Files of a ring on a small disk: two of them hold no live records, so many small ones waste
+/// Files of a store on a small disk: two of them hold no live records, so many small ones waste
 /// less. A file holds the largest record, settings of 4 MiB, completely.
-constexpr std::uint64_t kSmallDiskFiles = 16;
-constexpr std::uint64_t kMinFileOfSmallDisk = 5 * kMegabyte;
+constexpr std::uint64_t kSmallDiskMaxSegments = 16;
+constexpr std::uint64_t kSmallDiskMinSegmentBytes = 5 * kMegabyte;
 /// Files of a disk that is too small even for that.
-constexpr std::uint64_t kTinyDiskFiles = 4;
-constexpr std::uint64_t kMaxFileBytes = 16 * kMegabyte;
+constexpr std::uint64_t kMinSegments = 4;
+constexpr std::uint64_t kMaxSegmentBytes = 16 * kMegabyte;
 /// Bounds what a restart reads.
-constexpr std::uint64_t kMaxRingFiles = 12;
-/// Share of the disk that the ring takes, in percent.
+constexpr std::uint64_t kMaxSegments = 12;
+/// Share of the disk that the store takes, in percent.
 constexpr std::uint64_t kDiskPercent = 75;
 
 }  // namespace
 
-LogStoreOptions ringKnobsFor(std::uint32_t diskMegabytes) {
-  LogStoreOptions knobs;
+LogStoreOptions logStoreOptionsFor(std::uint32_t diskMegabytes) {
+  LogStoreOptions options;
   const std::uint64_t capacity = diskMegabytes * kMegabyte * kDiskPercent / 100;
   if (diskMegabytes == 0) {
-    return knobs;
+    return options;
   }
-  if (capacity >= knobs.segmentBytes * knobs.segmentCount) {
-    knobs.segmentCount = static_cast<std::uint32_t>(
-        std::min<std::uint64_t>(capacity / knobs.segmentBytes, kMaxRingFiles));
-    return knobs;
+  if (capacity >= options.segmentBytes * options.segmentCount) {
+    options.segmentCount = static_cast<std::uint32_t>(
+        std::min<std::uint64_t>(capacity / options.segmentBytes, kMaxSegments));
+    return options;
   }
-  std::uint64_t files = std::min(capacity / kMinFileOfSmallDisk, kSmallDiskFiles);
-  files = std::max(files, kTinyDiskFiles);
-  knobs.segmentCount = static_cast<std::uint32_t>(files);
-  knobs.segmentBytes =
-      std::clamp(capacity / files / kMegabyte, std::uint64_t{1}, kMaxFileBytes / kMegabyte) *
+  std::uint64_t segments = std::min(capacity / kSmallDiskMinSegmentBytes, kSmallDiskMaxSegments);
+  segments = std::max(segments, kMinSegments);
+  options.segmentCount = static_cast<std::uint32_t>(segments);
+  options.segmentBytes =
+      std::clamp(capacity / segments / kMegabyte, std::uint64_t{1}, kMaxSegmentBytes / kMegabyte) *
       kMegabyte;
-  return knobs;
+  return options;
 }
 
 StateProcess::StateProcess(const ProcessSettings& settings, const ProcessKeys& keys,
-                           LogStructuredStore* ring)
-    : settings_(settings), storeId_(ring == nullptr ? std::string() : ring->storeId()),
-      node_(settings, keys, ring) {}
+                           LogStructuredStore* logStore)
+    : settings_(settings), storeId_(logStore == nullptr ? std::string() : logStore->storeId()),
+      node_(settings, keys, logStore) {}
 
 void StateProcess::assemble(ListingSource& listing) {
   const NodeOptions options = eventLoopOptions(settings_, storeId_);
@@ -103,14 +103,15 @@
     draining_ = true;
     cores_->directory.announceDraining(true);
   });
-  waitForStopSignal(kDrainNotice);
-  const Time deadline = monotonicNow() + settings_.shutdownGracePeriod - kStopMargin - kDrainNotice;
-  const bool done =
-      EventLoopNode::pollUntil(deadline, kHandOverPoll, [this] { return handedOver(); });
+  waitForStopSignal(kDrainAnnouncementDelay);
+  const Time deadline =
+      monotonicNow() + settings_.shutdownGracePeriod - kShutdownMargin - kDrainAnnouncementDelay;
+  const bool done = EventLoopNode::pollUntil(deadline, kHandoverPollInterval,
+                                             [this] { return ownershipReleased(); });
   logInfo("process", done ? "drained" : "stopping while partitions are still owned");
 }
 
-bool StateProcess::handedOver() {
+bool StateProcess::ownershipReleased() {
   bool done = true;
   node_.runtime.runAndWait(
       [this, &done] { done = !cores_->store || cores_->store->partitions.ownershipTransferred(); });
--- a/src/process/state_process.h
+++ b/src/process/state_process.h
@@ -13,8 +13,8 @@
 
 namespace shedshed {
 
-/// Sizes of the ring on a disk of @p diskMegabytes; the defaults for 0.
-LogStoreOptions ringKnobsFor(std::uint32_t diskMegabytes);
+/// Sizes of the store on a disk of @p diskMegabytes; the defaults for 0.
+LogStoreOptions logStoreOptionsFor(std::uint32_t diskMegabytes);
 
 /// One process, from its start to its end.
 class StateProcess {
@@ -22,9 +22,10 @@
   /// Starts to listen on the event loop; called before the process serves.
   using Starter = std::function<Status()>;
 
-  /// @p ring is null on a register node without a disk: it serves operators and reads the
+  /// @p logStore is null on a register node without a disk: it serves operators and reads the
   /// listing, but is no acceptor. Arguments must outlive the object.
-  StateProcess(const ProcessSettings& settings, const ProcessKeys& keys, LogStructuredStore* ring);
+  StateProcess(const ProcessSettings& settings, const ProcessKeys& keys,
+               LogStructuredStore* logStore);
 
   EventLoopNode& node() { return node_; }
   ControlCores& cores() { return *cores_; }
@@ -42,7 +43,7 @@
  private:
   void assembleMembershipJoin();
   void drain();
-  bool handedOver();
+  bool ownershipReleased();
 
   const ProcessSettings& settings_;
   const std::string storeId_;
--- a/tests/process/ring_size_test.cpp
+++ b/tests/process/ring_size_test.cpp
@@ -9,8 +9,8 @@
 
 constexpr std::uint64_t kMegabyte = 1U << 20U;
 
-std::uint64_t bytesOf(const LogStoreOptions& knobs) {
-  return knobs.segmentBytes * knobs.segmentCount;
+std::uint64_t totalBytes(const LogStoreOptions& options) {
+  return options.segmentBytes * options.segmentCount;
 }
 
 }  // namespace
@@ -19,28 +19,28 @@
 
 BOOST_AUTO_TEST_CASE(three_quarters_of_a_known_disk_are_used) {
   for (const std::uint32_t megabytes : {64U, 200U, 250U}) {
-    const LogStoreOptions knobs = ringKnobsFor(megabytes);
-    BOOST_TEST(bytesOf(knobs) <= megabytes * kMegabyte * 3 / 4);
-    BOOST_TEST(bytesOf(knobs) >= megabytes * kMegabyte / 2);
+    const LogStoreOptions options = logStoreOptionsFor(megabytes);
+    BOOST_TEST(totalBytes(options) <= megabytes * kMegabyte * 3 / 4);
+    BOOST_TEST(totalBytes(options) >= megabytes * kMegabyte / 2);
   }
 }
 
 BOOST_AUTO_TEST_CASE(a_disk_of_unknown_size_gets_the_usual_ring) {
-  BOOST_TEST(bytesOf(ringKnobsFor(0)) == bytesOf(LogStoreOptions{}));
+  BOOST_TEST(totalBytes(logStoreOptionsFor(0)) == totalBytes(LogStoreOptions{}));
 }
 
 BOOST_AUTO_TEST_CASE(a_large_disk_is_not_read_whole_at_each_start) {
-  BOOST_TEST(ringKnobsFor(420).segmentCount == 12U);
-  BOOST_TEST(ringKnobsFor(1U << 20U).segmentCount == 12U);
+  BOOST_TEST(logStoreOptionsFor(420).segmentCount == 12U);
+  BOOST_TEST(logStoreOptionsFor(1U << 20U).segmentCount == 12U);
 }
 
 /// Two files hold no live records: with four files that is half of the ring. Stores with 110 MB
 /// refused batches at 25 MB of records.
 BOOST_AUTO_TEST_CASE(most_of_a_small_ring_holds_live_records) {
   for (const std::uint32_t megabytes : {64U, 110U, 150U}) {
-    const LogStoreOptions knobs = ringKnobsFor(megabytes);
+    const LogStoreOptions options = logStoreOptionsFor(megabytes);
     const std::uint64_t live =
-        knobs.segmentBytes * (knobs.segmentCount - 2) * knobs.livePercent / 100;
+        options.segmentBytes * (options.segmentCount - 2) * options.livePercent / 100;
     BOOST_TEST(live >= megabytes * kMegabyte * 2 / 5);
   }
 }
@@ -48,7 +48,7 @@
 BOOST_AUTO_TEST_CASE(a_file_of_a_small_ring_holds_the_largest_settings) {
   constexpr std::uint64_t kLargestSettings = 4 * kMegabyte;
   for (const std::uint32_t megabytes : {32U, 64U, 110U, 150U}) {
-    BOOST_TEST(ringKnobsFor(megabytes).segmentBytes > kLargestSettings);
+    BOOST_TEST(logStoreOptionsFor(megabytes).segmentBytes > kLargestSettings);
   }
 }
 
