--- a/src/assembly/control_cores.h
+++ b/src/assembly/control_cores.h
@@ -20,7 +20,7 @@
 
 namespace shedshed {
 
-/// The cores that a store node has and a register node has not.
+/// The cores that only store nodes have.
 struct StoreCores {
   StoreCores(CoreHost& host, const NodeOptions& options, DirectoryCore& directory,
              ConfigurationCore& configuration, EngineSource& engines);
@@ -35,8 +35,8 @@
 
 /// Builds the cores and attaches them to the host, which must outlive them.
 struct ControlCores {
-  /// With @p listing the engines are those of a listing source, which only register nodes read;
-  /// without it they are those of the `engines` register, watched by the data nodes.
+  /// With @p listing, engines come from that listing source, which only register nodes read;
+  /// without it they come from the `engines` register and are health-checked by the data nodes.
   ControlCores(CoreHost& host, const NodeOptions& options, ListingSource* listing = nullptr);
 
   EngineSource& engines();
--- a/src/assembly/data_cores.h
+++ b/src/assembly/data_cores.h
@@ -20,13 +20,13 @@
 
 /// Builds the cores and attaches them to the host, which must outlive them.
 struct DataCores {
-  /// Without a @p probe the engines are those of the listing that the register nodes read; else
-  /// those of the `engines` register, watched with the probe, which must outlive the cores.
+  /// Without a @p probe, engines come from the listing that the register nodes read; with one, from
+  /// the `engines` register, health-checked with the probe, which must outlive the cores.
   DataCores(CoreHost& host, const NodeOptions& options, EngineProbe* probe);
 
   EngineSource& engines();
 
-  /// Adds the batch runner. Called once, before the host starts; @p engines must outlive the cores.
+  /// Adds the batch runner. Called once, before the host starts. @p engineRunner must outlive it.
   void addRunner(CoreHost& host, EngineRunner& engineRunner);
 
   DirectoryCore directory;
--- a/src/assembly/node_options.h
+++ b/src/assembly/node_options.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the cores of a node need to know of it, whatever hosts them.
+/// Options of a node's cores, independent of the process or simulator that hosts them.
 #pragma once
 
 #include "batch/batch_safeguards.h"
@@ -17,8 +17,8 @@
 
 namespace shedshed {
 
-/// The protections of all modules. All are on by default; no daemon can change them. The simulator
-/// switches one off to show that its invariants notice.
+/// The safeguards of all modules. All are on by default; no daemon can change them. The simulator
+/// disables one to show that its invariants detect the fault.
 struct Safeguards {
   RegisterSafeguards registers;
   PartitionSafeguards partitions;
@@ -26,7 +26,7 @@
   BatchSafeguards batches;
 };
 
-/// Times and bounds of batches that depend on where the fleet runs.
+/// Time-outs and limits of batches that depend on the deployment.
 struct BatchOptions {
   Duration requestDeadline = std::chrono::seconds(10);  ///< Of a caller's batch call.
   Duration retryDelay = std::chrono::seconds(2);        ///< See `BatchRunnerOptions`.
@@ -35,7 +35,7 @@
   std::uint32_t maxEngineCallsPerItem = 3;              ///< See `BatchRunnerOptions`.
 };
 
-/// Identity and surroundings of a node.
+/// Identity, seeds and module options of a node.
 struct NodeOptions {
   NodeInfo self;              ///< Id, role, zone and addresses.
   std::vector<NodeId> seeds;  ///< Internal addresses of other processes.
--- a/src/control/control_process.cpp
+++ b/src/control/control_process.cpp
@@ -9,13 +9,13 @@
 namespace shedshed {
 namespace {
 
-/// Time for the announcement that this node drains to reach the others.
+/// Time for the announcement that this node is draining to reach the other nodes.
 constexpr std::chrono::milliseconds kDrainAnnouncementDelay{300};
 
 /// Longest wait for other stores to take over the partitions of this store.
 constexpr std::chrono::seconds kHandoverTimeout{10};
 
-/// Interval of the checks for the end of the hand-over.
+/// Interval of the checks for the end of the handover.
 constexpr std::chrono::milliseconds kHandoverPollInterval{20};
 
 NodeOptions nodeOptions(const ProcessSettings& settings, const std::string& storeId) {
@@ -69,7 +69,7 @@
   NodeStatus status = describeNode(settings_, cores_.configuration, cores_.directory);
   status.engines = cores_.engines().table();
   if (draining_) {
-    status.ready = makeError(ErrorCode::Draining, "this node is about to end");
+    status.ready = makeError(ErrorCode::Draining, "this node is shutting down");
   }
   if (cores_.store) {
     status.epochs = describePartitions(cores_.store->partitions);
--- a/src/control/control_process.h
+++ b/src/control/control_process.h
@@ -11,7 +11,7 @@
 
 namespace shedshed {
 
-/// Forms fleets for the operators' `init` command by the node's register service.
+/// Forms fleets for the operators' `init` command through the node's register service.
 class RegisterFleetForming : public FleetForming {
  public:
   /// @p replicas stores hold each partition of the fleet.
@@ -27,7 +27,7 @@
   const std::uint32_t replicas_;
 };
 
-/// Admits this store by the node's register service, with the progress of its partition service.
+/// Admits this store through the node's register service; progress is that of its partitions.
 class RegisterStoreAdmission : public StoreAdmission {
  public:
   /// Keeps references; they must outlive it.
@@ -45,7 +45,7 @@
   const PartitionCore& partitions_;
 };
 
-/// Shows and cancels the batches of all tenants on this store.
+/// Lists and cancels the batches of all tenants on this store.
 class OwnerBatchAdmin : public BatchAdmin {
  public:
   /// Keeps a reference; it must outlive this object.
@@ -62,7 +62,7 @@
   BatchOwnerCore& batches_;
 };
 
-/// One control process, from its start to its end.
+/// Runs one control process from startup to shutdown.
 class ControlProcess {
  public:
   /// @p logStore must be open; null on a register node without a disk. Arguments must outlive the
--- a/src/data/data_process.cpp
+++ b/src/data/data_process.cpp
@@ -10,14 +10,14 @@
 
 constexpr std::size_t kServingThreads = 2;
 
-/// Calls that still run this long after the request to stop are aborted.
+/// Calls that are still running this long after the stop signal are aborted.
 constexpr std::chrono::seconds kDrainTimeout{20};
 
 /// Longest wait, after the last call, for the owners to acknowledge the return of slots and
-/// batches. Together with `kDrainTimeout` within the platform's warning of 25 s.
+/// batches. With `kDrainTimeout` it must fit into the platform's termination notice of 25 s.
 constexpr std::chrono::seconds kReturnTimeout{3};
 
-/// Time for the announcement that this node drains to reach the others.
+/// Time for the announcement that this node is draining to reach the other nodes.
 constexpr std::chrono::milliseconds kDrainAnnouncementDelay{300};
 
 /// Interval of the checks for the end of the last call while draining.
@@ -105,8 +105,8 @@
   }
   if (drained && !slotsAndRunsReturned()) {
     process_.runtime().runAndWait([this] {
-      logInfo("process", cores_.runner->allRunsReturned() ? "slots are not all released"
-                                                          : "batch runs are not all handed back");
+      logInfo("process", cores_.runner->allRunsReturned() ? "not all slots were released"
+                                                          : "not all batch runs were returned");
     });
   }
   callers_.stopAccepting();
--- a/src/data/data_process.h
+++ b/src/data/data_process.h
@@ -12,7 +12,7 @@
 
 namespace shedshed {
 
-/// Lets the serving threads reach the core thread.
+/// Posts tasks of the serving threads to the core thread.
 class RuntimeExecutor : public CoreExecutor {
  public:
   explicit RuntimeExecutor(NodeRuntime& runtime) : runtime_(runtime) {}
@@ -34,7 +34,7 @@
   Metrics& metrics_;
 };
 
-/// One data process, from its start to its end.
+/// Runs one data process from startup to shutdown.
 class DataProcess {
  public:
   /// Arguments must outlive the object.
--- a/src/data/main.cpp
+++ b/src/data/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// `shedshed-data`: callers' HTTP, slots, routing to engines, batch runners, engine watching.
+/// `shedshed-data`: callers' HTTP, slots, routing to engines, batch runners, engine health checks.
 #include "data/data_process.h"
 #include "process/heap_bounds.h"
 #include "process/signals.h"
--- a/src/process/event_loop_node.cpp
+++ b/src/process/event_loop_node.cpp
@@ -8,17 +8,17 @@
 namespace shedshed {
 namespace {
 
-/// The engines of such a fleet are close: a client's batch request is answered or rejected soon.
+/// Engines are close in the network: a client's batch request is answered or rejected quickly.
 constexpr Duration kBatchCallDeadline = std::chrono::milliseconds(1800);
 /// A store that fails must be replaced as the owner of its partitions within about a second.
 constexpr Duration kPingInterval = std::chrono::milliseconds(350);
-/// Batches are due within seconds: lent capacity is returned within some ticks.
+/// Batches are due within seconds, so lent capacity is returned within a few ticks.
 constexpr double kEventLoopLendingGrowthPerTick = 0.1;
-/// Live requests that arrive in this time find free capacity at once. Each engine frees a slot
-/// about as often.
+/// Capacity is reserved for the live requests that arrive within this time. Each engine frees a
+/// slot at about this interval.
 constexpr Duration kLendingReserveHorizon = std::chrono::milliseconds(40);
 constexpr Duration kItemRetryDelay = std::chrono::milliseconds(300);
-/// A batch of some 150 items, each of which takes up to a second, is due within some seconds.
+/// A batch of about 150 items, each taking up to a second, is due within a few seconds.
 constexpr std::uint32_t kMaxItemsInFlightPerBatch = 64;
 constexpr std::uint32_t kMaxItemsInFlight = 224;
 
--- a/src/process/event_loop_node.h
+++ b/src/process/event_loop_node.h
@@ -1,5 +1,5 @@
 /// @file
-/// What processes on one event loop have in common: network, runtime, start and end.
+/// Network, runtime, startup and shutdown shared by the processes on one event loop.
 #pragma once
 
 #include "assembly/node_options.h"
@@ -17,7 +17,7 @@
 
 namespace shedshed {
 
-/// Runs tasks on the event loop: at once if the caller is on it.
+/// Runs tasks on the event loop; immediately if the caller runs on it.
 class LoopExecutor : public CoreExecutor {
  public:
   explicit LoopExecutor(boost::asio::io_context& loop) : loop_(loop) {}
@@ -39,8 +39,8 @@
   Metrics& metrics_;
 };
 
-/// What a process with one event loop consists of, besides its cores. One thread runs everything
-/// but the syncs of the disk; `run` and `pollUntil` are called by the main thread.
+/// The parts of a process with one event loop other than its cores. One thread runs everything
+/// except disk syncs; `run` and `pollUntil` are called by the main thread.
 class EventLoopNode {
  public:
   /// @p records is null without a disk. Arguments must outlive the object.
@@ -50,7 +50,7 @@
         executor(loop), counters(metrics), self_(settings.internalAddress) {}
 
   /// Runs the process: calls @p listen, starts the runtime, waits for the stop signal and calls
-  /// @p drain. Returns the exit code: 1 if one of the starts failed. The event loop has ended when
+  /// @p drain. Returns the exit code: 1 if startup failed. The event loop has stopped when
   /// it returns.
   int run(const std::function<Status()>& listen, const std::function<void()>& drain);
 
@@ -67,14 +67,14 @@
   LoopCounters counters;
 
  private:
-  /// Ends the event loop and drops its pending handlers.
+  /// Stops the event loop and drops its pending handlers.
   void stop();
 
   const NodeId self_;
 };
 
-/// Options of the cores of a process with one event loop: its identity, its seeds with the port of
-/// the settings, and the times and bounds of such a fleet.
+/// Options of the cores of a process with one event loop: its identity, its seeds with the port
+/// from the settings, and the time-outs and limits of such a fleet.
 NodeOptions eventLoopOptions(const ProcessSettings& settings, const std::string& storeId);
 
 }  // namespace shedshed
--- a/src/process/gateway_process.cpp
+++ b/src/process/gateway_process.cpp
@@ -15,7 +15,7 @@
 constexpr std::chrono::milliseconds kLateConnectionPeriod{2600};
 /// Interval of the checks for the end of the last call while draining.
 constexpr std::chrono::milliseconds kDrainPollInterval{50};
-/// The process ends this long before the platform would end it.
+/// The process exits this long before the platform would kill it.
 constexpr Duration kShutdownMargin = std::chrono::milliseconds(1200);
 
 }  // namespace
@@ -90,8 +90,8 @@
   while (monotonicNow() - drainStart < kLateConnectionPeriod) {
     waitForStopSignal(kDrainPollInterval);
   }
-  // A platform with few ready processes sends clients all the same; calls accepted now would be
-  // aborted.
+  // A platform with few ready processes still routes clients to draining ones; calls accepted from
+  // here on would be aborted.
   node_.runtime.runAndWait([this] { gateway_.stopAccepting(); });
   const bool done =
       EventLoopNode::pollUntil(deadline, kDrainPollInterval, [this] { return idle(); });
--- a/src/process/gateway_process.h
+++ b/src/process/gateway_process.h
@@ -11,7 +11,7 @@
 
 namespace shedshed {
 
-/// One process, from its start to its end. Runs on one event loop.
+/// Runs one data process from startup to shutdown, on one event loop.
 class GatewayProcess {
  public:
   /// @p names and @p dialect are the wire forms of clients and engines; @p readyPath is the path of
--- a/src/process/heap_bounds.cpp
+++ b/src/process/heap_bounds.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr int kMaxArenas = 1;
-/// Larger blocks, such as the bodies of large calls, are mapped alone and returned when freed. Set
-/// so that the C library does not raise the bound by itself.
+/// Larger blocks, such as large request bodies, are mapped separately and unmapped when freed. An
+/// explicit value also stops the C library from raising the threshold dynamically.
 constexpr int kMmapThresholdBytes = 128 * 1024;
-/// Free memory at the end of the heap that is kept.
+/// Free memory that is kept at the top of the heap.
 constexpr int kTrimThresholdBytes = 256 * 1024;
 
 }  // namespace
--- a/src/process/heap_bounds.h
+++ b/src/process/heap_bounds.h
@@ -1,12 +1,12 @@
 /// @file
-/// Bounds of the C library's heap.
+/// Limits of the C library's heap.
 #pragma once
 
 namespace shedshed {
 
-/// Makes the heap give memory back that a peak of traffic needed, and keeps one arena for all
-/// threads: the processes run one busy thread, so several arenas only hold freed memory apart. Call
-/// once, before any other thread starts. What the C library refuses stays at its default.
+/// Makes the heap return memory to the system after a traffic peak and use one arena for all
+/// threads: the processes run one busy thread, so several arenas only fragment freed memory. Call
+/// once, before any other thread starts. Values that the C library rejects keep their defaults.
 void boundHeap();
 
 }  // namespace shedshed
--- a/src/process/node_process.h
+++ b/src/process/node_process.h
@@ -1,6 +1,6 @@
 /// @file
-/// What data and control processes have in common: metrics, network, core thread and the operators'
-/// HTTP.
+/// Metrics, network, core thread and operators' HTTP server shared by data and control
+/// processes.
 #pragma once
 
 #include "operators/operators_server.h"
@@ -13,7 +13,7 @@
 
 namespace shedshed {
 
-/// Network, core thread, metrics and the operators' HTTP of one process.
+/// Network, core thread, metrics and the operators' HTTP server of one process.
 class NodeProcess : public OperatorExecutor {
  public:
   /// @p records is null without a disk. Arguments must outlive the object.
@@ -24,7 +24,8 @@
 
   void post(std::function<void()> task) override { runtime_.post(std::move(task)); }
 
-  /// Starts the cores, the network and the operators' HTTP. @p services must outlive the process.
+  /// Starts the cores, the network and the operators' HTTP server. @p services must outlive the
+  /// process.
   Status start(OperatorServices& services);
 
   /// Stops in the reverse order.
--- a/src/process/node_status.h
+++ b/src/process/node_status.h
@@ -1,5 +1,5 @@
 /// @file
-/// A process's view of itself, for the operators.
+/// Status of a process, as reported to operators.
 #pragma once
 
 #include "operators/operator_services.h"
@@ -11,14 +11,14 @@
 
 namespace shedshed {
 
-/// Everything but the engines, the epochs and the data node's readiness. Core thread only.
+/// Status without the engines, the epochs and the data node's readiness. Core thread only.
 NodeStatus describeNode(const ProcessSettings& settings, const ConfigurationSource& configuration,
                         const Directory& directory);
 
 /// The partitions that this store owns. Core thread only.
 std::vector<PartitionEpoch> describePartitions(const PartitionStore& partitions);
 
-/// Checks an `engines` value as the operators' API needs it.
+/// Validates an `engines` value for the operators' API.
 Status checkEngineListing(std::string_view json);
 
 }  // namespace shedshed
--- a/src/process/process_join_conditions.h
+++ b/src/process/process_join_conditions.h
@@ -25,7 +25,7 @@
 class ProcessJoinConditions : public JoinConditions {
  public:
   /// @p replicas and @p successor are null on register nodes: those keep no replicas, so nothing
-  /// has to be copied before they join, and they are nobody's successor.
+  /// has to be copied before they join, and they succeed no other member.
   ProcessJoinConditions(const ReplicaStatus* replicas, const SuccessorCore* successor,
                         const Retirements& retirements)
       : replicas_(replicas), successor_(successor), retirements_(retirements) {}
--- a/src/process/process_start.h
+++ b/src/process/process_start.h
@@ -1,5 +1,5 @@
 /// @file
-/// What every process does first: settings, keys, logs, and its description of itself.
+/// Startup shared by all processes: settings, keys, logging and the description of the node.
 #pragma once
 
 #include "kernel/fleet_key.h"
@@ -16,9 +16,9 @@
   std::string operatorKey;
 };
 
-/// In place of the path of a key file: the fleet has no secret. Internal messages are then framed
-/// and checked for damage with a key that everyone knows, and there is no bearer key of operators,
-/// so that nothing may be served that asks for one.
+/// Given instead of the path of a key file: the fleet has no secret. Internal messages are then
+/// framed and checked for corruption with a publicly known key, and there is no operators' bearer
+/// key, so nothing that requires one may be served.
 inline constexpr const char* kOpenFleet = "open";
 
 /// Reads both key files. Fails with `InvalidArgument`; the detail names the file.
@@ -27,7 +27,7 @@
 /// Describes this process to the rest of the fleet.
 NodeInfo describeSelf(const ProcessSettings& settings, const std::string& storeId);
 
-/// Parses the command line, prints help or the error. Returns the settings, or the exit code with
+/// Parses the command line and prints help or the error. Holds the settings, or the exit code with
 /// which the process must end.
 class ProcessStart {
  public:
@@ -45,7 +45,7 @@
   int exitCode_ = 0;
 };
 
-/// Ends a process that has stopped everything, without waiting for threads that a library has left.
+/// Exits after everything has been stopped, without joining threads that libraries left running.
 [[noreturn]] void endProcess(int exitCode);
 
 /// Logs @p error and ends the process at once: a node whose disk failed must not go on answering.
--- a/src/process/signals.cpp
+++ b/src/process/signals.cpp
@@ -20,7 +20,7 @@
   const sigset_t signals = stopSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
-  // A hint to read the settings again. None of them changes what a running process does.
+  // SIGHUP asks for a reload of the process settings, none of which can change at run time.
   std::signal(SIGHUP, SIG_IGN);
 }
 
--- a/src/process/state_process.cpp
+++ b/src/process/state_process.cpp
@@ -10,21 +10,21 @@
 namespace {
 
 constexpr Duration kShutdownMargin = std::chrono::milliseconds(1200);
-/// Time for the announcement that this node drains to reach the others.
+/// Time for the announcement that this node is draining to reach the other nodes.
 constexpr std::chrono::milliseconds kDrainAnnouncementDelay{300};
 constexpr std::chrono::milliseconds kHandoverPollInterval{50};
 
 constexpr std::uint64_t kMegabyte = 1U << 20U;
-/// Files of a store on a small disk: two of them hold no live records, so many small ones waste
-/// less. A file holds the largest record, settings of 4 MiB, completely.
+/// Segments on a small disk: two of them hold no live records, so many small segments waste less.
+/// A segment must hold the largest record, settings of 4 MiB.
 constexpr std::uint64_t kSmallDiskMaxSegments = 16;
 constexpr std::uint64_t kSmallDiskMinSegmentBytes = 5 * kMegabyte;
-/// Files of a disk that is too small even for that.
+/// Segments on a disk that is too small for segments of `kSmallDiskMinSegmentBytes`.
 constexpr std::uint64_t kMinSegments = 4;
 constexpr std::uint64_t kMaxSegmentBytes = 16 * kMegabyte;
-/// Bounds what a restart reads.
+/// Limits the data that a restart reads.
 constexpr std::uint64_t kMaxSegments = 12;
-/// Share of the disk that the store takes, in percent.
+/// Share of the disk that the log store uses, in percent.
 constexpr std::uint64_t kDiskPercent = 75;
 
 }  // namespace
--- a/src/process/state_process.h
+++ b/src/process/state_process.h
@@ -13,10 +13,10 @@
 
 namespace shedshed {
 
-/// Sizes of the store on a disk of @p diskMegabytes; the defaults for 0.
+/// Segment size and count of the log store on a disk of @p diskMegabytes; the defaults for 0.
 LogStoreOptions logStoreOptionsFor(std::uint32_t diskMegabytes);
 
-/// One process, from its start to its end.
+/// Runs one control process from startup to shutdown.
 class StateProcess {
  public:
   /// Starts to listen on the event loop; called before the process serves.
--- a/tests/process/ring_size_test.cpp
+++ b/tests/process/ring_size_test.cpp
@@ -1,4 +1,4 @@
-// The ring of files on disks of different sizes.
+// Segment size and count of the log store on disks of different sizes.
 #include "process/state_process.h"
 
 #include <boost/test/unit_test.hpp>
@@ -34,8 +34,8 @@
   BOOST_TEST(logStoreOptionsFor(1U << 20U).segmentCount == 12U);
 }
 
-/// Two files hold no live records: with four files that is half of the ring. Stores with 110 MB
-/// refused batches at 25 MB of records.
+/// Two segments hold no live records: with four segments that is half of the store. Stores with
+/// 110 MB refused batches at 25 MB of records.
 BOOST_AUTO_TEST_CASE(most_of_a_small_ring_holds_live_records) {
   for (const std::uint32_t megabytes : {64U, 110U, 150U}) {
     const LogStoreOptions options = logStoreOptionsFor(megabytes);
