--- a/src/control/control_process.h
+++ b/src/control/control_process.h
@@ -11,7 +11,7 @@
 
 namespace shedshed {
 
-/// Forms fleets for the operators' `init` command by the node's register service.
+/// Forms fleets for the operators' `init` command through the node's register service.
 class RegisterFleetForming : public FleetForming {
  public:
   /// @p replicas stores hold each partition of the fleet.
@@ -27,7 +27,7 @@
   const std::uint32_t replicas_;
 };
 
-/// Admits this store by the node's register service, with the progress of its partition service.
+/// Admits this store through the node's register service; progress is that of its partitions.
 class RegisterStoreAdmission : public StoreAdmission {
  public:
   /// Keeps references; they must outlive it.
@@ -45,7 +45,7 @@
   const PartitionCore& partitions_;
 };
 
-/// Shows and cancels the batches of all tenants on this store.
+/// Lists and cancels the batches of all tenants on this store.
 class OwnerBatchAdmin : public BatchAdmin {
  public:
   /// Keeps a reference; it must outlive this object.
@@ -62,13 +62,13 @@
   BatchOwnerCore& batches_;
 };
 
-/// One control process, from its start to its end.
+/// Runs one control process from startup to shutdown.
 class ControlProcess {
  public:
-  /// @p ring must be open; null on a register node without a disk. Arguments must outlive the
+  /// @p logStore must be open; null on a register node without a disk. Arguments must outlive the
   /// object.
   ControlProcess(const ProcessSettings& settings, const ProcessKeys& keys,
-                 LogStructuredStore* ring);
+                 LogStructuredStore* logStore);
 
   /// Runs until the platform asks to stop. Returns the exit code.
   int run();
@@ -76,7 +76,7 @@
  private:
   NodeStatus status();
   void drain();
-  bool handedOver();
+  bool ownershipReleased();
   void addStoreServices();
 
   const ProcessSettings& settings_;
