--- a/sim/batch_load.cpp
+++ b/sim/batch_load.cpp
@@ -4,13 +4,13 @@
 namespace {
 
 /// Longer than the front's own deadline, so that silence means a lost front.
-constexpr Duration kAnswerLimit = std::chrono::seconds(15);
+constexpr Duration kAnswerTimeout = std::chrono::seconds(15);
 constexpr Duration kResendPause = std::chrono::seconds(2);
 constexpr Duration kReadPause = std::chrono::seconds(3);
 constexpr Duration kMaxCancelDelay = std::chrono::seconds(6);
 constexpr int kMaxSends = 12;
-constexpr double kRereads = 0.3;
-constexpr double kUnfinishedReads = 0.2;
+constexpr double kRereadProbability = 0.3;
+constexpr double kUnfinishedReadProbability = 0.2;
 constexpr std::uint32_t kPageLimit = 25;
 
 }  // namespace
@@ -26,7 +26,7 @@
   const JobPointer job = newJob();
   ++open_;
   submit(job);
-  world_.schedule(world_.between(Duration{0}, 2 * knobs_.pause), [this] { next(); });
+  world_.schedule(world_.between(Duration{0}, 2 * options_.pause), [this] { next(); });
 }
 
 BatchLoad::JobPointer BatchLoad::newJob() {
@@ -34,8 +34,8 @@
   job->clientKey = "batch-" + std::to_string(++lastJob_);
   job->submission.tenant = tenantName(static_cast<int>(world_.pick(kTenants)));
   job->submission.clientKey = job->clientKey;
-  job->submission.idempotentItems = world_.chance() < knobs_.repeatable;
-  const std::size_t items = 1 + world_.pick(knobs_.maxItems);
+  job->submission.idempotentItems = world_.chance() < options_.repeatable;
+  const std::size_t items = 1 + world_.pick(options_.maxItems);
   for (std::size_t i = 0; i < items; ++i) {
     const std::string name = job->clientKey + "-" + std::to_string(i);
     const std::string body =
@@ -54,7 +54,7 @@
         job->submission,
         [this, job, number](const Result<BatchStatus>& status) { submitted(job, number, status); });
   });
-  world_.schedule(kAnswerLimit, [this, job, number] {
+  world_.schedule(kAnswerTimeout, [this, job, number] {
     if (!job->settled && job->sends == number) {
       job->maybeAccepted = true;
       resubmit(job, number);
@@ -95,7 +95,7 @@
     return;
   }
   for (const std::string& body : job->submission.items) {
-    fleet_.invariants().runs.saidNotRun(body);
+    fleet_.invariants().runs.reportedNotRun(body);
   }
 }
 
@@ -107,7 +107,7 @@
   fleet_.acknowledged();
   checkReadable(job);
   readLater(job);
-  if (world_.chance() < knobs_.cancels) {
+  if (world_.chance() < options_.cancels) {
     world_.schedule(world_.between(Duration{0}, kMaxCancelDelay), [this, job] { cancel(job); });
   }
 }
@@ -129,12 +129,12 @@
     if (!batch.complete()) {
       read(job);
       readLater(job);
-    } else if (!stopped_ && world_.chance() < kRereads) {
+    } else if (!stopped_ && world_.chance() < kRereadProbability) {
       job->readFrom = world_.pick(batch.bodies.size());
       read(job);
       readLater(job);
     }
-    if (world_.chance() < kUnfinishedReads) {
+    if (world_.chance() < kUnfinishedReadProbability) {
       readUnfinished(job);
     }
   });
@@ -143,7 +143,7 @@
 void BatchLoad::read(const JobPointer& job) {
   const BatchLog::Batch& batch = fleet_.invariants().batches.batches().at(job->clientKey);
   const std::uint64_t known = batch.results.size();
-  const bool reread = world_.chance() < kRereads;
+  const bool reread = world_.chance() < kRereadProbability;
   const std::uint64_t from = reread && known > 0 ? world_.pick(known) : known;
   const NodeId front = fleet_.anyFront();
   fleet_.node(front).post([this, job, front, from, tenant = batch.tenant, id = batch.id] {
--- a/sim/batch_log.cpp
+++ b/sim/batch_log.cpp
@@ -8,7 +8,7 @@
   return left.state == right.state && left.body == right.body && left.errorType == right.errorType;
 }
 
-std::string place(const std::string& clientKey, std::uint64_t position) {
+std::string positionText(const std::string& clientKey, std::uint64_t position) {
   return clientKey + " position " + std::to_string(position);
 }
 
@@ -35,7 +35,7 @@
 void BatchLog::checkResult(const Batch& batch, const ItemResult& result) {
   const std::string& body = batch.bodies[result.position];
   if (result.state == ItemState::Done) {
-    runs_.saidRan(body);
+    runs_.reportedRan(body);
     if (result.body.find(answerPrefix(body)) != 0) {
       world_.violation("a result belongs to its item", body);
     }
@@ -44,7 +44,7 @@
     if (runs_.runs(body) > 0) {
       world_.violation("a cancelled item never ran", body);
     } else {
-      runs_.saidNotRun(body);
+      runs_.reportedNotRun(body);
     }
     if (!batch.cancelSent) {
       world_.violation("only cancelled batches have cancelled items", body);
@@ -59,7 +59,7 @@
   std::uint64_t expected = from;
   for (const ItemResult& result : page.results) {
     if (result.position != expected || expected >= batch.bodies.size()) {
-      world_.violation("positions are read in order, each once", place(clientKey, expected));
+      world_.violation("positions are read in order, each once", positionText(clientKey, expected));
       return;
     }
     ++expected;
@@ -68,7 +68,7 @@
       checkResult(batch, result);
       batch.results[result.position] = result;
     } else if (!sameResult(known->second, result)) {
-      world_.violation("a result never changes", place(clientKey, result.position));
+      world_.violation("a result never changes", positionText(clientKey, result.position));
     }
   }
   if (page.complete && expected != batch.bodies.size()) {
@@ -82,7 +82,7 @@
   for (const UnfinishedItem& item : items) {
     const bool known = item.position < batch.bodies.size();
     if (!known || item.body != batch.bodies[item.position]) {
-      world_.violation("an unfinished item has its body", place(clientKey, item.position));
+      world_.violation("an unfinished item has its body", positionText(clientKey, item.position));
     }
   }
 }
--- a/sim/callers_load.h
+++ b/sim/callers_load.h
@@ -31,7 +31,7 @@
  private:
   void next();
   void send(const NodeId& front, LiveCall call, std::function<void(bool)> done);
-  void judge(const LiveCall& call, const Result<EngineAnswer>& answer);
+  void checkAnswer(const LiveCall& call, const Result<EngineAnswer>& answer);
   std::string newBody();
 
   SimFleet& fleet_;
@@ -43,7 +43,7 @@
 };
 
 /// How the batch callers behave.
-struct BatchKnobs {
+struct BatchLoadOptions {
   Duration pause = std::chrono::seconds(4);
   std::size_t maxItems = 40;
   double cancels = 0.15;
@@ -55,7 +55,7 @@
  public:
   explicit BatchLoad(SimFleet& fleet) : fleet_(fleet), world_(fleet.world()) {}
 
-  BatchKnobs& knobs() { return knobs_; }
+  BatchLoadOptions& options() { return options_; }
   void start();
   /// Hands nothing in any more; goes on reading.
   void stop() { stopped_ = true; }
@@ -88,7 +88,7 @@
 
   SimFleet& fleet_;
   World& world_;
-  BatchKnobs knobs_;
+  BatchLoadOptions options_;
   std::uint64_t lastJob_ = 0;
   int open_ = 0;
   bool stopped_ = false;
--- a/sim/invariants.h
+++ b/sim/invariants.h
@@ -22,11 +22,11 @@
 /// A withdrawn key may be accepted for this long after the withdrawal was acknowledged.
 inline constexpr Duration kWithdrawalBound = std::chrono::seconds(5);
 /// A healthy fleet has a new setting in force everywhere after this time.
-inline constexpr Duration kInForceBound = std::chrono::seconds(2);
+inline constexpr Duration kAdoptionBound = std::chrono::seconds(2);
 /// A cancelled batch may start items, and a draining engine get requests, for this long.
 inline constexpr Duration kStopBound = std::chrono::seconds(3);
 /// A control node that was cut off for this long serves nothing.
-inline constexpr Duration kCutOffBound = std::chrono::seconds(20);
+inline constexpr Duration kIsolationBound = std::chrono::seconds(20);
 /// An accepted batch can be read at any front of a healthy fleet after this time.
 inline constexpr Duration kReadableBound = std::chrono::seconds(1);
 
@@ -42,9 +42,9 @@
   /// An engine received the request.
   void received(const std::string& engine, const std::string& body);
   /// Somebody was told that the request did not run and will not.
-  void saidNotRun(const std::string& body);
+  void reportedNotRun(const std::string& body);
   /// Somebody was told that the request ran.
-  void saidRan(const std::string& body);
+  void reportedRan(const std::string& body);
   /// The batch of the item was cancelled, and the caller told.
   void cancelled(const std::string& body);
 
@@ -54,7 +54,7 @@
  private:
   struct Request {
     bool repeatable = false;
-    bool saidNotRun = false;
+    bool reportedNotRun = false;
     std::uint64_t runs = 0;
     std::optional<Time> cancelledAt;
   };
@@ -122,8 +122,8 @@
   std::uint64_t changesAcknowledged() const { return orders_.size(); }
 
  private:
-  void sawValue(const RegisterValue& value, const std::string& where);
-  void noteAcknowledged(std::uint64_t version, const std::string& value);
+  void checkValue(const RegisterValue& value, const std::string& where);
+  void recordAcknowledgement(std::uint64_t version, const std::string& value);
 
   World& world_;
   SettingsHistory& history_;
--- a/sim/live_load.cpp
+++ b/sim/live_load.cpp
@@ -3,9 +3,9 @@
 namespace shedshed::sim {
 namespace {
 
-constexpr double kRepeatable = 0.3;
+constexpr double kRepeatableProbability = 0.3;
 /// Share of the calls with a key that operators never withdraw.
-constexpr double kLastingKey = 0.7;
+constexpr double kNeverWithdrawnShare = 0.7;
 
 }  // namespace
 
@@ -19,9 +19,10 @@
     return;
   }
   const int tenant = static_cast<int>(world_.pick(kTenants));
-  const bool lasting = world_.chance() < kLastingKey;
-  const int index = lasting ? kKeysPerTenant - 1 : static_cast<int>(world_.pick(kKeysPerTenant));
-  LiveCall call{callerKey(tenant, index), newBody(), world_.chance() < kRepeatable};
+  const bool neverWithdrawn = world_.chance() < kNeverWithdrawnShare;
+  const int index =
+      neverWithdrawn ? kKeysPerTenant - 1 : static_cast<int>(world_.pick(kKeysPerTenant));
+  LiveCall call{callerKey(tenant, index), newBody(), world_.chance() < kRepeatableProbability};
   send(fleet_.anyFront(), std::move(call), [](bool) {});
   const double seconds = 2 * world_.chance() / callsPerSecond_;
   world_.schedule(Duration(static_cast<Duration::rep>(seconds * 1e9)), [this] { next(); });
@@ -40,23 +41,23 @@
   fleet_.invariants().runs.expect(call.body, call.repeatable);
   fleet_.node(front).post([this, front, call, done = std::move(done)] {
     fleet_.front(front)->serve(call, [this, call, done](const Result<EngineAnswer>& answer) {
-      judge(call, answer);
+      checkAnswer(call, answer);
       done(static_cast<bool>(answer));
     });
   });
 }
 
-void LiveLoad::judge(const LiveCall& call, const Result<EngineAnswer>& answer) {
+void LiveLoad::checkAnswer(const LiveCall& call, const Result<EngineAnswer>& answer) {
   RunLog& runs = fleet_.invariants().runs;
   if (answer) {
     ++counts_.answered;
-    runs.saidRan(call.body);
+    runs.reportedRan(call.body);
     if (answer.value().body.find(answerPrefix(call.body)) != 0) {
       world_.violation("an answer belongs to its call", call.body);
     }
   } else if (answer.error().ran == Ran::No) {
     ++counts_.refused;
-    runs.saidNotRun(call.body);
+    runs.reportedNotRun(call.body);
   } else {
     ++counts_.unknown;
   }
--- a/sim/operators_load.cpp
+++ b/sim/operators_load.cpp
@@ -3,13 +3,13 @@
 namespace shedshed::sim {
 namespace {
 
-constexpr Duration kAnswerLimit = std::chrono::seconds(7);
-constexpr Duration kReadLimit = std::chrono::seconds(8);
-constexpr Duration kConfigureLimit = std::chrono::seconds(30);
+constexpr Duration kAnswerTimeout = std::chrono::seconds(7);
+constexpr Duration kReadTimeout = std::chrono::seconds(8);
+constexpr Duration kConfigureTimeout = std::chrono::seconds(30);
 constexpr Duration kMaxResendPause = std::chrono::seconds(3);
 constexpr int kMaxSends = 6;
-constexpr double kWithdrawals = 0.3;
-constexpr std::uint32_t kLeastBurst = 8;
+constexpr double kWithdrawalProbability = 0.3;
+constexpr std::uint32_t kMinBurst = 8;
 constexpr std::uint32_t kBurstRange = 12;
 
 }  // namespace
@@ -30,23 +30,25 @@
   fleet_.registerOf(first)->change(
       engines, [&listed](const Result<ChangeOutcome>& outcome) { listed = bool(outcome); });
   changeOnce(first, [&written](bool success) { written = success; });
-  return world_.runUntil([&] { return listed && written; }, kConfigureLimit);
+  return world_.runUntil([&] { return listed && written; }, kConfigureTimeout);
 }
 
 void OperatorsLoad::start() {
-  for (int who = 0; who < knobs_.operators; ++who) {
-    world_.schedule(world_.between(Duration{0}, knobs_.pause), [this, who] { next(who); });
+  for (int operatorIndex = 0; operatorIndex < options_.operators; ++operatorIndex) {
+    world_.schedule(world_.between(Duration{0}, options_.pause),
+                    [this, operatorIndex] { next(operatorIndex); });
   }
 }
 
-void OperatorsLoad::next(int who) {
+void OperatorsLoad::next(int operatorIndex) {
   if (stopped_) {
     return;
   }
-  const auto again = [this, who](bool) {
-    world_.schedule(world_.between(Duration{0}, 2 * knobs_.pause), [this, who] { next(who); });
+  const auto again = [this, operatorIndex](bool) {
+    world_.schedule(world_.between(Duration{0}, 2 * options_.pause),
+                    [this, operatorIndex] { next(operatorIndex); });
   };
-  if (!applied_.empty() && world_.chance() < knobs_.oldResends) {
+  if (!applied_.empty() && world_.chance() < options_.oldResends) {
     const auto order = std::make_shared<Order>(applied_[world_.pick(applied_.size())]);
     order->done = again;
     order->answered = false;
@@ -82,7 +84,7 @@
           build(node, read.value(), done);
         });
   });
-  world_.schedule(kReadLimit, [this, done, answered] {
+  world_.schedule(kReadTimeout, [this, done, answered] {
     if (!*answered) {
       *answered = true;
       --open_;
@@ -96,13 +98,13 @@
   const SettingsModel* known = fleet_.invariants().history.find(base.value);
   SettingsModel model = known == nullptr ? SettingsModel{} : *known;
   model.orderId = "order-" + std::to_string(++lastOrder_);
-  if (world_.chance() < kWithdrawals) {
+  if (world_.chance() < kWithdrawalProbability) {
     // The last key of each tenant stays.
     const int tenant = static_cast<int>(world_.pick(kTenants));
     const int index = static_cast<int>(world_.pick(kKeysPerTenant - 1));
     model.withdrawnKeys.insert(callerKey(tenant, index));
   } else {
-    model.burst = kLeastBurst + static_cast<std::uint32_t>(world_.pick(kBurstRange));
+    model.burst = kMinBurst + static_cast<std::uint32_t>(world_.pick(kBurstRange));
   }
   const auto order = std::make_shared<Order>();
   order->orderId = model.orderId;
@@ -122,12 +124,12 @@
   fleet_.node(node).post([this, order, number, node, request] {
     fleet_.registerOf(node)->change(request,
                                     [this, order, number](const Result<ChangeOutcome>& outcome) {
-                                      if (world_.chance() >= knobs_.lostAnswers) {
+                                      if (world_.chance() >= options_.lostAnswers) {
                                         answered(order, number, outcome);
                                       }
                                     });
   });
-  world_.schedule(kAnswerLimit, [this, order, number] {
+  world_.schedule(kAnswerTimeout, [this, order, number] {
     if (!order->answered && order->sends == number) {
       resend(order);
     }
@@ -146,8 +148,8 @@
     const std::uint64_t version = outcome.value().version;
     const Time acknowledged = world_.now();
     if (!outcome.value().repeated) {
-      world_.schedule(kInForceBound, [this, version, acknowledged] {
-        fleet_.checkInForce(version, acknowledged);
+      world_.schedule(kAdoptionBound, [this, version, acknowledged] {
+        fleet_.checkAdoption(version, acknowledged);
       });
     }
     fleet_.acknowledged();
--- a/sim/operators_load.h
+++ b/sim/operators_load.h
@@ -11,7 +11,7 @@
 namespace shedshed::sim {
 
 /// How the operators behave.
-struct OperatorKnobs {
+struct OperatorLoadOptions {
   int operators = 2;
   Duration pause = std::chrono::seconds(2);  ///< Mean pause between two changes of one operator.
   double lostAnswers = 0.1;                  ///< Probability that an answer does not arrive.
@@ -23,7 +23,7 @@
  public:
   explicit OperatorsLoad(SimFleet& fleet) : fleet_(fleet), world_(fleet.world()) {}
 
-  OperatorKnobs& knobs() { return knobs_; }
+  OperatorLoadOptions& options() { return options_; }
 
   /// Writes the first settings and the engine listing.
   /// @return false if they are not written in time
@@ -32,7 +32,7 @@
   /// No further changes but those of `changeOnce`, whose answers all arrive: the faults are over.
   void stop() {
     stopped_ = true;
-    knobs_.lostAnswers = 0;
+    options_.lostAnswers = 0;
   }
   bool idle() const { return open_ == 0; }
   /// Proposes one change at @p node and calls @p done with its success.
@@ -50,7 +50,7 @@
   };
   using OrderPointer = std::shared_ptr<Order>;
 
-  void next(int who);
+  void next(int operatorIndex);
   void propose(const NodeId& node, const std::function<void(bool)>& done);
   void build(const NodeId& node, const RegisterValue& base, const std::function<void(bool)>& done);
   void send(const OrderPointer& order, const NodeId& node);
@@ -61,7 +61,7 @@
 
   SimFleet& fleet_;
   World& world_;
-  OperatorKnobs knobs_;
+  OperatorLoadOptions options_;
   std::vector<Order> applied_;
   std::uint64_t lastOrder_ = 0;
   int open_ = 0;
--- a/sim/run_log.cpp
+++ b/sim/run_log.cpp
@@ -14,7 +14,7 @@
   if (request.runs > 1 && !request.repeatable) {
     world_.violation("runs at most once", body + " at " + engine);
   }
-  if (request.saidNotRun) {
+  if (request.reportedNotRun) {
     world_.violation("said not run, but runs", body + " at " + engine);
   }
 }
@@ -26,15 +26,15 @@
   }
 }
 
-void RunLog::saidNotRun(const std::string& body) {
+void RunLog::reportedNotRun(const std::string& body) {
   Request& request = requests_[body];
-  request.saidNotRun = true;
+  request.reportedNotRun = true;
   if (request.runs > 0) {
     world_.violation("said not run, but ran", body + (request.repeatable ? " (repeatable)" : ""));
   }
 }
 
-void RunLog::saidRan(const std::string& body) {
+void RunLog::reportedRan(const std::string& body) {
   if (runs(body) == 0) {
     world_.violation("a result without a run", body);
   }
--- a/sim/safeguard_names.cpp
+++ b/sim/safeguard_names.cpp
@@ -6,10 +6,10 @@
 namespace shedshed::sim {
 namespace {
 
-using Switch = std::pair<const char*, std::function<bool&(Safeguards&)>>;
+using SafeguardSwitch = std::pair<const char*, std::function<bool&(Safeguards&)>>;
 
-const std::vector<Switch>& switches() {
-  static const std::vector<Switch> all = {
+const std::vector<SafeguardSwitch>& switches() {
+  static const std::vector<SafeguardSwitch> all = {
       {"registers.storeIdCheck", [](Safeguards& s) -> bool& { return s.registers.storeIdCheck; }},
       {"registers.persistBeforeAnswer",
        [](Safeguards& s) -> bool& { return s.registers.persistBeforeAnswer; }},
@@ -49,14 +49,14 @@
 
 std::vector<std::string> safeguardNames() {
   std::vector<std::string> names;
-  for (const Switch& entry : switches()) {
+  for (const SafeguardSwitch& entry : switches()) {
     names.emplace_back(entry.first);
   }
   return names;
 }
 
 Status switchOff(Safeguards& safeguards, const std::string& name) {
-  for (const Switch& entry : switches()) {
+  for (const SafeguardSwitch& entry : switches()) {
     if (name == entry.first) {
       entry.second(safeguards) = false;
       return okStatus();
--- a/sim/scenario.h
+++ b/sim/scenario.h
@@ -14,7 +14,7 @@
 namespace shedshed::sim {
 
 /// Everything that a scenario can act on.
-struct Stage {
+struct ScenarioContext {
   World& world;
   SimFleet& fleet;
   OperatorsLoad& operators;
@@ -28,9 +28,9 @@
   virtual ~Scenario() = default;
   virtual const char* name() const = 0;
   /// Changes the load before it starts.
-  virtual void prepare(Stage& stage) { (void)stage; }
+  virtual void prepare(ScenarioContext& context) { (void)context; }
   /// Runs the world and causes the faults. May leave them in force: they are healed afterwards.
-  virtual void play(Stage& stage) = 0;
+  virtual void play(ScenarioContext& context) = 0;
 };
 
 /// Returns a new object of each scenario, in a fixed order.
--- a/sim/scenarios/calm.cpp
+++ b/sim/scenarios/calm.cpp
@@ -8,7 +8,7 @@
 class Calm : public Scenario {
  public:
   const char* name() const override { return "calm"; }
-  void play(Stage& stage) override { stage.world.run(kLength); }
+  void play(ScenarioContext& context) override { context.world.run(kLength); }
 };
 
 }  // namespace
--- a/sim/scenarios/chaos.cpp
+++ b/sim/scenarios/chaos.cpp
@@ -1,4 +1,4 @@
-#include "sim/scenarios/engine_trouble.h"
+#include "sim/scenarios/engine_faults.h"
 #include "sim/scenarios/scenarios.h"
 
 namespace shedshed::sim {
@@ -28,81 +28,82 @@
 class Chaos : public Scenario {
  public:
   const char* name() const override { return "chaos"; }
-  void prepare(Stage& stage) override { answerWrongly(stage); }
-  void play(Stage& stage) override {
+  void prepare(ScenarioContext& context) override { enableFaultyAnswers(context); }
+  void play(ScenarioContext& context) override {
     for (int fault = 0; fault < kFaults; ++fault) {
-      stage.world.run(stage.world.between(Duration{0}, kMaxPause));
-      cause(stage, static_cast<Fault>(stage.world.pick(static_cast<std::size_t>(Fault::Count))));
+      context.world.run(context.world.between(Duration{0}, kMaxPause));
+      injectFault(context,
+                  static_cast<Fault>(context.world.pick(static_cast<std::size_t>(Fault::Count))));
     }
-    stage.world.run(kMaxOutage);
+    context.world.run(kMaxOutage);
   }
 
  private:
-  static void cause(Stage& stage, Fault fault) {
+  static void injectFault(ScenarioContext& context, Fault fault) {
     switch (fault) {
     case Fault::KillControl:
-      kill(stage, anyControl(stage));
+      kill(context, anyControl(context));
       break;
     case Fault::KillFront:
-      kill(stage, stage.fleet.anyFront());
+      kill(context, context.fleet.anyFront());
       break;
     case Fault::KillAllControls:
-      for (const NodeId& id : stage.fleet.controls()) {
-        kill(stage, id);
+      for (const NodeId& id : context.fleet.controls()) {
+        kill(context, id);
       }
       break;
     case Fault::FreezeControl:
-      freeze(stage, anyControl(stage));
+      freeze(context, anyControl(context));
       break;
     case Fault::FreezeFront:
-      freeze(stage, stage.fleet.anyFront());
+      freeze(context, context.fleet.anyFront());
       break;
     case Fault::Cut:
-      cutSome(stage);
+      isolateRandomGroup(context);
       break;
     case Fault::Heal:
-      stage.fleet.heal();
+      context.fleet.heal();
       break;
     case Fault::Messages:
-      disturbMessages(stage);
+      injectMessageFaults(context);
       break;
     default:
-      troubleSomeEngine(stage);
+      injectEngineFault(context);
       break;
     }
   }
 
-  static NodeId anyControl(Stage& stage) {
-    const std::vector<NodeId> controls = stage.fleet.controls();
-    return controls[stage.world.pick(controls.size())];
+  static NodeId anyControl(ScenarioContext& context) {
+    const std::vector<NodeId> controls = context.fleet.controls();
+    return controls[context.world.pick(controls.size())];
   }
-  static void kill(Stage& stage, const NodeId& id) {
-    stage.fleet.kill(id);
-    stage.world.schedule(stage.world.between(kMinOutage, kMaxOutage),
-                         [&stage, id] { stage.fleet.restart(id); });
+  static void kill(ScenarioContext& context, const NodeId& id) {
+    context.fleet.kill(id);
+    context.world.schedule(context.world.between(kMinOutage, kMaxOutage),
+                           [&context, id] { context.fleet.restart(id); });
   }
-  static void freeze(Stage& stage, const NodeId& id) {
-    stage.fleet.freeze(id);
-    stage.world.schedule(stage.world.between(kMinOutage, kMaxFreeze),
-                         [&stage, id] { stage.fleet.wake(id); });
+  static void freeze(ScenarioContext& context, const NodeId& id) {
+    context.fleet.freeze(id);
+    context.world.schedule(context.world.between(kMinOutage, kMaxFreeze),
+                           [&context, id] { context.fleet.unfreeze(id); });
   }
-  static void cutSome(Stage& stage) {
-    const std::vector<NodeId> all = stage.fleet.allNodes();
+  static void isolateRandomGroup(ScenarioContext& context) {
+    const std::vector<NodeId> all = context.fleet.allNodes();
     std::set<NodeId> group;
-    const std::size_t size = 1 + stage.world.pick(kMaxGroup);
+    const std::size_t size = 1 + context.world.pick(kMaxGroup);
     while (group.size() < size) {
-      group.insert(all[stage.world.pick(all.size())]);
+      group.insert(all[context.world.pick(all.size())]);
     }
-    stage.fleet.isolate(group);
-    stage.world.schedule(stage.world.between(kMinOutage, kMaxFreeze),
-                         [&stage] { stage.fleet.heal(); });
+    context.fleet.isolate(group);
+    context.world.schedule(context.world.between(kMinOutage, kMaxFreeze),
+                           [&context] { context.fleet.heal(); });
   }
-  static void disturbMessages(Stage& stage) {
-    stage.fleet.noteFault();
-    NetworkKnobs& network = stage.world.network();
-    network.loss = kMaxMessageFaults * stage.world.chance();
-    network.duplication = kMaxMessageFaults * stage.world.chance();
-    network.lateness = kMaxMessageFaults * stage.world.chance();
+  static void injectMessageFaults(ScenarioContext& context) {
+    context.fleet.recordFault();
+    NetworkOptions& network = context.world.network();
+    network.loss = kMaxMessageFaults * context.world.chance();
+    network.duplication = kMaxMessageFaults * context.world.chance();
+    network.lateness = kMaxMessageFaults * context.world.chance();
   }
 };
 
--- a/sim/scenarios/cuts.cpp
+++ b/sim/scenarios/cuts.cpp
@@ -3,28 +3,29 @@
 namespace shedshed::sim {
 namespace {
 
-constexpr Duration kShort = std::chrono::seconds(1);
-constexpr Duration kLong = std::chrono::seconds(8);
+constexpr Duration kMinPause = std::chrono::seconds(1);
+constexpr Duration kMaxPause = std::chrono::seconds(8);
 constexpr Duration kMinCut = std::chrono::seconds(2);
 constexpr Duration kMaxCut = std::chrono::seconds(30);
 constexpr int kRounds = 2;
-constexpr double kWithFront = 0.3;  ///< Probability that a front is cut off with the machine.
-constexpr int kControlsOfHalf = 3;
+constexpr double kIncludeFrontProbability =
+    0.3;  ///< Probability that a front is cut off with the machine.
+constexpr int kIsolatedControls = 3;
 
 /// Cuts groups off, one after the other.
-void cutGroups(Stage& stage, const std::function<std::set<NodeId>()>& choose) {
+void isolateGroups(ScenarioContext& context, const std::function<std::set<NodeId>()>& choose) {
   for (int round = 0; round < kRounds; ++round) {
-    stage.world.run(stage.world.between(kShort, kLong));
-    stage.fleet.isolate(choose());
-    stage.world.run(stage.world.between(kMinCut, kMaxCut));
-    stage.fleet.heal();
+    context.world.run(context.world.between(kMinPause, kMaxPause));
+    context.fleet.isolate(choose());
+    context.world.run(context.world.between(kMinCut, kMaxCut));
+    context.fleet.heal();
   }
-  stage.world.run(kLong);
+  context.world.run(kMaxPause);
 }
 
-void addSomeFronts(Stage& stage, std::set<NodeId>& group) {
-  for (const NodeId& id : stage.fleet.fronts()) {
-    if (stage.world.chance() < kWithFront) {
+void addSomeFronts(ScenarioContext& context, std::set<NodeId>& group) {
+  for (const NodeId& id : context.fleet.fronts()) {
+    if (context.world.chance() < kIncludeFrontProbability) {
       group.insert(id);
     }
   }
@@ -33,11 +34,11 @@
 class CutControl : public Scenario {
  public:
   const char* name() const override { return "cut-control"; }
-  void play(Stage& stage) override {
-    cutGroups(stage, [&stage] {
-      const std::vector<NodeId> controls = stage.fleet.controls();
-      std::set<NodeId> group{controls[stage.world.pick(controls.size())]};
-      addSomeFronts(stage, group);
+  void play(ScenarioContext& context) override {
+    isolateGroups(context, [&context] {
+      const std::vector<NodeId> controls = context.fleet.controls();
+      std::set<NodeId> group{controls[context.world.pick(controls.size())]};
+      addSomeFronts(context, group);
       return group;
     });
   }
@@ -46,23 +47,24 @@
 class SplitZone : public Scenario {
  public:
   const char* name() const override { return "split-zone"; }
-  void play(Stage& stage) override {
-    cutGroups(stage,
-              [&stage] { return stage.fleet.zone(static_cast<int>(stage.world.pick(kZones))); });
+  void play(ScenarioContext& context) override {
+    isolateGroups(context, [&context] {
+      return context.fleet.zone(static_cast<int>(context.world.pick(kZones)));
+    });
   }
 };
 
 class SplitHalf : public Scenario {
  public:
   const char* name() const override { return "split-half"; }
-  void play(Stage& stage) override {
-    cutGroups(stage, [&stage] {
-      const std::vector<NodeId> controls = stage.fleet.controls();
+  void play(ScenarioContext& context) override {
+    isolateGroups(context, [&context] {
+      const std::vector<NodeId> controls = context.fleet.controls();
       std::set<NodeId> group;
-      while (group.size() < kControlsOfHalf) {
-        group.insert(controls[stage.world.pick(controls.size())]);
+      while (group.size() < kIsolatedControls) {
+        group.insert(controls[context.world.pick(controls.size())]);
       }
-      addSomeFronts(stage, group);
+      addSomeFronts(context, group);
       return group;
     });
   }
--- a/sim/scenarios/engine_faults.cpp
+++ b/sim/scenarios/engine_faults.cpp
@@ -1,4 +1,4 @@
-#include "sim/scenarios/engine_trouble.h"
+#include "sim/scenarios/engine_faults.h"
 #include "sim/scenarios/scenarios.h"
 
 namespace shedshed::sim {
@@ -6,17 +6,17 @@
 
 constexpr Duration kPause = std::chrono::seconds(3);
 constexpr int kRounds = 14;
-constexpr double kWrongAnswers = 0.04;
-constexpr Duration kMinTrouble = std::chrono::seconds(1);
-constexpr Duration kMaxTrouble = std::chrono::seconds(15);
+constexpr double kFaultyAnswerProbability = 0.04;
+constexpr Duration kMinFaultDuration = std::chrono::seconds(1);
+constexpr Duration kMaxFaultDuration = std::chrono::seconds(15);
 constexpr double kSlowdown = 6;
 
-enum class Trouble { Crash, Freeze, Slow, Drain, Count };
+enum class EngineFault { Crash, Freeze, Slow, Drain, Count };
 
-void end(Stage& stage, const std::string& engine) {
-  SimEngines& engines = stage.fleet.engines();
+void endFaults(ScenarioContext& context, const std::string& engine) {
+  SimEngines& engines = context.fleet.engines();
   engines.restart(engine);
-  engines.wake(engine);
+  engines.unfreeze(engine);
   engines.slowDown(engine, 1);
   engines.setDraining(engine, false);
 }
@@ -24,45 +24,46 @@
 class EngineFaults : public Scenario {
  public:
   const char* name() const override { return "engine-faults"; }
-  void prepare(Stage& stage) override { answerWrongly(stage); }
-  void play(Stage& stage) override {
+  void prepare(ScenarioContext& context) override { enableFaultyAnswers(context); }
+  void play(ScenarioContext& context) override {
     for (int round = 0; round < kRounds; ++round) {
-      stage.world.run(stage.world.between(Duration{0}, 2 * kPause));
-      troubleSomeEngine(stage);
+      context.world.run(context.world.between(Duration{0}, 2 * kPause));
+      injectEngineFault(context);
     }
-    stage.world.run(kMaxTrouble);
+    context.world.run(kMaxFaultDuration);
   }
 };
 
 }  // namespace
 
-void answerWrongly(Stage& stage) {
-  EngineKnobs& knobs = stage.fleet.engines().knobs();
-  knobs.crossed = kWrongAnswers;
-  knobs.late = kWrongAnswers;
-  knobs.cut = kWrongAnswers;
+void enableFaultyAnswers(ScenarioContext& context) {
+  SimEngineOptions& options = context.fleet.engines().options();
+  options.mismatched = kFaultyAnswerProbability;
+  options.lateAnswer = kFaultyAnswerProbability;
+  options.truncated = kFaultyAnswerProbability;
 }
 
-void troubleSomeEngine(Stage& stage) {
-  SimEngines& engines = stage.fleet.engines();
+void injectEngineFault(ScenarioContext& context) {
+  SimEngines& engines = context.fleet.engines();
   const std::vector<std::string> all = engines.addresses();
-  const std::string& engine = all[stage.world.pick(all.size())];
-  switch (static_cast<Trouble>(stage.world.pick(static_cast<std::size_t>(Trouble::Count)))) {
-  case Trouble::Crash:
+  const std::string& engine = all[context.world.pick(all.size())];
+  switch (
+      static_cast<EngineFault>(context.world.pick(static_cast<std::size_t>(EngineFault::Count)))) {
+  case EngineFault::Crash:
     engines.crash(engine);
     break;
-  case Trouble::Freeze:
+  case EngineFault::Freeze:
     engines.freeze(engine);
     break;
-  case Trouble::Slow:
+  case EngineFault::Slow:
     engines.slowDown(engine, kSlowdown);
     break;
   default:
     engines.setDraining(engine, true);
     break;
   }
-  stage.world.schedule(stage.world.between(kMinTrouble, kMaxTrouble),
-                       [&stage, engine] { end(stage, engine); });
+  context.world.schedule(context.world.between(kMinFaultDuration, kMaxFaultDuration),
+                         [&context, engine] { endFaults(context, engine); });
 }
 
 std::unique_ptr<Scenario> makeEngineFaults() {
--- a/sim/scenarios/engine_trouble.h
+++ b/sim/scenarios/engine_faults.h
@@ -7,9 +7,9 @@
 namespace shedshed::sim {
 
 /// From now on some answers are crossed, late or cut.
-void answerWrongly(Stage& stage);
+void enableFaultyAnswers(ScenarioContext& context);
 
 /// Crashes, freezes, slows down or drains a random engine for some seconds.
-void troubleSomeEngine(Stage& stage);
+void injectEngineFault(ScenarioContext& context);
 
 }  // namespace shedshed::sim
--- a/sim/scenarios/kill_fronts.cpp
+++ b/sim/scenarios/kill_fronts.cpp
@@ -3,25 +3,25 @@
 namespace shedshed::sim {
 namespace {
 
-constexpr Duration kShort = std::chrono::milliseconds(500);
-constexpr Duration kLong = std::chrono::seconds(10);
+constexpr Duration kMinPause = std::chrono::milliseconds(500);
+constexpr Duration kMaxPause = std::chrono::seconds(10);
 constexpr int kRounds = 4;
-constexpr int kVictims = 4;
+constexpr int kKillsPerRound = 4;
 
 class KillFronts : public Scenario {
  public:
   const char* name() const override { return "kill-fronts"; }
-  void play(Stage& stage) override {
+  void play(ScenarioContext& context) override {
     for (int round = 0; round < kRounds; ++round) {
-      stage.world.run(stage.world.between(kShort, kLong));
-      for (int i = 0; i < kVictims; ++i) {
-        const NodeId id = stage.fleet.anyFront();
-        stage.fleet.kill(id);
-        stage.world.schedule(stage.world.between(kShort, kLong),
-                             [&stage, id] { stage.fleet.restart(id); });
+      context.world.run(context.world.between(kMinPause, kMaxPause));
+      for (int i = 0; i < kKillsPerRound; ++i) {
+        const NodeId id = context.fleet.anyFront();
+        context.fleet.kill(id);
+        context.world.schedule(context.world.between(kMinPause, kMaxPause),
+                               [&context, id] { context.fleet.restart(id); });
       }
     }
-    stage.world.run(kLong);
+    context.world.run(kMaxPause);
   }
 };
 
--- a/sim/scenarios/kill_stores.cpp
+++ b/sim/scenarios/kill_stores.cpp
@@ -3,44 +3,45 @@
 namespace shedshed::sim {
 namespace {
 
-constexpr Duration kShort = std::chrono::milliseconds(500);
-constexpr Duration kLong = std::chrono::seconds(12);
+constexpr Duration kMinPause = std::chrono::milliseconds(500);
+constexpr Duration kMaxPause = std::chrono::seconds(12);
 constexpr Duration kMaxOutage = std::chrono::seconds(4);
 constexpr int kRounds = 3;
-constexpr double kRegistersToo = 0.4;
+constexpr double kIncludeRegistersProbability = 0.4;
 
 class KillOneStore : public Scenario {
  public:
   const char* name() const override { return "kill-one-store"; }
-  void play(Stage& stage) override {
+  void play(ScenarioContext& context) override {
     for (int round = 0; round < kRounds; ++round) {
-      stage.world.run(stage.world.between(kShort, kLong));
-      const NodeId store = stage.fleet.stores()[stage.world.pick(stage.fleet.stores().size())];
-      stage.fleet.kill(store);
-      stage.world.run(stage.world.between(kShort, kLong));
-      stage.fleet.restart(store);
+      context.world.run(context.world.between(kMinPause, kMaxPause));
+      const NodeId store =
+          context.fleet.stores()[context.world.pick(context.fleet.stores().size())];
+      context.fleet.kill(store);
+      context.world.run(context.world.between(kMinPause, kMaxPause));
+      context.fleet.restart(store);
     }
-    stage.world.run(kLong);
+    context.world.run(kMaxPause);
   }
 };
 
 class KillAllStores : public Scenario {
  public:
   const char* name() const override { return "kill-all-stores"; }
-  void play(Stage& stage) override {
+  void play(ScenarioContext& context) override {
     for (int round = 0; round < kRounds; ++round) {
-      stage.world.run(stage.world.between(kShort, kLong));
-      const bool all = stage.world.chance() < kRegistersToo;
-      const std::vector<NodeId> victims = all ? stage.fleet.controls() : stage.fleet.stores();
+      context.world.run(context.world.between(kMinPause, kMaxPause));
+      const bool all = context.world.chance() < kIncludeRegistersProbability;
+      const std::vector<NodeId> victims = all ? context.fleet.controls() : context.fleet.stores();
       for (const NodeId& id : victims) {
-        stage.fleet.kill(id);
+        context.fleet.kill(id);
       }
       for (const NodeId& id : victims) {
-        stage.world.schedule(stage.world.between(kShort, kMaxOutage),
-                             [&stage, id] { stage.fleet.restart(id); });
+        context.world.schedule(context.world.between(kMinPause, kMaxOutage),
+                               [&context, id] { context.fleet.restart(id); });
       }
     }
-    stage.world.run(kLong);
+    context.world.run(kMaxPause);
   }
 };
 
--- a/sim/scenarios/operators.cpp
+++ b/sim/scenarios/operators.cpp
@@ -15,34 +15,34 @@
 class LostAnswers : public Scenario {
  public:
   const char* name() const override { return "lost-answers"; }
-  void prepare(Stage& stage) override {
-    stage.operators.knobs().lostAnswers = kLostAnswers;
-    NetworkKnobs& network = stage.world.network();
+  void prepare(ScenarioContext& context) override {
+    context.operators.options().lostAnswers = kLostAnswers;
+    NetworkOptions& network = context.world.network();
     network.loss = kMessageFaults;
     network.duplication = kMessageFaults;
     network.lateness = kMessageFaults;
   }
-  void play(Stage& stage) override { stage.world.run(kLength); }
+  void play(ScenarioContext& context) override { context.world.run(kLength); }
 };
 
 class RacingOperators : public Scenario {
  public:
   const char* name() const override { return "racing-operators"; }
-  void prepare(Stage& stage) override {
-    stage.operators.knobs().operators = kRacingOperators;
-    stage.operators.knobs().pause = kRacingPause;
-    stage.world.network().loss = kMessageFaults;
+  void prepare(ScenarioContext& context) override {
+    context.operators.options().operators = kRacingOperators;
+    context.operators.options().pause = kRacingPause;
+    context.world.network().loss = kMessageFaults;
   }
-  void play(Stage& stage) override {
-    const std::vector<NodeId> controls = stage.fleet.controls();
+  void play(ScenarioContext& context) override {
+    const std::vector<NodeId> controls = context.fleet.controls();
     for (int outage = 0; outage < kOutages; ++outage) {
-      stage.world.run(stage.world.between(kMinOutage, kMaxOutage));
-      const NodeId& id = controls[stage.world.pick(controls.size())];
-      stage.fleet.kill(id);
-      stage.world.schedule(stage.world.between(kMinOutage, kMaxOutage),
-                           [&stage, id] { stage.fleet.restart(id); });
+      context.world.run(context.world.between(kMinOutage, kMaxOutage));
+      const NodeId& id = controls[context.world.pick(controls.size())];
+      context.fleet.kill(id);
+      context.world.schedule(context.world.between(kMinOutage, kMaxOutage),
+                             [&context, id] { context.fleet.restart(id); });
     }
-    stage.world.run(kMaxOutage);
+    context.world.run(kMaxOutage);
   }
 };
 
--- a/sim/scenarios/power_loss.cpp
+++ b/sim/scenarios/power_loss.cpp
@@ -6,38 +6,39 @@
 constexpr Duration kLength = std::chrono::seconds(60);
 constexpr Duration kMinOutage = std::chrono::milliseconds(100);
 constexpr Duration kMaxOutage = std::chrono::seconds(3);
-constexpr double kLosses = 0.25;  ///< Share of the acknowledgements that a loss follows.
-constexpr double kAllAtOnce = 0.5;
+constexpr double kPowerLossProbability =
+    0.25;  ///< Share of the acknowledgements that a loss follows.
+constexpr double kAllNodesProbability = 0.5;
 
 class PowerLoss : public Scenario {
  public:
   const char* name() const override { return "power-loss"; }
-  void prepare(Stage& stage) override {
-    stage.fleet.setAcknowledgedHook([this, &stage] { acknowledged(stage); });
+  void prepare(ScenarioContext& context) override {
+    context.fleet.setAcknowledgedHook([this, &context] { acknowledged(context); });
   }
-  void play(Stage& stage) override {
-    stage.world.run(kLength);
-    stage.fleet.setAcknowledgedHook(nullptr);
+  void play(ScenarioContext& context) override {
+    context.world.run(kLength);
+    context.fleet.setAcknowledgedHook(nullptr);
   }
 
  private:
-  static void acknowledged(Stage& stage) {
-    if (stage.world.chance() >= kLosses) {
+  static void acknowledged(ScenarioContext& context) {
+    if (context.world.chance() >= kPowerLossProbability) {
       return;
     }
-    const std::vector<NodeId> controls = stage.fleet.controls();
-    if (stage.world.chance() >= kAllAtOnce) {
-      lose(stage, controls[stage.world.pick(controls.size())]);
+    const std::vector<NodeId> controls = context.fleet.controls();
+    if (context.world.chance() >= kAllNodesProbability) {
+      cutPower(context, controls[context.world.pick(controls.size())]);
       return;
     }
     for (const NodeId& id : controls) {
-      lose(stage, id);
+      cutPower(context, id);
     }
   }
-  static void lose(Stage& stage, const NodeId& id) {
-    stage.fleet.kill(id);
-    stage.world.schedule(stage.world.between(kMinOutage, kMaxOutage),
-                         [&stage, id] { stage.fleet.restart(id); });
+  static void cutPower(ScenarioContext& context, const NodeId& id) {
+    context.fleet.kill(id);
+    context.world.schedule(context.world.between(kMinOutage, kMaxOutage),
+                           [&context, id] { context.fleet.restart(id); });
   }
 };
 
--- a/sim/scenarios/replace_stores.cpp
+++ b/sim/scenarios/replace_stores.cpp
@@ -3,62 +3,66 @@
 namespace shedshed::sim {
 namespace {
 
-constexpr Duration kShort = std::chrono::seconds(2);
-constexpr Duration kLong = std::chrono::seconds(8);
-constexpr Duration kResend = std::chrono::seconds(3);
-constexpr Duration kReplacementLimit = std::chrono::seconds(60);
+constexpr Duration kMaxReplacementDelay = std::chrono::seconds(2);
+constexpr Duration kSettleTime = std::chrono::seconds(8);
+constexpr Duration kResendInterval = std::chrono::seconds(3);
+constexpr Duration kReplacementTimeout = std::chrono::seconds(60);
 
 /// Loses every one of the first stores with its disk. The next loss follows at the instant at which
 /// the repair after the last one is reported done, so that in the end only newcomers hold the data.
 class ReplaceStores : public Scenario {
  public:
   const char* name() const override { return "replace-stores"; }
-  void play(Stage& stage) override {
-    stage.world.run(kLong);
-    const std::vector<NodeId> firstStores = stage.fleet.stores();
+  void play(ScenarioContext& context) override {
+    context.world.run(kSettleTime);
+    const std::vector<NodeId> firstStores = context.fleet.stores();
     for (const NodeId& store : firstStores) {
-      stage.fleet.destroy(store);
-      stage.world.run(stage.world.between(Duration{0}, kShort));
-      if (!replace(stage, store, stage.fleet.addStore())) {
-        stage.fleet.traceOwners();
-        stage.world.violation("a store can be replaced", store.address);
+      context.fleet.destroy(store);
+      context.world.run(context.world.between(Duration{0}, kMaxReplacementDelay));
+      if (!replace(context, store, context.fleet.addStore())) {
+        context.fleet.traceOwners();
+        context.world.violation("a store can be replaced", store.address);
         return;
       }
     }
-    stage.world.run(kLong);
+    context.world.run(kSettleTime);
   }
 
  private:
-  static bool replace(Stage& stage, const NodeId& oldId, const NodeId& newId) {
+  static bool replace(ScenarioContext& context, const NodeId& oldId, const NodeId& newId) {
     const auto done = std::make_shared<bool>(false);
-    order(stage, oldId, newId, done);
-    const auto repaired = [&stage, newId, done] {
+    sendReplacement(context, oldId, newId, done);
+    const auto repaired = [&context, newId, done] {
       return *done &&
-             stage.fleet.control(newId)->store->partitions.repairProgress().replacementComplete();
+             context.fleet.control(newId)->store->partitions.repairProgress().replacementComplete();
     };
-    const bool result = stage.world.runUntil(repaired, kReplacementLimit);
-    const RepairProgress progress = stage.fleet.control(newId)->store->partitions.repairProgress();
-    stage.world.trace("newcomer holds " + std::to_string(progress.caughtUp) + " and counts in " +
-                      std::to_string(progress.countedAsReplica) + " of " +
-                      std::to_string(progress.total) + " partitions");
+    const bool result = context.world.runUntil(repaired, kReplacementTimeout);
+    const RepairProgress progress =
+        context.fleet.control(newId)->store->partitions.repairProgress();
+    context.world.trace("newcomer holds " + std::to_string(progress.caughtUp) + " and counts in " +
+                        std::to_string(progress.countedAsReplica) + " of " +
+                        std::to_string(progress.total) + " partitions");
     return result;
   }
 
-  static void order(Stage& stage, const NodeId& oldId, const NodeId& newId,
-                    const std::shared_ptr<bool>& done) {
+  static void sendReplacement(ScenarioContext& context, const NodeId& oldId, const NodeId& newId,
+                              const std::shared_ptr<bool>& done) {
     if (*done) {
       return;
     }
-    const NodeId by = stage.fleet.registers()[stage.world.pick(stage.fleet.registers().size())];
-    stage.fleet.replaceStore(by, oldId, newId, [&stage, done](const Result<MemberList>& members) {
-      stage.world.trace(std::string("replacement answered ") +
-                        (members ? "done"
-                                 : members.error().detail + " code " +
-                                       std::string(errorTypeName(members.error().code))));
-      *done = *done || static_cast<bool>(members);
+    const NodeId by =
+        context.fleet.registers()[context.world.pick(context.fleet.registers().size())];
+    context.fleet.replaceStore(
+        by, oldId, newId, [&context, done](const Result<MemberList>& members) {
+          context.world.trace(std::string("replacement answered ") +
+                              (members ? "done"
+                                       : members.error().detail + " code " +
+                                             std::string(errorTypeName(members.error().code))));
+          *done = *done || static_cast<bool>(members);
+        });
+    context.world.schedule(kResendInterval, [&context, oldId, newId, done] {
+      sendReplacement(context, oldId, newId, done);
     });
-    stage.world.schedule(kResend,
-                         [&stage, oldId, newId, done] { order(stage, oldId, newId, done); });
   }
 };
 
--- a/sim/scenarios/rolling_restart.cpp
+++ b/sim/scenarios/rolling_restart.cpp
@@ -5,32 +5,33 @@
 
 constexpr Duration kFrontPause = std::chrono::seconds(2);
 constexpr Duration kControlPause = std::chrono::seconds(6);
-constexpr Duration kDrainLimit = std::chrono::seconds(25);
+constexpr Duration kDrainTimeout = std::chrono::seconds(25);
 constexpr Duration kDownTime = std::chrono::milliseconds(500);
 
 class RollingRestart : public Scenario {
  public:
   const char* name() const override { return "rolling-restart"; }
-  void play(Stage& stage) override {
-    for (const NodeId& id : stage.fleet.controls()) {
-      stage.fleet.control(id)->directory.announceDraining(true);
-      bounce(stage, id);
-      stage.world.run(kControlPause);
+  void play(ScenarioContext& context) override {
+    for (const NodeId& id : context.fleet.controls()) {
+      context.fleet.control(id)->directory.announceDraining(true);
+      restartNode(context, id);
+      context.world.run(kControlPause);
     }
-    for (const NodeId& id : stage.fleet.fronts()) {
-      stage.fleet.noteFault();
-      stage.fleet.front(id)->drain();
-      stage.world.runUntil([&stage, id] { return stage.fleet.front(id)->idle(); }, kDrainLimit);
-      bounce(stage, id);
-      stage.world.run(kFrontPause);
+    for (const NodeId& id : context.fleet.fronts()) {
+      context.fleet.recordFault();
+      context.fleet.front(id)->drain();
+      context.world.runUntil([&context, id] { return context.fleet.front(id)->idle(); },
+                             kDrainTimeout);
+      restartNode(context, id);
+      context.world.run(kFrontPause);
     }
   }
 
  private:
-  static void bounce(Stage& stage, const NodeId& id) {
-    stage.fleet.kill(id);
-    stage.world.run(kDownTime);
-    stage.fleet.restart(id);
+  static void restartNode(ScenarioContext& context, const NodeId& id) {
+    context.fleet.kill(id);
+    context.world.run(kDownTime);
+    context.fleet.restart(id);
   }
 };
 
--- a/sim/settings_log.cpp
+++ b/sim/settings_log.cpp
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void SettingsLog::sawValue(const RegisterValue& value, const std::string& where) {
+void SettingsLog::checkValue(const RegisterValue& value, const std::string& where) {
   if (value.version == 0) {
     return;
   }
@@ -27,7 +27,7 @@
   }
 }
 
-void SettingsLog::noteAcknowledged(std::uint64_t version, const std::string& value) {
+void SettingsLog::recordAcknowledgement(std::uint64_t version, const std::string& value) {
   if (version > newestAcknowledged_) {
     newestAcknowledged_ = version;
     versions_.emplace_back(world_.now(), version);
@@ -48,8 +48,8 @@
     if (!known.second && known.first->second != version) {
       world_.violation("a resent order gets the first answer", orderId);
     }
-    sawValue({version, value}, "the answer to " + orderId);
-    noteAcknowledged(version, value);
+    checkValue({version, value}, "the answer to " + orderId);
+    recordAcknowledgement(version, value);
     return;
   }
   const ErrorCode code = outcome.error().code;
@@ -70,11 +70,11 @@
     world_.violation("the newest acknowledged version is read back",
                      std::to_string(value.version) + " < " + std::to_string(newestBefore));
   }
-  sawValue(value, "a read");
+  checkValue(value, "a read");
 }
 
 void SettingsLog::adopted(const NodeId& node, const RegisterValue& value) {
-  sawValue(value, node.address);
+  checkValue(value, node.address);
   std::uint64_t& newest = adopted_[node];
   if (value.version < newest) {
     world_.violation("a node never slips back", node.address + " adopts " +
--- a/sim/sim_disk.cpp
+++ b/sim/sim_disk.cpp
@@ -4,44 +4,44 @@
 namespace {
 
 /// Small files, so that a run wraps the ring many times.
-LogStoreOptions smallRing() {
-  LogStoreOptions knobs;
-  knobs.segmentBytes = 256U << 10U;
-  knobs.segmentCount = 8;
-  return knobs;
+LogStoreOptions smallStoreOptions() {
+  LogStoreOptions options;
+  options.segmentBytes = 256U << 10U;
+  options.segmentCount = 8;
+  return options;
 }
 
 }  // namespace
 
 Status SimDisk::open(RandomEngine& random) {
   Result<std::unique_ptr<LogStructuredStore>> opened =
-      LogStructuredStore::open(files_, "disk", smallRing(), random);
+      LogStructuredStore::open(files_, "disk", smallStoreOptions(), random);
   if (!opened) {
     return opened.error();
   }
-  ring_ = std::move(opened.value());
+  store_ = std::move(opened.value());
   return okStatus();
 }
 
 void SimDisk::crash(RandomEngine& random) {
-  ring_.reset();
+  store_.reset();
   files_.crash(random);
-  runningUntil_ = Time{};
-  nextUntil_ = Time{};
+  currentSyncEnd_ = Time{};
+  nextSyncEnd_ = Time{};
 }
 
 Time SimDisk::syncedAt(Time now, Duration delay) {
-  if (now >= runningUntil_ && nextUntil_ > now) {
-    runningUntil_ = nextUntil_;
+  if (now >= currentSyncEnd_ && nextSyncEnd_ > now) {
+    currentSyncEnd_ = nextSyncEnd_;
   }
-  if (now >= runningUntil_) {
-    runningUntil_ = now + delay;
-    return runningUntil_;
+  if (now >= currentSyncEnd_) {
+    currentSyncEnd_ = now + delay;
+    return currentSyncEnd_;
   }
-  if (nextUntil_ <= runningUntil_) {
-    nextUntil_ = runningUntil_ + delay;
+  if (nextSyncEnd_ <= currentSyncEnd_) {
+    nextSyncEnd_ = currentSyncEnd_ + delay;
   }
-  return nextUntil_;
+  return nextSyncEnd_;
 }
 
 }  // namespace shedshed::sim
--- a/sim/sim_disk.h
+++ b/sim/sim_disk.h
@@ -17,10 +17,10 @@
   /// Opens or creates the ring, as a process does at its start.
   Status open(RandomEngine& random);
 
-  Status append(const std::vector<Mutation>& mutations) { return ring_->append(mutations); }
-  Status sync() { return ring_->sync(); }
-  const RecordReader& records() const { return *ring_; }
-  const std::string& storeId() const { return ring_->storeId(); }
+  Status append(const std::vector<Mutation>& mutations) { return store_->append(mutations); }
+  Status sync() { return store_->sync(); }
+  const RecordReader& records() const { return *store_; }
+  const std::string& storeId() const { return store_->storeId(); }
 
   /// Power loss.
   void crash(RandomEngine& random);
@@ -33,9 +33,9 @@
 
  private:
   FakeFileSystem files_;
-  std::unique_ptr<LogStructuredStore> ring_;
-  Time runningUntil_{};  ///< End of the sync that runs, or ran last.
-  Time nextUntil_{};     ///< End of the sync that follows it, if somebody waits for one.
+  std::unique_ptr<LogStructuredStore> store_;
+  Time currentSyncEnd_{};  ///< End of the sync that runs, or ran last.
+  Time nextSyncEnd_{};     ///< End of the sync that follows it, if somebody waits for one.
 };
 
 }  // namespace shedshed::sim
--- a/sim/sim_engine.cpp
+++ b/sim/sim_engine.cpp
@@ -6,8 +6,8 @@
 namespace shedshed::sim {
 namespace {
 
-constexpr Duration kMinTravel = std::chrono::microseconds(200);
-constexpr Duration kMaxTravel = std::chrono::milliseconds(2);
+constexpr Duration kMinNetworkDelay = std::chrono::microseconds(200);
+constexpr Duration kMaxNetworkDelay = std::chrono::milliseconds(2);
 /// An answer that is late is later than any front waits.
 constexpr Duration kLateAnswer = std::chrono::seconds(30);
 constexpr Duration kExchangeTimeout = std::chrono::seconds(20);
@@ -49,8 +49,8 @@
   return result;
 }
 
-Duration SimEngines::travel() {
-  return world_.between(kMinTravel, kMaxTravel);
+Duration SimEngines::networkDelay() {
+  return world_.between(kMinNetworkDelay, kMaxNetworkDelay);
 }
 
 void SimEngines::runOrHold(Engine& engine, std::function<void()> event) {
@@ -70,7 +70,7 @@
     health.running = engine.running;
     health.maxRunning = engine.listed.maxRunning;
   }
-  const Duration after = engine.frozen ? kProbeTimeout : travel() + travel();
+  const Duration after = engine.frozen ? kProbeTimeout : networkDelay() + networkDelay();
   world_.schedule(after, [done = std::move(done), health] { done(health); });
 }
 
@@ -83,9 +83,9 @@
   if (drainChecked_ && draining && world_.now() - *engine.drainingSince > kStopBound) {
     world_.violation("a draining engine gets no new request", engine.listed.id);
   }
-  world_.schedule(travel(), [this, &engine, exchange] {
+  world_.schedule(networkDelay(), [this, &engine, exchange] {
     if (!engine.up) {
-      answer(exchange, travel(), makeError(ErrorCode::EngineFailed, "connection refused"));
+      answer(exchange, networkDelay(), makeError(ErrorCode::EngineFailed, "connection refused"));
       return;
     }
     engine.open[exchange->number] = exchange;
@@ -119,8 +119,9 @@
 
 void SimEngines::begin(Engine& engine, const Open& exchange) {
   ++engine.running;
-  const bool isLong = world_.chance() < knobs_.longRuns;
-  const Duration run = world_.between(knobs_.minRun, isLong ? knobs_.maxLongRun : knobs_.maxRun);
+  const bool isLong = world_.chance() < options_.longRuns;
+  const Duration run =
+      world_.between(options_.minRun, isLong ? options_.maxLongRun : options_.maxRun);
   const Duration slowed(
       static_cast<Duration::rep>(static_cast<double>(run.count()) * engine.slowdown));
   world_.schedule(slowed, [this, &engine, process = engine.process, exchange] {
@@ -139,17 +140,18 @@
     engine.waiting.pop_front();
     begin(engine, next);
   }
-  EngineAnswer whole{kHttpOk, answerPrefix(exchange->call.body) + std::to_string(++lastNonce_)};
+  EngineAnswer fullAnswer{kHttpOk,
+                          answerPrefix(exchange->call.body) + std::to_string(++lastNonce_)};
   const double fault = world_.chance();
-  if (fault < knobs_.crossed) {
-    answer(exchange, travel(),
+  if (fault < options_.mismatched) {
+    answer(exchange, networkDelay(),
            makeError(ErrorCode::ResponseMismatch, "another request's answer", Ran::Unknown));
-  } else if (fault < knobs_.crossed + knobs_.cut) {
-    answer(exchange, travel(), makeError(ErrorCode::EngineFailed, "cut", Ran::Unknown));
-  } else if (fault < knobs_.crossed + knobs_.cut + knobs_.late) {
-    answer(exchange, kLateAnswer, std::move(whole));
+  } else if (fault < options_.mismatched + options_.truncated) {
+    answer(exchange, networkDelay(), makeError(ErrorCode::EngineFailed, "cut", Ran::Unknown));
+  } else if (fault < options_.mismatched + options_.truncated + options_.lateAnswer) {
+    answer(exchange, kLateAnswer, std::move(fullAnswer));
   } else {
-    answer(exchange, travel(), std::move(whole));
+    answer(exchange, networkDelay(), std::move(fullAnswer));
   }
 }
 
@@ -164,7 +166,7 @@
   engine.running = 0;
   engine.drainingSince.reset();
   for (const auto& open : engine.open) {
-    answer(open.second, travel(), makeError(ErrorCode::EngineFailed, "reset", Ran::Unknown));
+    answer(open.second, networkDelay(), makeError(ErrorCode::EngineFailed, "reset", Ran::Unknown));
   }
   engine.open.clear();
 }
@@ -183,7 +185,7 @@
   engine.frozen = engine.up;
 }
 
-void SimEngines::wake(const std::string& address) {
+void SimEngines::unfreeze(const std::string& address) {
   Engine& engine = engines_.at(address);
   engine.frozen = false;
   std::vector<std::function<void()>> held;
@@ -208,16 +210,16 @@
 }
 
 void SimEngines::heal() {
-  knobs_ = EngineKnobs{};
+  options_ = SimEngineOptions{};
   for (auto& entry : engines_) {
     restart(entry.first);
-    wake(entry.first);
+    unfreeze(entry.first);
     entry.second.slowdown = 1;
     entry.second.drainingSince.reset();
   }
 }
 
-void FrontEngines::probe(const std::string& address, std::function<void(EngineHealth)> done) {
+void FrontEngineClient::probe(const std::string& address, std::function<void(EngineHealth)> done) {
   auto result = std::make_shared<EngineHealth>();
   const auto guarded = node_.inThisProcess([done = std::move(done), result] { done(*result); });
   engines_.probe(address, [guarded, result](EngineHealth health) {
@@ -226,12 +228,12 @@
   });
 }
 
-void FrontEngines::run(EngineCall call, std::function<void(Result<EngineAnswer>)> done) {
+void FrontEngineClient::run(EngineCall call, std::function<void(Result<EngineAnswer>)> done) {
   runLive(std::move(call), false, std::move(done));
 }
 
-void FrontEngines::runLive(EngineCall call, bool repeatable,
-                           std::function<void(Result<EngineAnswer>)> done) {
+void FrontEngineClient::runLive(EngineCall call, bool repeatable,
+                                std::function<void(Result<EngineAnswer>)> done) {
   const auto attempt = std::make_shared<Attempt>();
   attempt->call = std::move(call);
   attempt->repeatable = repeatable;
@@ -239,7 +241,7 @@
   tryNext(attempt, makeError(ErrorCode::NoEngine));
 }
 
-std::string FrontEngines::choose(const Attempt& attempt) {
+std::string FrontEngineClient::choose(const Attempt& attempt) {
   if (node_.world().now() >= source_->freshUntil()) {
     return {};
   }
@@ -253,12 +255,12 @@
   return ready.empty() ? std::string() : ready[node_.world().pick(ready.size())];
 }
 
-void FrontEngines::tryNext(const std::shared_ptr<Attempt>& attempt, const Error& last) {
+void FrontEngineClient::tryNext(const std::shared_ptr<Attempt>& attempt, const Error& last) {
   const std::string address = choose(*attempt);
   if (address.empty() || attempt->connects >= kMaxConnects) {
     const auto guarded =
         node_.inThisProcess([attempt, last] { attempt->done(Result<EngineAnswer>(last)); });
-    node_.world().schedule(kMinTravel, guarded);
+    node_.world().schedule(kMinNetworkDelay, guarded);
     return;
   }
   ++attempt->connects;
@@ -272,8 +274,8 @@
   });
 }
 
-void FrontEngines::answered(const std::shared_ptr<Attempt>& attempt,
-                            const Result<EngineAnswer>& result) {
+void FrontEngineClient::answered(const std::shared_ptr<Attempt>& attempt,
+                                 const Result<EngineAnswer>& result) {
   if (result) {
     attempt->done(result);
     return;
--- a/sim/sim_engine.h
+++ b/sim/sim_engine.h
@@ -21,10 +21,10 @@
 std::string answerPrefix(const std::string& body);
 
 /// Probabilities of faulty answers, per request.
-struct EngineKnobs {
-  double crossed = 0;  ///< The answer belongs to another request.
-  double late = 0;     ///< The answer comes after the front has given up.
-  double cut = 0;      ///< The connection ends within the answer.
+struct SimEngineOptions {
+  double mismatched = 0;  ///< The answer belongs to another request.
+  double lateAnswer = 0;  ///< The answer comes after the front has given up.
+  double truncated = 0;   ///< The connection ends within the answer.
   Duration minRun = std::chrono::milliseconds(200);
   Duration maxRun = std::chrono::milliseconds(2500);
   double longRuns = 0.1;  ///< Runs that outlive the time to live of their slots.
@@ -39,7 +39,7 @@
   SimEngines(World& world, RunLog& runs) : world_(world), runs_(runs) {}
 
   void add(ListedEngine engine);
-  EngineKnobs& knobs() { return knobs_; }
+  SimEngineOptions& options() { return options_; }
   /// The JSON of the engines register.
   std::string listing() const;
   std::vector<std::string> addresses() const;
@@ -53,7 +53,7 @@
   void crash(const std::string& address);
   void restart(const std::string& address);
   void freeze(const std::string& address);
-  void wake(const std::string& address);
+  void unfreeze(const std::string& address);
   void slowDown(const std::string& address, double factor);
   void setDraining(const std::string& address, bool draining);
   /// Ends all faults of engines.
@@ -82,7 +82,7 @@
     std::vector<std::function<void()>> held;  ///< Events that wait for a frozen engine.
   };
 
-  Duration travel();
+  Duration networkDelay();
   void receive(Engine& engine, const Open& exchange);
   void begin(Engine& engine, const Open& exchange);
   void finish(Engine& engine, std::uint64_t process, const Open& exchange);
@@ -91,7 +91,7 @@
 
   World& world_;
   RunLog& runs_;
-  EngineKnobs knobs_;
+  SimEngineOptions options_;
   std::map<std::string, Engine> engines_;  ///< By address.
   std::uint64_t lastExchange_ = 0;
   std::uint64_t lastNonce_ = 0;
@@ -100,9 +100,9 @@
 
 /// One front's way to the engines: routing and the at-most-once rule, as in `serving/`, without
 /// HTTP. This is a model of that code, not the code itself.
-class FrontEngines : public EngineProbe, public EngineRunner {
+class FrontEngineClient : public EngineProbe, public EngineRunner {
  public:
-  FrontEngines(SimNode& node, SimEngines& engines) : node_(node), engines_(engines) {}
+  FrontEngineClient(SimNode& node, SimEngines& engines) : node_(node), engines_(engines) {}
 
   /// Called once, before the first run. @p source must outlive this.
   void setSource(const EngineSource& source) { source_ = &source; }
--- a/sim/sim_fleet.cpp
+++ b/sim/sim_fleet.cpp
@@ -7,14 +7,14 @@
 
 constexpr int kStores = 3;
 constexpr int kRegisters = 3;
-constexpr std::uint32_t kEngineRoom = 8;
+constexpr std::uint32_t kEngineMaxRunning = 8;
 constexpr std::size_t kSeeds = 3;
 /// Machines do not start at the same instant; else all their timers would stay in step.
 constexpr Duration kStartSpread = std::chrono::seconds(1);
-constexpr Duration kTick = std::chrono::milliseconds(20);
-constexpr Duration kFormLimit = std::chrono::seconds(20);
+constexpr Duration kCheckInterval = std::chrono::milliseconds(20);
+constexpr Duration kFormTimeout = std::chrono::seconds(20);
 /// A healthy fleet has had this long to get over its last fault.
-constexpr Duration kGetOver = std::chrono::seconds(15);
+constexpr Duration kRecoveryTime = std::chrono::seconds(15);
 
 std::string addressOf(NodeRole role, int index) {
   const std::string host = std::to_string(index + 1);
@@ -44,7 +44,7 @@
   }
   for (int i = 0; i < kEngines; ++i) {
     const std::string name = std::to_string(i + 1);
-    engines_.add({"engine" + name, "10.0.4." + name + ":8000", kModel, kEngineRoom});
+    engines_.add({"engine" + name, "10.0.4." + name + ":8000", kModel, kEngineMaxRunning});
   }
 }
 
@@ -97,11 +97,11 @@
       ->registers.formFleet(acceptors, stores_, 0, [&formed](const Result<MemberList>& members) {
         formed = static_cast<bool>(members);
       });
-  world_.runUntil([&formed] { return formed.has_value(); }, kFormLimit);
+  world_.runUntil([&formed] { return formed.has_value(); }, kFormTimeout);
   if (!formed.value_or(false)) {
     return false;
   }
-  everyTick();
+  runPeriodicChecks();
   return true;
 }
 
@@ -145,32 +145,32 @@
   return up.empty() ? fronts_[0] : up[world_.pick(up.size())];
 }
 
-void SimFleet::noteFault() {
+void SimFleet::recordFault() {
   lastFault_ = world_.now();
 }
 
 void SimFleet::kill(const NodeId& id) {
-  noteFault();
+  recordFault();
   node(id).kill();
 }
 
 void SimFleet::restart(const NodeId& id) {
-  noteFault();
+  recordFault();
   node(id).start();
 }
 
 void SimFleet::freeze(const NodeId& id) {
-  noteFault();
+  recordFault();
   node(id).freeze();
 }
 
-void SimFleet::wake(const NodeId& id) {
-  noteFault();
-  node(id).wake();
+void SimFleet::unfreeze(const NodeId& id) {
+  recordFault();
+  node(id).unfreeze();
 }
 
 void SimFleet::isolate(const std::set<NodeId>& group) {
-  noteFault();
+  recordFault();
   std::string names;
   for (const NodeId& id : group) {
     names += " " + id.address;
@@ -180,17 +180,17 @@
 }
 
 void SimFleet::heal() {
-  noteFault();
+  recordFault();
   world_.trace("network heals");
   world_.healAll();
 }
 
-void SimFleet::healEverything() {
+void SimFleet::healAllFaults() {
   heal();
-  world_.network() = NetworkKnobs{};
+  world_.network() = NetworkOptions{};
   engines_.heal();
   for (const NodeId& id : allNodes()) {
-    node(id).wake();
+    node(id).unfreeze();
     node(id).start();
   }
 }
@@ -227,9 +227,9 @@
 }
 
 bool SimFleet::healthySince(Time since) const {
-  const NetworkKnobs& network = world_.network();
+  const NetworkOptions& network = world_.network();
   const bool goodNetwork = network.loss == 0 && network.lateness == 0 && !world_.anyCut();
-  return goodNetwork && lastFault_ + kGetOver <= since;
+  return goodNetwork && lastFault_ + kRecoveryTime <= since;
 }
 
 void SimFleet::traceOwners() {
@@ -259,23 +259,23 @@
   }
 }
 
-void SimFleet::checkInForce(std::uint64_t version, Time since) {
+void SimFleet::checkAdoption(std::uint64_t version, Time since) {
   if (!healthySince(since)) {
     return;
   }
   for (const NodeId& id : fronts_) {
-    const bool takesPart = node(id).up() && !node(id).frozen();
-    if (takesPart && front(id)->cores.configuration.current(kSettingsRegister).version < version) {
+    const bool active = node(id).up() && !node(id).frozen();
+    if (active && front(id)->cores.configuration.current(kSettingsRegister).version < version) {
       world_.violation("a new setting is in force in time",
                        "version " + std::to_string(version) + " at " + id.address);
     }
   }
 }
 
-void SimFleet::everyTick() {
+void SimFleet::runPeriodicChecks() {
   checkSlots();
-  checkCutOff();
-  world_.schedule(kTick, [this] { everyTick(); });
+  checkIsolatedNodes();
+  world_.schedule(kCheckInterval, [this] { runPeriodicChecks(); });
 }
 
 /// No number of a pool has two holders that both count it as held for sure.
@@ -311,18 +311,18 @@
 }
 
 /// A control node that was cut off from the majority for long proves nothing and owns nothing.
-void SimFleet::checkCutOff() {
+void SimFleet::checkIsolatedNodes() {
   if (!world_.anyCut()) {
-    cutOffSince_.clear();
+    isolatedSince_.clear();
     return;
   }
   for (const NodeId& id : controls()) {
     if (!node(id).up() || node(id).frozen() || reachesMajority(id)) {
-      cutOffSince_.erase(id);
+      isolatedSince_.erase(id);
       continue;
     }
-    const Time since = cutOffSince_.emplace(id, world_.now()).first->second;
-    if (world_.now() - since < kCutOffBound) {
+    const Time since = isolatedSince_.emplace(id, world_.now()).first->second;
+    if (world_.now() - since < kIsolationBound) {
       continue;
     }
     const ControlCores& cores = *control(id);
--- a/sim/sim_fleet.h
+++ b/sim/sim_fleet.h
@@ -42,7 +42,7 @@
   /// True if no call and no batch item is under way.
   bool idle() const { return calls_ == 0 && cores.runner->idle(); }
 
-  FrontEngines engines;
+  FrontEngineClient engines;
   DataCores cores;
 
  private:
@@ -86,13 +86,13 @@
   void kill(const NodeId& id);
   void restart(const NodeId& id);
   void freeze(const NodeId& id);
-  void wake(const NodeId& id);
+  void unfreeze(const NodeId& id);
   void isolate(const std::set<NodeId>& group);
   void heal();
   /// Ends all faults: network, cuts, frozen and dead nodes, engines.
-  void healEverything();
+  void healAllFaults();
   /// Notes that something is wrong from now on that the fleet cannot see itself.
-  void noteFault();
+  void recordFault();
 
   /// The machine is gone for good, with its disk.
   void destroy(const NodeId& id);
@@ -110,7 +110,7 @@
   /// Traces the partitions that have not exactly one owner, for people who look for a cause.
   void traceOwners();
   /// A version was acknowledged at @p since: all fronts of a healthy fleet use it or a newer one.
-  void checkInForce(std::uint64_t version, Time since);
+  void checkAdoption(std::uint64_t version, Time since);
   /// True if nothing has been wrong since @p since.
   bool healthySince(Time since) const;
 
@@ -123,8 +123,8 @@
   NodeOptions optionsOf(SimNode& node, NodeRole role, int zoneIndex) const;
   void watchSettings(SimNode& node, ConfigurationCore& configuration);
   void checkSlots();
-  void checkCutOff();
-  void everyTick();
+  void checkIsolatedNodes();
+  void runPeriodicChecks();
   bool reachesMajority(const NodeId& id) const;
 
   World& world_;
@@ -135,7 +135,7 @@
   std::vector<NodeId> registers_;
   std::vector<NodeId> fronts_;
   std::map<NodeId, int> zoneOf_;
-  std::map<NodeId, Time> cutOffSince_;
+  std::map<NodeId, Time> isolatedSince_;
   Time lastFault_{};
   int nextStore_ = 0;
   std::function<void()> acknowledgedHook_;
--- a/sim/simulation.cpp
+++ b/sim/simulation.cpp
@@ -8,23 +8,23 @@
 constexpr double kCallsPerSecond = 15;
 constexpr Duration kWarmUp = std::chrono::seconds(5);
 /// Bounds of what a fleet needs after its last fault.
-constexpr Duration kFinishLimit = std::chrono::seconds(150);
-constexpr Duration kGrantLimit = std::chrono::seconds(40);
-constexpr Duration kGrantRetry = std::chrono::milliseconds(500);
+constexpr Duration kBatchCompletionTimeout = std::chrono::seconds(150);
+constexpr Duration kRecoveryTimeout = std::chrono::seconds(40);
+constexpr Duration kRetryInterval = std::chrono::milliseconds(500);
 constexpr std::size_t kTraceTail = 2000;
 
 /// Shows that a fleet whose faults are over works again.
-class Aftermath {
+class RecoveryCheck {
  public:
-  explicit Aftermath(Stage& stage) : stage_(stage), world_(stage.world) {}
+  explicit RecoveryCheck(ScenarioContext& context) : context_(context), world_(context.world) {}
 
   void check() {
-    stage_.fleet.healEverything();
-    stage_.live.stop();
-    stage_.operators.stop();
+    context_.fleet.healAllFaults();
+    context_.live.stop();
+    context_.operators.stop();
     checkGrants();
     checkChanges();
-    stage_.batches.stop();
+    context_.batches.stop();
     checkBatches();
   }
 
@@ -32,22 +32,22 @@
   /// Each front gets a slot of each tenant and an answer.
   void checkGrants() {
     const auto left = std::make_shared<int>(0);
-    const Time end = world_.now() + kGrantLimit;
-    for (const NodeId& front : stage_.fleet.fronts()) {
+    const Time end = world_.now() + kRecoveryTimeout;
+    for (const NodeId& front : context_.fleet.fronts()) {
       ++*left;
       callUntilAnswered(front, static_cast<int>(world_.pick(kTenants)), left, end);
     }
-    if (!world_.runUntil([left] { return *left == 0; }, kGrantLimit)) {
+    if (!world_.runUntil([left] { return *left == 0; }, kRecoveryTimeout)) {
       world_.violation("grants work again", std::to_string(*left) + " fronts without an answer");
     }
   }
 
   void callUntilAnswered(const NodeId& front, int tenant, std::shared_ptr<int> left, Time end) {
-    stage_.live.callOnce(front, tenant, [this, front, tenant, left, end](bool answered) {
+    context_.live.callOnce(front, tenant, [this, front, tenant, left, end](bool answered) {
       if (answered) {
         --*left;
       } else if (world_.now() < end) {
-        world_.schedule(kGrantRetry, [this, front, tenant, left, end] {
+        world_.schedule(kRetryInterval, [this, front, tenant, left, end] {
           callUntilAnswered(front, tenant, left, end);
         });
       }
@@ -56,30 +56,30 @@
 
   void checkChanges() {
     const auto done = std::make_shared<bool>(false);
-    changeUntilDone(done, world_.now() + kGrantLimit);
-    if (!world_.runUntil([done] { return *done; }, kGrantLimit)) {
+    changeUntilDone(done, world_.now() + kRecoveryTimeout);
+    if (!world_.runUntil([done] { return *done; }, kRecoveryTimeout)) {
       world_.violation("changes work again", "no change was acknowledged");
     }
   }
 
   void changeUntilDone(std::shared_ptr<bool> done, Time end) {
-    stage_.operators.changeOnce(stage_.fleet.registers()[0], [this, done, end](bool success) {
+    context_.operators.changeOnce(context_.fleet.registers()[0], [this, done, end](bool success) {
       *done = *done || success;
       if (!success && world_.now() < end) {
-        world_.schedule(kGrantRetry, [this, done, end] { changeUntilDone(done, end); });
+        world_.schedule(kRetryInterval, [this, done, end] { changeUntilDone(done, end); });
       }
     });
   }
 
   void checkBatches() {
-    const BatchLog& log = stage_.fleet.invariants().batches;
+    const BatchLog& log = context_.fleet.invariants().batches;
     const auto complete = [this, &log] {
-      return stage_.batches.submissionsDone() && log.allComplete();
+      return context_.batches.submissionsDone() && log.allComplete();
     };
-    if (world_.runUntil(complete, kFinishLimit)) {
+    if (world_.runUntil(complete, kBatchCompletionTimeout)) {
       return;
     }
-    stage_.fleet.traceOwners();
+    context_.fleet.traceOwners();
     for (const auto& entry : log.batches()) {
       const BatchLog::Batch& batch = entry.second;
       if (!batch.complete()) {
@@ -90,7 +90,7 @@
     }
   }
 
-  Stage& stage_;
+  ScenarioContext& context_;
   World& world_;
 };
 
@@ -122,18 +122,18 @@
   OperatorsLoad operators(fleet);
   LiveLoad live(fleet);
   BatchLoad batches(fleet);
-  Stage stage{world, fleet, operators, live, batches};
+  ScenarioContext context{world, fleet, operators, live, batches};
   if (!fleet.start() || !operators.configure()) {
     world.violation("the fleet comes up", "not formed or not configured in time");
     return resultOf(world, begin);
   }
   world.run(kWarmUp);
-  scenario->prepare(stage);
+  scenario->prepare(context);
   operators.start();
   live.start(kCallsPerSecond);
   batches.start();
-  scenario->play(stage);
-  Aftermath(stage).check();
+  scenario->play(context);
+  RecoveryCheck(context).check();
   SimulationResult result = resultOf(world, begin);
   result.live = live.counts();
   result.batchesAccepted = invariants.batches.batches().size();
--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -150,7 +150,7 @@
   }
 }
 
-void SimNode::wake() {
+void SimNode::unfreeze() {
   if (!frozen_) {
     return;
   }
--- a/sim/world.h
+++ b/sim/world.h
@@ -22,7 +22,7 @@
 namespace shedshed::sim {
 
 /// Faults and delays of the network.
-struct NetworkKnobs {
+struct NetworkOptions {
   Duration minDelay = std::chrono::microseconds(200);
   Duration maxDelay = std::chrono::milliseconds(3);
   double loss = 0;         ///< Probability that a message is lost.
@@ -65,7 +65,7 @@
   void kill();
   /// The process stops taking part without noticing; what reaches it waits.
   void freeze();
-  void wake();
+  void unfreeze();
   /// Replaces the disk by an empty one. Only while the node is down.
   void emptyDisk();
 
@@ -105,8 +105,8 @@
 
   Time now() const { return now_; }
   RandomEngine& random() { return random_; }
-  NetworkKnobs& network() { return network_; }
-  const NetworkKnobs& network() const { return network_; }
+  NetworkOptions& network() { return network_; }
+  const NetworkOptions& network() const { return network_; }
 
   /// Returns a number from 0 (included) to 1 (excluded).
   double chance();
@@ -187,7 +187,7 @@
 
   Time now_ = Time(std::chrono::seconds(1000));
   RandomEngine random_;
-  NetworkKnobs network_;
+  NetworkOptions network_;
   std::map<NodeId, std::unique_ptr<SimNode>> nodes_;
   std::priority_queue<Event, std::vector<Event>, Later> events_;
   std::uint64_t nextOrder_ = 0;
--- a/tests/sim/mutation_test.cpp
+++ b/tests/sim/mutation_test.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-struct Switch {
+struct SafeguardMutation {
   const char* safeguard;
   const char* scenario;
   std::uint64_t seed;
   const char* invariant;
 };
 
-const Switch kSwitches[] = {
+const SafeguardMutation kMutations[] = {
     {"registers.finishBeforeAnswer", "racing-operators", 41, "one winner for each version"},
     {"partitions.emptyReplicaRule", "kill-all-stores", 1, "one holder for each number"},
     {"partitions.fencing", "chaos", 3, "an accepted batch is never lost"},
@@ -31,7 +31,7 @@
     {"batches.cancelStopsStarts", "freeze-stores", 6, "a cancelled batch starts no item"},
 };
 
-bool shows(const SimulationResult& result, const std::string& invariant) {
+bool hasViolation(const SimulationResult& result, const std::string& invariant) {
   return std::any_of(
       result.violations.begin(), result.violations.end(),
       [&](const std::string& line) { return line.find(invariant) != std::string::npos; });
@@ -39,14 +39,14 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(invariants_notice_each_missing_safeguard) {
-  for (const Switch& mutation : kSwitches) {
+BOOST_AUTO_TEST_CASE(invariants_detect_each_disabled_safeguard) {
+  for (const SafeguardMutation& mutation : kMutations) {
     BOOST_TEST_CONTEXT(mutation.safeguard) {
       const SimulationResult without =
           runSeed(mutation.scenario, mutation.seed, mutation.safeguard);
-      BOOST_TEST(shows(without, mutation.invariant));
+      BOOST_TEST(hasViolation(without, mutation.invariant));
       const SimulationResult with = runSeed(mutation.scenario, mutation.seed);
-      BOOST_TEST(!shows(with, mutation.invariant));
+      BOOST_TEST(!hasViolation(with, mutation.invariant));
     }
   }
 }
--- a/tests/sim/mended_faults_test.cpp
+++ b/tests/sim/regression_test.cpp
@@ -10,7 +10,7 @@
 }
 
 // A front that wakes from a standstill knows an engine only from before.
-BOOST_AUTO_TEST_CASE(a_draining_engine_gets_no_request_from_a_front_that_wakes) {
+BOOST_AUTO_TEST_CASE(a_draining_engine_gets_no_request_from_a_front_after_unfreezing) {
   requireNoViolation("chaos", 49);
   requireNoViolation("chaos", 94);
 }
--- a/tests/sim_behaviour/behaviour_test.cpp
+++ b/tests/sim_behaviour/behaviour_test.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(fixed_seeds_send_and_store_what_they_always_did) {
+BOOST_AUTO_TEST_CASE(fixed_seeds_reproduce_recorded_behaviour) {
   std::ifstream file(SHEDSHED_SOURCE_DIR "/tests/sim_behaviour/hashes.txt");
   std::string scenario;
   std::string hash;
@@ -32,6 +32,6 @@
                scenario << " seed " << seed);
     ++runs;
   }
-  constexpr int kLeastRuns = 40;
-  BOOST_TEST(runs >= kLeastRuns);
+  constexpr int kMinRuns = 40;
+  BOOST_TEST(runs >= kMinRuns);
 }
