--- a/sim/batch_load.cpp
+++ b/sim/batch_load.cpp
@@ -3,7 +3,7 @@
 namespace shedshed::sim {
 namespace {
 
-/// Longer than the front's own deadline, so that silence means a lost front.
+/// Longer than the front's own deadline, so that a missing answer means a failed front.
 constexpr Duration kAnswerTimeout = std::chrono::seconds(15);
 constexpr Duration kResendPause = std::chrono::seconds(2);
 constexpr Duration kReadPause = std::chrono::seconds(3);
--- a/sim/batch_log.cpp
+++ b/sim/batch_log.cpp
@@ -21,7 +21,7 @@
     world_.violation("a resend names the same batch", clientKey);
   }
   if (status.itemCount != submission.items.size()) {
-    world_.violation("an accepted batch is whole", clientKey);
+    world_.violation("an accepted batch has all its items", clientKey);
   }
   if (batch.id.empty()) {
     batch.tenant = submission.tenant;
--- a/sim/callers_load.h
+++ b/sim/callers_load.h
@@ -25,7 +25,7 @@
   void start(double callsPerSecond);
   void stop() { stopped_ = true; }
   const LiveCounts& counts() const { return counts_; }
-  /// Sends one call with a key that is never withdrawn; @p done gets whether it was answered.
+  /// Sends one call with a key that is never withdrawn; @p done gets true if it was answered.
   void callOnce(const NodeId& front, int tenant, std::function<void(bool)> done);
 
  private:
@@ -42,7 +42,7 @@
   bool stopped_ = false;
 };
 
-/// How the batch callers behave.
+/// Behaviour of the batch callers.
 struct BatchLoadOptions {
   Duration pause = std::chrono::seconds(4);
   std::size_t maxItems = 40;
@@ -50,16 +50,16 @@
   double repeatable = 0.3;
 };
 
-/// Callers that hand in batches, read, re-read and cancel them at random fronts.
+/// Callers that submit, read, re-read and cancel batches at random fronts.
 class BatchLoad {
  public:
   explicit BatchLoad(SimFleet& fleet) : fleet_(fleet), world_(fleet.world()) {}
 
   BatchLoadOptions& options() { return options_; }
   void start();
-  /// Hands nothing in any more; goes on reading.
+  /// Stops submitting; continues to read.
   void stop() { stopped_ = true; }
-  /// True when no submission waits for its outcome.
+  /// True if no submission is pending.
   bool submissionsDone() const { return open_ == 0; }
 
  private:
@@ -67,7 +67,7 @@
     std::string clientKey;
     BatchSubmission submission;
     int sends = 0;
-    bool settled = false;  ///< Accepted, or given up.
+    bool settled = false;  ///< Accepted or abandoned.
     bool maybeAccepted = false;
     std::uint64_t readFrom = 0;
   };
--- a/sim/invariants.h
+++ b/sim/invariants.h
@@ -1,9 +1,9 @@
 /// @file
-/// What must hold in every run, checked at each observation.
+/// Invariants of every run, checked at each observation.
 ///
-/// The parts of the simulation report what they see: requests at engines, answers to callers,
-/// results read, changes acknowledged, settings adopted. A contradiction is recorded as a violation
-/// of the world.
+/// The parts of the simulation report requests at engines, answers to callers, results read,
+/// changes acknowledged and settings adopted. A broken invariant is recorded by
+/// `World::violation`.
 #pragma once
 
 #include "batch/batch_client.h"
@@ -21,29 +21,30 @@
 
 /// A withdrawn key may be accepted for this long after the withdrawal was acknowledged.
 inline constexpr Duration kWithdrawalBound = std::chrono::seconds(5);
-/// A healthy fleet has a new setting in force everywhere after this time.
+/// All fronts of a healthy fleet use new settings after this time.
 inline constexpr Duration kAdoptionBound = std::chrono::seconds(2);
 /// A cancelled batch may start items, and a draining engine get requests, for this long.
 inline constexpr Duration kStopBound = std::chrono::seconds(3);
-/// A control node that was cut off for this long serves nothing.
+/// A control node that was isolated for this long has no lease and owns no partition.
 inline constexpr Duration kIsolationBound = std::chrono::seconds(20);
 /// An accepted batch can be read at any front of a healthy fleet after this time.
 inline constexpr Duration kReadableBound = std::chrono::seconds(1);
 
-/// Rules about runs of requests at engines: at most once, and "not run" is the truth.
+/// Invariants of engine requests: a request that is not repeatable runs at most once, and a request
+/// reported as not run never runs.
 class RunLog {
  public:
   explicit RunLog(World& world) : world_(world) {}
 
   /// A caller is about to send the request that @p body names. Bodies are unique.
   void expect(const std::string& body, bool repeatable);
-  /// A front sends the request to an engine; a frozen engine reads it only when it wakes.
+  /// A front sends the request to an engine; a frozen engine reads it only when it is unfrozen.
   void sent(const std::string& body);
   /// An engine received the request.
   void received(const std::string& engine, const std::string& body);
-  /// Somebody was told that the request did not run and will not.
+  /// A caller was told that the request did not run and never will.
   void reportedNotRun(const std::string& body);
-  /// Somebody was told that the request ran.
+  /// A caller was told that the request ran.
   void reportedRan(const std::string& body);
   /// The batch of the item was cancelled, and the caller told.
   void cancelled(const std::string& body);
@@ -63,7 +64,7 @@
   std::uint64_t received_ = 0;
 };
 
-/// Rules about batches: kept, readable, each result once and for ever.
+/// Invariants of batches: an accepted batch is never lost, and its results never change.
 class BatchLog {
  public:
   /// A batch as its caller knows it.
@@ -103,7 +104,7 @@
   std::map<std::string, Batch> batches_;  ///< By client key.
 };
 
-/// Rules about the settings register and its distribution.
+/// Invariants of the settings register and its distribution.
 class SettingsLog {
  public:
   SettingsLog(World& world, SettingsHistory& history) : world_(world), history_(history) {}
@@ -111,11 +112,12 @@
   /// An operator's order was answered.
   void changeAnswered(const std::string& orderId, const std::string& value,
                       const Result<ChangeOutcome>& outcome);
-  /// A quorum read that was sent when @p newestBefore was acknowledged has been answered.
+  /// A quorum read has been answered; @p newestBefore is the newest version that was acknowledged
+  /// when it was sent.
   void readAnswered(std::uint64_t newestBefore, const RegisterValue& value);
-  /// A node has put a value in force.
+  /// A node has adopted a value.
   void adopted(const NodeId& node, const RegisterValue& value);
-  /// A front has accepted a call with @p key, with @p version of the settings in force.
+  /// A front has accepted a call with @p key, under @p version of the settings.
   void callAccepted(const NodeId& front, const std::string& key, std::uint64_t version);
 
   std::uint64_t newestAcknowledged() const { return newestAcknowledged_; }
@@ -129,14 +131,14 @@
   SettingsHistory& history_;
   std::map<std::uint64_t, std::string> values_;           ///< The one value of each version.
   std::map<std::string, std::uint64_t> orders_;           ///< Version of each applied order.
-  std::set<std::string> refused_;                         ///< Orders that were said to have lost.
-  std::map<NodeId, std::uint64_t> adopted_;               ///< Newest version of each node, ever.
+  std::set<std::string> refused_;                         ///< Orders reported as rejected.
+  std::map<NodeId, std::uint64_t> adopted_;               ///< Newest version adopted by each node.
   std::map<std::string, Time> withdrawnAt_;               ///< Acknowledgement of each withdrawal.
   std::vector<std::pair<Time, std::uint64_t>> versions_;  ///< Acknowledgements of newest versions.
   std::uint64_t newestAcknowledged_ = 0;
 };
 
-/// All rules of one run.
+/// All invariants of one run.
 struct Invariants {
   explicit Invariants(World& world) : runs(world), batches(world, runs), settings(world, history) {}
 
--- a/sim/main.cpp
+++ b/sim/main.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// `sim`: runs one simulation and prints its verdict.
+/// `sim`: runs one simulation and prints its violations.
 
 #include "sim/scenario.h"
 #include "sim/simulation.h"
--- a/sim/operators_load.cpp
+++ b/sim/operators_load.cpp
@@ -99,7 +99,7 @@
   SettingsModel model = known == nullptr ? SettingsModel{} : *known;
   model.orderId = "order-" + std::to_string(++lastOrder_);
   if (world_.chance() < kWithdrawalProbability) {
-    // The last key of each tenant stays.
+    // The last key of each tenant is never withdrawn.
     const int tenant = static_cast<int>(world_.pick(kTenants));
     const int index = static_cast<int>(world_.pick(kKeysPerTenant - 1));
     model.withdrawnKeys.insert(callerKey(tenant, index));
@@ -144,7 +144,7 @@
   }
   if (outcome) {
     applied_.push_back(*order);
-    world_.trace(order->orderId + " made version " + std::to_string(outcome.value().version));
+    world_.trace(order->orderId + " applied as version " + std::to_string(outcome.value().version));
     const std::uint64_t version = outcome.value().version;
     const Time acknowledged = world_.now();
     if (!outcome.value().repeated) {
--- a/sim/operators_load.h
+++ b/sim/operators_load.h
@@ -1,5 +1,5 @@
 /// @file
-/// Simulated operators and platform: they change registers, race, and resend after lost answers.
+/// Simulated operators: concurrent changes of registers, resent after lost answers.
 #pragma once
 
 #include "sim/sim_fleet.h"
@@ -10,15 +10,15 @@
 
 namespace shedshed::sim {
 
-/// How the operators behave.
+/// Behaviour of the operators.
 struct OperatorLoadOptions {
   int operators = 2;
   Duration pause = std::chrono::seconds(2);  ///< Mean pause between two changes of one operator.
-  double lostAnswers = 0.1;                  ///< Probability that an answer does not arrive.
+  double lostAnswers = 0.1;                  ///< Probability that an answer is lost.
   double oldResends = 0.1;  ///< Probability that an old order is sent again in place of a new one.
 };
 
-/// Runs until `stop`.
+/// Operators that change the settings until `stop`.
 class OperatorsLoad {
  public:
   explicit OperatorsLoad(SimFleet& fleet) : fleet_(fleet), world_(fleet.world()) {}
@@ -29,13 +29,14 @@
   /// @return false if they are not written in time
   bool configure();
   void start();
-  /// No further changes but those of `changeOnce`, whose answers all arrive: the faults are over.
+  /// Stops all changes except those of `changeOnce`, and loses no more answers: the recovery checks
+  /// need each change to be acknowledged.
   void stop() {
     stopped_ = true;
     options_.lostAnswers = 0;
   }
   bool idle() const { return open_ == 0; }
-  /// Proposes one change at @p node and calls @p done with its success.
+  /// Proposes one change at @p node; @p done gets true if it was applied.
   void changeOnce(const NodeId& node, std::function<void(bool)> done);
 
  private:
--- a/sim/run_log.cpp
+++ b/sim/run_log.cpp
@@ -15,7 +15,7 @@
     world_.violation("runs at most once", body + " at " + engine);
   }
   if (request.reportedNotRun) {
-    world_.violation("said not run, but runs", body + " at " + engine);
+    world_.violation("reported as not run, but runs later", body + " at " + engine);
   }
 }
 
@@ -30,7 +30,8 @@
   Request& request = requests_[body];
   request.reportedNotRun = true;
   if (request.runs > 0) {
-    world_.violation("said not run, but ran", body + (request.repeatable ? " (repeatable)" : ""));
+    world_.violation("reported as not run, but ran",
+                     body + (request.repeatable ? " (repeatable)" : ""));
   }
 }
 
--- a/sim/scenario.h
+++ b/sim/scenario.h
@@ -1,5 +1,5 @@
 /// @file
-/// Scenarios: which faults a run has, and when.
+/// Scenarios: which faults are injected into a run, and when.
 #pragma once
 
 #include "sim/callers_load.h"
@@ -13,7 +13,7 @@
 
 namespace shedshed::sim {
 
-/// Everything that a scenario can act on.
+/// The parts of a simulation that a scenario controls.
 struct ScenarioContext {
   World& world;
   SimFleet& fleet;
@@ -22,14 +22,15 @@
   BatchLoad& batches;
 };
 
-/// One class of faults. The load runs meanwhile, and goes on until the faults have stopped.
+/// Injects one class of faults while the load runs.
 class Scenario {
  public:
   virtual ~Scenario() = default;
   virtual const char* name() const = 0;
   /// Changes the load before it starts.
   virtual void prepare(ScenarioContext& context) { (void)context; }
-  /// Runs the world and causes the faults. May leave them in force: they are healed afterwards.
+  /// Runs the world and injects the faults. Faults still active at the end are healed by the
+  /// caller.
   virtual void play(ScenarioContext& context) = 0;
 };
 
--- a/sim/scenarios/cuts.cpp
+++ b/sim/scenarios/cuts.cpp
@@ -8,11 +8,10 @@
 constexpr Duration kMinCut = std::chrono::seconds(2);
 constexpr Duration kMaxCut = std::chrono::seconds(30);
 constexpr int kRounds = 2;
-constexpr double kIncludeFrontProbability =
-    0.3;  ///< Probability that a front is cut off with the machine.
+constexpr double kIncludeFrontProbability = 0.3;  ///< For each front.
 constexpr int kIsolatedControls = 3;
 
-/// Cuts groups off, one after the other.
+/// Isolates groups of nodes, one after the other.
 void isolateGroups(ScenarioContext& context, const std::function<std::set<NodeId>()>& choose) {
   for (int round = 0; round < kRounds; ++round) {
     context.world.run(context.world.between(kMinPause, kMaxPause));
--- a/sim/scenarios/engine_faults.h
+++ b/sim/scenarios/engine_faults.h
@@ -1,12 +1,12 @@
 /// @file
-/// Faults of engines, for several scenarios.
+/// Engine faults shared by several scenarios.
 #pragma once
 
 #include "sim/scenario.h"
 
 namespace shedshed::sim {
 
-/// From now on some answers are crossed, late or cut.
+/// Makes some answers mismatched, late or truncated.
 void enableFaultyAnswers(ScenarioContext& context);
 
 /// Crashes, freezes, slows down or drains a random engine for some seconds.
--- a/sim/scenarios/freeze.cpp
+++ b/sim/scenarios/freeze.cpp
@@ -9,7 +9,7 @@
 constexpr Duration kMaxFreeze = std::chrono::seconds(30);
 constexpr int kRounds = 4;
 
-/// Freezes nodes that it draws from @p chooseFrom, one every few seconds, for up to half a minute.
+/// Freezes the nodes returned by @p choose, one every few seconds, each for up to `kMaxFreeze`.
 void freezeRepeatedly(ScenarioContext& context, const std::function<NodeId()>& choose) {
   for (int round = 0; round < kRounds; ++round) {
     context.world.run(context.world.between(kMinPause, kMaxPause));
--- a/sim/scenarios/power_loss.cpp
+++ b/sim/scenarios/power_loss.cpp
@@ -6,8 +6,7 @@
 constexpr Duration kLength = std::chrono::seconds(60);
 constexpr Duration kMinOutage = std::chrono::milliseconds(100);
 constexpr Duration kMaxOutage = std::chrono::seconds(3);
-constexpr double kPowerLossProbability =
-    0.25;  ///< Share of the acknowledgements that a loss follows.
+constexpr double kPowerLossProbability = 0.25;  ///< Per acknowledgement.
 constexpr double kAllNodesProbability = 0.5;
 
 class PowerLoss : public Scenario {
--- a/sim/scenarios/replace_stores.cpp
+++ b/sim/scenarios/replace_stores.cpp
@@ -8,8 +8,9 @@
 constexpr Duration kResendInterval = std::chrono::seconds(3);
 constexpr Duration kReplacementTimeout = std::chrono::seconds(60);
 
-/// Loses every one of the first stores with its disk. The next loss follows at the instant at which
-/// the repair after the last one is reported done, so that in the end only newcomers hold the data.
+/// Destroys each of the initial stores with its disk. The next store is destroyed as soon as the
+/// repair after the previous one is reported complete, so that only replacements hold the data at
+/// the end.
 class ReplaceStores : public Scenario {
  public:
   const char* name() const override { return "replace-stores"; }
@@ -39,8 +40,8 @@
     const bool result = context.world.runUntil(repaired, kReplacementTimeout);
     const RepairProgress progress =
         context.fleet.control(newId)->store->partitions.repairProgress();
-    context.world.trace("newcomer holds " + std::to_string(progress.caughtUp) + " and counts in " +
-                        std::to_string(progress.countedAsReplica) + " of " +
+    context.world.trace("replacement store holds " + std::to_string(progress.caughtUp) +
+                        " and counts in " + std::to_string(progress.countedAsReplica) + " of " +
                         std::to_string(progress.total) + " partitions");
     return result;
   }
--- a/sim/scenarios/scenarios.h
+++ b/sim/scenarios/scenarios.h
@@ -1,5 +1,5 @@
 /// @file
-/// Makers of all scenarios.
+/// Factory functions of all scenarios.
 #pragma once
 
 #include "sim/scenario.h"
@@ -8,37 +8,37 @@
 
 namespace shedshed::sim {
 
-/// Nothing fails.
+/// No faults.
 std::unique_ptr<Scenario> makeCalm();
-/// One store loses its power again and again.
+/// One store at a time loses power, repeatedly.
 std::unique_ptr<Scenario> makeKillOneStore();
-/// All stores, at times all machines with a disk, lose their power at the same instant.
+/// All stores, sometimes all machines with a disk, lose power at the same time.
 std::unique_ptr<Scenario> makeKillAllStores();
-/// Several fronts end at the same instant.
+/// Several fronts are killed at the same time.
 std::unique_ptr<Scenario> makeKillFronts();
-/// Machines lose their power right after something was acknowledged.
+/// Machines lose power right after an acknowledgement.
 std::unique_ptr<Scenario> makePowerLoss();
-/// Fronts freeze and wake.
+/// Fronts are frozen and unfrozen.
 std::unique_ptr<Scenario> makeFreezeFronts();
-/// Stores freeze and wake.
+/// Control nodes are frozen and unfrozen.
 std::unique_ptr<Scenario> makeFreezeStores();
-/// One control machine is cut off, at times with some fronts.
+/// One control node is isolated, sometimes with some fronts.
 std::unique_ptr<Scenario> makeCutControl();
-/// A zone is split off.
+/// One zone is isolated.
 std::unique_ptr<Scenario> makeSplitZone();
-/// The fleet falls into two halves of which neither has a majority of the registers.
+/// The network is partitioned into two halves, neither with a majority of the registers.
 std::unique_ptr<Scenario> makeSplitHalf();
-/// Messages and answers to operators are lost, late and doubled.
+/// Messages are lost, delayed or duplicated, and answers to operators are lost.
 std::unique_ptr<Scenario> makeLostAnswers();
-/// Many operators race while stores fail.
+/// Many operators make concurrent changes while control nodes fail.
 std::unique_ptr<Scenario> makeRacingOperators();
-/// All stores in turn are lost with their disks and replaced, each right after the last repair.
+/// All stores in turn are destroyed and replaced, each right after the previous repair.
 std::unique_ptr<Scenario> makeReplaceStores();
-/// All machines are stopped and started in turn.
+/// All nodes are drained and restarted in turn.
 std::unique_ptr<Scenario> makeRollingRestart();
-/// Engines crash, freeze, slow down, drain and answer wrongly.
+/// Engines crash, freeze, slow down, drain and give faulty answers.
 std::unique_ptr<Scenario> makeEngineFaults();
-/// Everything at random.
+/// Random faults of all kinds.
 std::unique_ptr<Scenario> makeChaos();
 
 }  // namespace shedshed::sim
--- a/sim/settings_history.cpp
+++ b/sim/settings_history.cpp
@@ -7,11 +7,11 @@
 namespace shedshed::sim {
 namespace {
 
-/// Times to live are short, so that a run sees slots run out. Rates leave room for the load.
+/// Short times to live, so that slots expire within a run. The rate limits exceed the load.
 constexpr const char* kFleetSettings =
     R"("live_slot_ttl_s":8,"item_slot_ttl_s":9,"requeue_delay_s":2,"per_s":6)";
 
-/// Digests are computed once: hashing every key for every text would dominate a run.
+/// Caches digests: hashing every key for every text would dominate the run time.
 const std::string& keyDigest(const std::string& key) {
   static thread_local std::map<std::string, std::string> digests;
   std::string& digest = digests[key];
--- a/sim/settings_history.h
+++ b/sim/settings_history.h
@@ -16,8 +16,8 @@
 std::string callerKey(int tenant, int index);
 std::string tenantName(int tenant);
 
-/// What one settings value means. Each value names the order that proposed it, so that no two are
-/// equal.
+/// Contents of one settings value. Each value contains the ID of the order that proposed it, so
+/// that all values differ.
 struct SettingsModel {
   std::string orderId;
   std::uint32_t burst = 12;
@@ -32,7 +32,7 @@
  public:
   /// Returns the text of @p model.
   std::string propose(const SettingsModel& model);
-  /// Returns the model of @p text; the starting model for the empty text, nullptr for an unknown
+  /// Returns the model of @p text; the initial model for the empty text, nullptr for an unknown
   /// one.
   const SettingsModel* find(const std::string& text) const;
 
--- a/sim/settings_log.cpp
+++ b/sim/settings_log.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 /// A call may be accepted with settings that were replaced this long ago: the freshness lease and
-/// the travel of the acknowledgement.
+/// the network delay of the acknowledgement.
 constexpr Duration kStaleBound = kFreshnessLease + std::chrono::milliseconds(500);
 
 }  // namespace
@@ -16,12 +16,12 @@
   }
   const auto known = values_.emplace(value.version, value.value);
   if (!known.second && known.first->second != value.value) {
-    world_.violation("one winner for each version",
+    world_.violation("one value per version",
                      "version " + std::to_string(value.version) + " at " + where);
   }
   const SettingsModel* model = history_.find(value.value);
   if (model == nullptr) {
-    world_.violation("a value that nobody proposed", where);
+    world_.violation("every value was proposed by an operator", where);
   } else if (refused_.count(model->orderId) != 0) {
     world_.violation("a refused order never takes effect", model->orderId);
   }
@@ -46,7 +46,7 @@
     const std::uint64_t version = outcome.value().version;
     const auto known = orders_.emplace(orderId, version);
     if (!known.second && known.first->second != version) {
-      world_.violation("a resent order gets the first answer", orderId);
+      world_.violation("a resent order gets its first version", orderId);
     }
     checkValue({version, value}, "the answer to " + orderId);
     recordAcknowledgement(version, value);
@@ -60,7 +60,7 @@
     world_.violation("a resent order that took effect is not refused", orderId);
   }
   if (code == ErrorCode::IdempotencyKeyReused) {
-    world_.violation("an order is not taken for another", orderId);
+    world_.violation("an order ID is not rejected as reused", orderId);
   }
   refused_.insert(orderId);
 }
@@ -77,9 +77,9 @@
   checkValue(value, node.address);
   std::uint64_t& newest = adopted_[node];
   if (value.version < newest) {
-    world_.violation("a node never slips back", node.address + " adopts " +
-                                                    std::to_string(value.version) + " after " +
-                                                    std::to_string(newest));
+    world_.violation("a node never adopts an older version",
+                     node.address + " adopts " + std::to_string(value.version) + " after " +
+                         std::to_string(newest));
   }
   newest = std::max(newest, value.version);
 }
@@ -87,7 +87,7 @@
 void SettingsLog::callAccepted(const NodeId& front, const std::string& key, std::uint64_t version) {
   const auto withdrawn = withdrawnAt_.find(key);
   if (withdrawn != withdrawnAt_.end() && world_.now() - withdrawn->second > kWithdrawalBound) {
-    world_.violation("a withdrawn key stops to work", key + " at " + front.address);
+    world_.violation("a withdrawn key is rejected", key + " at " + front.address);
   }
   for (auto it = versions_.rbegin(); it != versions_.rend(); ++it) {
     if (world_.now() - it->first > kStaleBound) {
--- a/sim/sim_disk.cpp
+++ b/sim/sim_disk.cpp
@@ -3,7 +3,7 @@
 namespace shedshed::sim {
 namespace {
 
-/// Small files, so that a run wraps the ring many times.
+/// Small segments, so that a run reuses each of them many times.
 LogStoreOptions smallStoreOptions() {
   LogStoreOptions options;
   options.segmentBytes = 256U << 10U;
--- a/sim/sim_disk.h
+++ b/sim/sim_disk.h
@@ -1,6 +1,6 @@
 /// @file
-/// The disk of a simulated node: the real ring of files on a file system that loses, tears and
-/// damages what was not synced.
+/// Disk of a simulated node: the real log-structured store on a fake file system that loses, tears
+/// or corrupts unsynced writes in a crash.
 #pragma once
 
 #include "kernel/core.h"
@@ -11,10 +11,10 @@
 
 namespace shedshed::sim {
 
-/// Outlives the processes that use it.
+/// Persists across restarts of the simulated process.
 class SimDisk {
  public:
-  /// Opens or creates the ring, as a process does at its start.
+  /// Opens or creates the store, as a process does when it starts.
   Status open(RandomEngine& random);
 
   Status append(const std::vector<Mutation>& mutations) { return store_->append(mutations); }
@@ -22,11 +22,11 @@
   const RecordReader& records() const { return *store_; }
   const std::string& storeId() const { return store_->storeId(); }
 
-  /// Power loss.
+  /// Simulates a power loss.
   void crash(RandomEngine& random);
 
-  /// Returns when a request that is made now will be synced, if one sync takes @p delay. Requests
-  /// that are made during a sync share the next one.
+  /// Returns the time at which a sync requested at @p now completes, if one sync takes @p delay.
+  /// Requests made during a sync share the next one (group commit).
   Time syncedAt(Time now, Duration delay);
 
   FakeFileSystem& files() { return files_; }
@@ -34,8 +34,8 @@
  private:
   FakeFileSystem files_;
   std::unique_ptr<LogStructuredStore> store_;
-  Time currentSyncEnd_{};  ///< End of the sync that runs, or ran last.
-  Time nextSyncEnd_{};     ///< End of the sync that follows it, if somebody waits for one.
+  Time currentSyncEnd_{};  ///< End of the current or latest sync.
+  Time nextSyncEnd_{};     ///< End of the next sync, if one is requested.
 };
 
 }  // namespace shedshed::sim
--- a/sim/sim_engine.cpp
+++ b/sim/sim_engine.cpp
@@ -8,7 +8,7 @@
 
 constexpr Duration kMinNetworkDelay = std::chrono::microseconds(200);
 constexpr Duration kMaxNetworkDelay = std::chrono::milliseconds(2);
-/// An answer that is late is later than any front waits.
+/// Longer than any front waits for an answer.
 constexpr Duration kLateAnswer = std::chrono::seconds(30);
 constexpr Duration kExchangeTimeout = std::chrono::seconds(20);
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(800);
@@ -81,7 +81,7 @@
   runs_.sent(call.body);
   const bool draining = engine.drainingSince.has_value();
   if (drainChecked_ && draining && world_.now() - *engine.drainingSince > kStopBound) {
-    world_.violation("a draining engine gets no new request", engine.listed.id);
+    world_.violation("a draining engine receives no new request", engine.listed.id);
   }
   world_.schedule(networkDelay(), [this, &engine, exchange] {
     if (!engine.up) {
@@ -95,7 +95,8 @@
       }
     });
   });
-  answer(exchange, kExchangeTimeout, makeError(ErrorCode::EngineFailed, "timed out", Ran::Unknown));
+  answer(exchange, kExchangeTimeout,
+         makeError(ErrorCode::EngineFailed, "request timed out", Ran::Unknown));
 }
 
 void SimEngines::answer(const Open& exchange, Duration after, Result<EngineAnswer> result) {
@@ -144,10 +145,13 @@
                           answerPrefix(exchange->call.body) + std::to_string(++lastNonce_)};
   const double fault = world_.chance();
   if (fault < options_.mismatched) {
-    answer(exchange, networkDelay(),
-           makeError(ErrorCode::ResponseMismatch, "another request's answer", Ran::Unknown));
+    answer(
+        exchange, networkDelay(),
+        makeError(ErrorCode::ResponseMismatch, "answer belongs to another request", Ran::Unknown));
   } else if (fault < options_.mismatched + options_.truncated) {
-    answer(exchange, networkDelay(), makeError(ErrorCode::EngineFailed, "cut", Ran::Unknown));
+    answer(exchange, networkDelay(),
+           makeError(ErrorCode::EngineFailed, "connection closed in the middle of the answer",
+                     Ran::Unknown));
   } else if (fault < options_.mismatched + options_.truncated + options_.lateAnswer) {
     answer(exchange, kLateAnswer, std::move(fullAnswer));
   } else {
@@ -166,7 +170,8 @@
   engine.running = 0;
   engine.drainingSince.reset();
   for (const auto& open : engine.open) {
-    answer(open.second, networkDelay(), makeError(ErrorCode::EngineFailed, "reset", Ran::Unknown));
+    answer(open.second, networkDelay(),
+           makeError(ErrorCode::EngineFailed, "connection reset", Ran::Unknown));
   }
   engine.open.clear();
 }
@@ -201,7 +206,7 @@
 
 void SimEngines::setDraining(const std::string& address, bool draining) {
   Engine& engine = engines_.at(address);
-  world_.trace("engine " + engine.listed.id + (draining ? " drains" : " drains no more"));
+  world_.trace("engine " + engine.listed.id + (draining ? " starts draining" : " stops draining"));
   if (!draining) {
     engine.drainingSince.reset();
   } else if (!engine.drainingSince) {
--- a/sim/sim_engine.h
+++ b/sim/sim_engine.h
@@ -1,5 +1,5 @@
 /// @file
-/// Simulated engines, and the fronts' way to them.
+/// Simulated engines, and the client through which fronts call them.
 #pragma once
 
 #include "engines/engine_listing.h"
@@ -17,21 +17,21 @@
 
 namespace shedshed::sim {
 
-/// Start of the answer to @p body; a nonce follows, so that two runs never answer the same.
+/// Prefix of the answer to @p body; a nonce follows, so that the answers of two runs differ.
 std::string answerPrefix(const std::string& body);
 
-/// Probabilities of faulty answers, per request.
+/// Run times of requests and probabilities of faulty answers, per request.
 struct SimEngineOptions {
   double mismatched = 0;  ///< The answer belongs to another request.
-  double lateAnswer = 0;  ///< The answer comes after the front has given up.
-  double truncated = 0;   ///< The connection ends within the answer.
+  double lateAnswer = 0;  ///< The answer arrives after the front's timeout.
+  double truncated = 0;   ///< The connection closes in the middle of the answer.
   Duration minRun = std::chrono::milliseconds(200);
   Duration maxRun = std::chrono::milliseconds(2500);
-  double longRuns = 0.1;  ///< Runs that outlive the time to live of their slots.
+  double longRuns = 0.1;  ///< Share of runs that exceed the time to live of their slots.
   Duration maxLongRun = std::chrono::seconds(15);
 };
 
-/// All engines of a world. They run requests whether or not anybody waits for the answer.
+/// All engines of a world. An engine finishes a request even if its caller has timed out.
 class SimEngines {
  public:
   using Done = std::function<void(Result<EngineAnswer>)>;
@@ -56,15 +56,17 @@
   void unfreeze(const std::string& address);
   void slowDown(const std::string& address, double factor);
   void setDraining(const std::string& address, bool draining);
-  /// Ends all faults of engines.
+  /// Ends all engine faults.
   void heal();
 
-  /// While set, requests that reach an engine too long after it began to drain are violations.
+  /// While set, a request sent to an engine more than `kStopBound` after it began to drain is a
+  /// violation.
   void setDrainChecked(bool checked) { drainChecked_ = checked; }
 
  private:
   struct Exchange {
-    std::uint64_t number = 0;  ///< Rises; orders the exchanges in every run alike.
+    std::uint64_t number =
+        0;  ///< Increasing, so that the iteration order is the same in every run.
     EngineCall call;
     Done done;
   };
@@ -79,7 +81,7 @@
     std::uint32_t running = 0;
     std::deque<Open> waiting;
     std::map<std::uint64_t, Open> open;       ///< By number.
-    std::vector<std::function<void()>> held;  ///< Events that wait for a frozen engine.
+    std::vector<std::function<void()>> held;  ///< Events deferred while the engine is frozen.
   };
 
   Duration networkDelay();
@@ -98,8 +100,8 @@
   bool drainChecked_ = true;
 };
 
-/// One front's way to the engines: routing and the at-most-once rule, as in `serving/`, without
-/// HTTP. This is a model of that code, not the code itself.
+/// Engine client of one front. Models the routing and the at-most-once rule of `serving/` without
+/// HTTP; it does not run that code.
 class FrontEngineClient : public EngineProbe, public EngineRunner {
  public:
   FrontEngineClient(SimNode& node, SimEngines& engines) : node_(node), engines_(engines) {}
@@ -109,7 +111,7 @@
 
   void probe(const std::string& address, std::function<void(EngineHealth)> done) override;
   void run(EngineCall call, std::function<void(Result<EngineAnswer>)> done) override;
-  /// Runs a live call; a repeatable one may be run again after an unknown outcome.
+  /// Runs a live call; a repeatable call may be retried after an unknown outcome.
   void runLive(EngineCall call, bool repeatable, std::function<void(Result<EngineAnswer>)> done);
 
  private:
--- a/sim/sim_fleet.cpp
+++ b/sim/sim_fleet.cpp
@@ -9,11 +9,11 @@
 constexpr int kRegisters = 3;
 constexpr std::uint32_t kEngineMaxRunning = 8;
 constexpr std::size_t kSeeds = 3;
-/// Machines do not start at the same instant; else all their timers would stay in step.
+/// Nodes start at different times; otherwise all their timers would stay synchronized.
 constexpr Duration kStartSpread = std::chrono::seconds(1);
 constexpr Duration kCheckInterval = std::chrono::milliseconds(20);
 constexpr Duration kFormTimeout = std::chrono::seconds(20);
-/// A healthy fleet has had this long to get over its last fault.
+/// Time after the latest fault in which a fleet does not count as healthy.
 constexpr Duration kRecoveryTime = std::chrono::seconds(15);
 
 std::string addressOf(NodeRole role, int index) {
@@ -175,7 +175,7 @@
   for (const NodeId& id : group) {
     names += " " + id.address;
   }
-  world_.trace("cut off:" + names);
+  world_.trace("isolated:" + names);
   world_.isolate(group);
 }
 
@@ -197,12 +197,12 @@
 
 void SimFleet::destroy(const NodeId& id) {
   kill(id);
-  world_.trace(id.address + " is gone for good");
+  world_.trace(id.address + " is destroyed with its disk");
   stores_.erase(std::remove(stores_.begin(), stores_.end(), id), stores_.end());
 }
 
 void SimFleet::acknowledged() {
-  // The hook may end the process that has just acknowledged: not within its own event.
+  // The hook may kill the process that sent the acknowledgement, so it runs as a separate event.
   world_.schedule(Duration{0}, [this] {
     if (acknowledgedHook_) {
       acknowledgedHook_();
@@ -266,7 +266,7 @@
   for (const NodeId& id : fronts_) {
     const bool active = node(id).up() && !node(id).frozen();
     if (active && front(id)->cores.configuration.current(kSettingsRegister).version < version) {
-      world_.violation("a new setting is in force in time",
+      world_.violation("new settings take effect in time",
                        "version " + std::to_string(version) + " at " + id.address);
     }
   }
@@ -278,7 +278,7 @@
   world_.schedule(kCheckInterval, [this] { runPeriodicChecks(); });
 }
 
-/// No number of a pool has two holders that both count it as held for sure.
+/// Checks that no slot number of a pool has two holders with valid leases.
 void SimFleet::checkSlots() {
   std::map<std::pair<std::pair<std::string, std::string>, std::uint32_t>, NodeId> holders;
   for (const NodeId& id : fronts_) {
@@ -292,7 +292,7 @@
       const SlotClaim& claim = held.claim;
       const auto added = holders.insert({{{claim.limiter, claim.key}, claim.number}, id});
       if (!added.second) {
-        world_.violation("one holder for each number",
+        world_.violation("at most one holder per slot number",
                          claim.limiter + "/" + claim.key + " number " +
                              std::to_string(claim.number) + " at " + id.address + " and " +
                              added.first->second.address);
@@ -310,7 +310,8 @@
   return 2 * reached > voters.size();
 }
 
-/// A control node that was cut off from the majority for long proves nothing and owns nothing.
+/// Checks that a control node isolated from the majority for `kIsolationBound` has no valid
+/// configuration lease and owns no partition.
 void SimFleet::checkIsolatedNodes() {
   if (!world_.anyCut()) {
     isolatedSince_.clear();
@@ -327,12 +328,12 @@
     }
     const ControlCores& cores = *control(id);
     if (cores.configuration.freshUntil() > world_.now()) {
-      world_.violation("a node that is cut off proves nothing", id.address);
+      world_.violation("an isolated node has no configuration lease", id.address);
     }
     for (std::uint32_t index = 0; cores.store && index < kPartitionCount; ++index) {
       if (cores.store->partitions.owns({TableKind::Slots, index}) ||
           cores.store->partitions.owns({TableKind::Batches, index})) {
-        world_.violation("a node that is cut off owns nothing", id.address);
+        world_.violation("an isolated node owns no partition", id.address);
         break;
       }
     }
--- a/sim/sim_fleet.h
+++ b/sim/sim_fleet.h
@@ -21,25 +21,26 @@
 inline constexpr int kEngines = 12;
 inline constexpr const char* kModel = "model";
 
-/// A live call as a caller hands it in.
+/// A live call as submitted by a caller.
 struct LiveCall {
   std::string key;
   std::string body;  ///< Unique.
   bool repeatable = false;
 };
 
-/// The cores of a front and what serving adds to them, as a model without HTTP.
+/// The cores of a front, and a model of the serving path without HTTP.
 class SimFront {
  public:
   SimFront(SimNode& node, const NodeOptions& options, SimEngines& engines, Invariants& invariants);
 
-  /// Takes @p call through the steps of the live chain: proof, key, slot, proof and key again,
-  /// engine, release. @p done gets the engine's answer or the refusal.
+  /// Processes @p call as the serving path does: checks the configuration lease and the key,
+  /// acquires a slot, repeats both checks, calls an engine and releases the slot. @p done gets the
+  /// engine's answer or the error.
   void serve(LiveCall call, std::function<void(Result<EngineAnswer>)> done);
 
-  /// Refuses new calls and hands batches back.
+  /// Rejects new calls and returns assigned batch runs.
   void drain();
-  /// True if no call and no batch item is under way.
+  /// True if no call and no batch item is in progress.
   bool idle() const { return calls_ == 0 && cores.runner->idle(); }
 
   FrontEngineClient engines;
@@ -57,13 +58,14 @@
   bool draining_ = false;
 };
 
-/// Owns the nodes' wiring; faults are caused through it, so that it knows whether it is healthy.
+/// Builds and connects the nodes. Faults are injected through this class, so that it knows whether
+/// the fleet is healthy.
 class SimFleet {
  public:
   SimFleet(World& world, Invariants& invariants, SimEngines& engines, Safeguards safeguards);
 
   /// Starts all nodes and forms the fleet.
-  /// @return false if the fleet does not come up
+  /// @return false if the fleet is not formed in time
   bool start();
 
   const std::vector<NodeId>& stores() const { return stores_; }
@@ -80,7 +82,7 @@
   ControlCores* control(const NodeId& id) { return node(id).cores<ControlCores>(); }
   /// The register service of any node; null while the node is down.
   RegisterCore* registerOf(const NodeId& id);
-  /// Returns a front that is up, at random.
+  /// Returns a random front that is up; the first front if none is.
   NodeId anyFront();
 
   void kill(const NodeId& id);
@@ -89,29 +91,32 @@
   void unfreeze(const NodeId& id);
   void isolate(const std::set<NodeId>& group);
   void heal();
-  /// Ends all faults: network, cuts, frozen and dead nodes, engines.
+  /// Ends all faults: of the network, of engines, and of frozen or stopped nodes.
   void healAllFaults();
-  /// Notes that something is wrong from now on that the fleet cannot see itself.
+  /// Records the current time as that of the latest fault, for faults not injected through this
+  /// class.
   void recordFault();
 
-  /// The machine is gone for good, with its disk.
+  /// Removes the machine and its disk permanently.
   void destroy(const NodeId& id);
-  /// Called with no event running, each time after something was acknowledged to an operator or to
-  /// a caller who handed in a batch.
+  /// Sets a hook that runs as an event of its own after each acknowledgement of a settings change
+  /// or of a batch submission.
   void setAcknowledgedHook(std::function<void()> hook) { acknowledgedHook_ = std::move(hook); }
   void acknowledged();
 
-  /// Adds a store machine with an empty disk; it is no member yet.
+  /// Adds a store machine with an empty disk; it is not yet a member of the fleet.
   NodeId addStore();
-  /// Orders the replacement of a store at @p by; @p done is called when it is reported done.
+  /// Requests the replacement of a store at node @p by; @p done gets the outcome.
   void replaceStore(const NodeId& by, const NodeId& oldId, const NodeId& newId,
                     std::function<void(Result<MemberList>)> done);
 
-  /// Traces the partitions that have not exactly one owner, for people who look for a cause.
+  /// Traces the partitions that do not have exactly one owner and the slots of each front, for
+  /// debugging.
   void traceOwners();
-  /// A version was acknowledged at @p since: all fronts of a healthy fleet use it or a newer one.
+  /// Checks that all fronts use @p version or a newer one, if the fleet has been healthy since it
+  /// was acknowledged at @p since.
   void checkAdoption(std::uint64_t version, Time since);
-  /// True if nothing has been wrong since @p since.
+  /// True if the network is healthy and the latest fault was over well before @p since.
   bool healthySince(Time since) const;
 
   World& world() { return world_; }
--- a/sim/simulation.cpp
+++ b/sim/simulation.cpp
@@ -7,13 +7,13 @@
 
 constexpr double kCallsPerSecond = 15;
 constexpr Duration kWarmUp = std::chrono::seconds(5);
-/// Bounds of what a fleet needs after its last fault.
+/// Time limits for a fleet to recover after its last fault.
 constexpr Duration kBatchCompletionTimeout = std::chrono::seconds(150);
 constexpr Duration kRecoveryTimeout = std::chrono::seconds(40);
 constexpr Duration kRetryInterval = std::chrono::milliseconds(500);
 constexpr std::size_t kTraceTail = 2000;
 
-/// Shows that a fleet whose faults are over works again.
+/// Checks that the fleet recovers after all faults have ended.
 class RecoveryCheck {
  public:
   explicit RecoveryCheck(ScenarioContext& context) : context_(context), world_(context.world) {}
@@ -29,7 +29,7 @@
   }
 
  private:
-  /// Each front gets a slot of each tenant and an answer.
+  /// Checks that a call at each front, for a random tenant, is answered.
   void checkGrants() {
     const auto left = std::make_shared<int>(0);
     const Time end = world_.now() + kRecoveryTimeout;
@@ -38,7 +38,8 @@
       callUntilAnswered(front, static_cast<int>(world_.pick(kTenants)), left, end);
     }
     if (!world_.runUntil([left] { return *left == 0; }, kRecoveryTimeout)) {
-      world_.violation("grants work again", std::to_string(*left) + " fronts without an answer");
+      world_.violation("calls are answered after recovery",
+                       std::to_string(*left) + " fronts without an answer");
     }
   }
 
@@ -58,7 +59,7 @@
     const auto done = std::make_shared<bool>(false);
     changeUntilDone(done, world_.now() + kRecoveryTimeout);
     if (!world_.runUntil([done] { return *done; }, kRecoveryTimeout)) {
-      world_.violation("changes work again", "no change was acknowledged");
+      world_.violation("settings changes succeed after recovery", "no change was acknowledged");
     }
   }
 
@@ -124,7 +125,7 @@
   BatchLoad batches(fleet);
   ScenarioContext context{world, fleet, operators, live, batches};
   if (!fleet.start() || !operators.configure()) {
-    world.violation("the fleet comes up", "not formed or not configured in time");
+    world.violation("the fleet forms", "not formed or not configured in time");
     return resultOf(world, begin);
   }
   world.run(kWarmUp);
--- a/sim/simulation.h
+++ b/sim/simulation.h
@@ -1,5 +1,5 @@
 /// @file
-/// One run: a seed, a scenario and the safeguards in, a verdict out.
+/// Runs one simulation from a seed, a scenario and a set of safeguards.
 #pragma once
 
 #include "assembly/node_options.h"
@@ -21,8 +21,9 @@
 struct SimulationResult {
   std::vector<std::string> violations;
   std::uint64_t traceHash = 0;
-  std::uint64_t behaviourHash = 0;  ///< Of all messages and records; free of names.
-  std::vector<std::string> trace;   ///< The last lines.
+  std::uint64_t behaviourHash =
+      0;                           ///< Of all messages and records; does not depend on trace texts.
+  std::vector<std::string> trace;  ///< The last lines.
   double simulatedSeconds = 0;
   std::uint64_t events = 0;
   LiveCounts live;
--- a/sim/world.cpp
+++ b/sim/world.cpp
@@ -114,7 +114,7 @@
   if (disk_) {
     const Status opened = disk_->open(world_.random());
     if (!opened) {
-      world_.violation("storage recovers", id_.address + ": " + opened.error().detail);
+      world_.violation("the store opens at start", id_.address + ": " + opened.error().detail);
       up_ = false;
       return;
     }
@@ -154,7 +154,7 @@
   if (!frozen_) {
     return;
   }
-  world_.trace(id_.address + " wakes");
+  world_.trace(id_.address + " unfreezes");
   frozen_ = false;
   std::deque<std::pair<std::uint64_t, std::function<void()>>> held;
   held.swap(held_);
--- a/sim/world.h
+++ b/sim/world.h
@@ -1,9 +1,8 @@
 /// @file
-/// The simulated world: one virtual clock, a faulty network, nodes with faulty disks.
+/// Deterministic simulation: a virtual clock, a faulty network and nodes with faulty disks.
 ///
-/// Everything that happens follows from one 64-bit seed: all delays and faults are drawn from one
-/// random engine, and events with equal times run in the order in which they were made. The same
-/// seed gives the same run.
+/// A run is determined by one 64-bit seed: all delays and faults are drawn from one random engine,
+/// and events with equal times run in the order in which they were scheduled.
 #pragma once
 
 #include "kernel/core_host.h"
@@ -33,8 +32,8 @@
 
 class World;
 
-/// One node of the world. Its cores live as long as the process that the node models: a restart
-/// builds new ones from what the disk kept.
+/// One simulated node. Its cores live as long as the simulated process: a restart builds new ones
+/// from the contents of the disk.
 class SimNode : public CoreHost {
  public:
   /// Builds the node's cores. The returned object owns them.
@@ -63,26 +62,25 @@
   void start();
   /// Power loss: the process ends and unsynced writes are lost or torn.
   void kill();
-  /// The process stops taking part without noticing; what reaches it waits.
+  /// Suspends the process: its events are deferred until `unfreeze`.
   void freeze();
   void unfreeze();
   /// Replaces the disk by an empty one. Only while the node is down.
   void emptyDisk();
 
-  /// Runs @p task as an outside request that reaches the node now: at once, when the node wakes, or
+  /// Runs @p task as an external request that arrives now: at once, when the node is unfrozen, or
   /// not at all if it is down.
   void post(std::function<void()> task) { runOrHold(process_, std::move(task)); }
-  /// Wraps @p task so that it runs in the process that lives now, or not at all.
+  /// Wraps @p task so that it is dropped if the current process has ended.
   std::function<void()> inThisProcess(std::function<void()> task);
-  /// Rises at each start and kill.
+  /// Incarnation of the process; incremented at each start and kill.
   std::uint64_t process() const { return process_; }
 
  private:
   class Context;
   friend class World;
 
-  /// Runs @p event now, or when the node wakes. Dropped if the process that it was meant for has
-  /// ended.
+  /// Runs @p event now, or when the node is unfrozen. Drops it if @p process has ended.
   void runOrHold(std::uint64_t process, std::function<void()> event);
   void receive(const NodeId& from, const Message& message);
 
@@ -93,7 +91,7 @@
   std::map<ServiceId, std::unique_ptr<Context>> contexts_;
   std::shared_ptr<void> cores_;
   std::deque<std::pair<std::uint64_t, std::function<void()>>> held_;
-  std::uint64_t process_ = 0;  ///< Rises at each start and kill.
+  std::uint64_t process_ = 0;  ///< Incremented at each start and kill.
   bool up_ = false;
   bool frozen_ = false;
 };
@@ -108,11 +106,11 @@
   NetworkOptions& network() { return network_; }
   const NetworkOptions& network() const { return network_; }
 
-  /// Returns a number from 0 (included) to 1 (excluded).
+  /// Returns a random number from 0 (included) to 1 (excluded).
   double chance();
-  /// Returns a duration between the two.
+  /// Returns a random duration from @p low (included) to @p high (excluded).
   Duration between(Duration low, Duration high);
-  /// Returns an index below @p size.
+  /// Returns a random index below @p size.
   std::size_t pick(std::size_t size);
 
   SimNode& addNode(const NodeId& id, bool hasDisk, SimNode::Builder builder);
@@ -131,7 +129,7 @@
   /// Adds a check that runs after every event.
   void addCheck(std::function<void()> check) { checks_.push_back(std::move(check)); }
 
-  /// Records a violation of an invariant. The run goes on, so that all are seen.
+  /// Records a violation of an invariant. The run continues, so that all violations are reported.
   void violation(const std::string& invariant, const std::string& detail);
   const std::vector<std::string>& violations() const { return violations_; }
 
@@ -140,8 +138,8 @@
   const std::deque<std::string>& traceLines() const { return trace_; }
   /// Hash of all trace lines so far; equal for equal runs.
   std::uint64_t traceHash() const { return traceHash_; }
-  /// Hash of every message sent and every record written so far, with their times. Unlike the trace
-  /// it contains no text for people: a renaming leaves it equal.
+  /// Hash of every message sent and every record written so far, with their times. It does not
+  /// depend on the texts of the trace, so that renames do not change it.
   std::uint64_t behaviourHash() const { return behaviourHash_; }
 
   /// Cuts or heals the connection between two nodes, both ways.
--- a/tests/sim/mutation_test.cpp
+++ b/tests/sim/mutation_test.cpp
@@ -1,5 +1,5 @@
-// With a safeguard off, a fixed seed must show what the safeguard prevents; with it on, the same
-// seed must not.
+// Each fixed seed must violate the invariant when the safeguard is disabled, and must keep it when
+// the safeguard is enabled.
 #include "run_seed.h"
 
 #include <algorithm>
@@ -18,12 +18,12 @@
 };
 
 const SafeguardMutation kMutations[] = {
-    {"registers.finishBeforeAnswer", "racing-operators", 41, "one winner for each version"},
-    {"partitions.emptyReplicaRule", "kill-all-stores", 1, "one holder for each number"},
+    {"registers.finishBeforeAnswer", "racing-operators", 41, "one value per version"},
+    {"partitions.emptyReplicaRule", "kill-all-stores", 1, "at most one holder per slot number"},
     {"partitions.fencing", "chaos", 3, "an accepted batch is never lost"},
-    {"slots.recoveryWindow", "kill-all-stores", 1, "one holder for each number"},
-    {"slots.awaitDeadHolders", "chaos", 43, "one holder for each number"},
-    {"slots.grantAfterMajority", "cut-control", 1, "one holder for each number"},
+    {"slots.recoveryWindow", "kill-all-stores", 1, "at most one holder per slot number"},
+    {"slots.awaitDeadHolders", "chaos", 43, "at most one holder per slot number"},
+    {"slots.grantAfterMajority", "cut-control", 1, "at most one holder per slot number"},
     {"batches.startedBeforeRun", "power-loss", 10, "runs at most once"},
     {"batches.firstResultWins", "chaos", 2, "a result never changes"},
     {"batches.acceptAfterMajority", "power-loss", 2, "an accepted batch is never lost"},
--- a/tests/sim/simulation_test.cpp
+++ b/tests/sim/simulation_test.cpp
@@ -20,7 +20,7 @@
   }
 }
 
-/// What happens must not hang on where things lie in memory: a second run finds another heap.
+/// A run must not depend on memory addresses, which differ between the runs of one process.
 BOOST_AUTO_TEST_CASE(equal_seeds_give_equal_runs_with_faulty_engines) {
   for (const char* scenario : {"engine-faults", "chaos"}) {
     const std::uint64_t first = runSeed(scenario, 2).traceHash;
--- a/tests/sim_behaviour/behaviour_test.cpp
+++ b/tests/sim_behaviour/behaviour_test.cpp
@@ -1,5 +1,5 @@
-// What the cores do under fixed seeds: each message and record, with its time. Names may change,
-// behaviour may not without a reason: a commit that changes it says why and renews the file with
+// Compares the hash of all messages and records, with their times, under fixed seeds. A commit that
+// changes the behaviour on purpose gives the reason and regenerates the file with
 // `build/sim/sim --behaviour 3 > tests/sim_behaviour/hashes.txt`.
 #include "../sim/run_seed.h"
 
