--- a/sim/operators_load.h
+++ b/sim/operators_load.h
@@ -1,5 +1,5 @@
 /// @file
-/// Simulated operators and platform: they change registers, race, and resend after lost answers.
+/// Simulated operators: concurrent changes of registers, resent after lost answers.
 #pragma once
 
 #include "sim/sim_fleet.h"
@@ -10,32 +10,33 @@
 
 namespace shedshed::sim {
 
-/// How the operators behave.
-struct OperatorKnobs {
+/// Behaviour of the operators.
+struct OperatorLoadOptions {
   int operators = 2;
   Duration pause = std::chrono::seconds(2);  ///< Mean pause between two changes of one operator.
-  double lostAnswers = 0.1;                  ///< Probability that an answer does not arrive.
+  double lostAnswers = 0.1;                  ///< Probability that an answer is lost.
   double oldResends = 0.1;  ///< Probability that an old order is sent again in place of a new one.
 };
 
-/// Runs until `stop`.
+/// Operators that change the settings until `stop`.
 class OperatorsLoad {
  public:
   explicit OperatorsLoad(SimFleet& fleet) : fleet_(fleet), world_(fleet.world()) {}
 
-  OperatorKnobs& knobs() { return knobs_; }
+  OperatorLoadOptions& options() { return options_; }
 
   /// Writes the first settings and the engine listing.
   /// @return false if they are not written in time
   bool configure();
   void start();
-  /// No further changes but those of `changeOnce`, whose answers all arrive: the faults are over.
+  /// Stops all changes except those of `changeOnce`, and loses no more answers: the recovery checks
+  /// need each change to be acknowledged.
   void stop() {
     stopped_ = true;
-    knobs_.lostAnswers = 0;
+    options_.lostAnswers = 0;
   }
   bool idle() const { return open_ == 0; }
-  /// Proposes one change at @p node and calls @p done with its success.
+  /// Proposes one change at @p node; @p done gets true if it was applied.
   void changeOnce(const NodeId& node, std::function<void(bool)> done);
 
  private:
@@ -50,7 +51,7 @@
   };
   using OrderPointer = std::shared_ptr<Order>;
 
-  void next(int who);
+  void next(int operatorIndex);
   void propose(const NodeId& node, const std::function<void(bool)>& done);
   void build(const NodeId& node, const RegisterValue& base, const std::function<void(bool)>& done);
   void send(const OrderPointer& order, const NodeId& node);
@@ -61,7 +62,7 @@
 
   SimFleet& fleet_;
   World& world_;
-  OperatorKnobs knobs_;
+  OperatorLoadOptions options_;
   std::vector<Order> applied_;
   std::uint64_t lastOrder_ = 0;
   int open_ = 0;
--- a/tests/sim/mutation_test.cpp
+++ b/tests/sim/mutation_test.cpp
@@ -1,5 +1,5 @@
-// With a safeguard off, a fixed seed must show what the safeguard prevents; with it on, the same
-// seed must not.
+// Each fixed seed must violate the invariant when the safeguard is disabled, and must keep it when
+// the safeguard is enabled.
 #include "run_seed.h"
 
 #include <algorithm>
@@ -10,20 +10,20 @@
 
 namespace {
 
-struct Switch {
+struct SafeguardMutation {
   const char* safeguard;
   const char* scenario;
   std::uint64_t seed;
   const char* invariant;
 };
 
-const Switch kSwitches[] = {
-    {"registers.finishBeforeAnswer", "racing-operators", 41, "one winner for each version"},
-    {"partitions.emptyReplicaRule", "kill-all-stores", 1, "one holder for each number"},
+const SafeguardMutation kMutations[] = {
+    {"registers.finishBeforeAnswer", "racing-operators", 41, "one value per version"},
+    {"partitions.emptyReplicaRule", "kill-all-stores", 1, "at most one holder per slot number"},
     {"partitions.fencing", "chaos", 3, "an accepted batch is never lost"},
-    {"slots.recoveryWindow", "kill-all-stores", 1, "one holder for each number"},
-    {"slots.awaitDeadHolders", "chaos", 43, "one holder for each number"},
-    {"slots.grantAfterMajority", "cut-control", 1, "one holder for each number"},
+    {"slots.recoveryWindow", "kill-all-stores", 1, "at most one holder per slot number"},
+    {"slots.awaitDeadHolders", "chaos", 43, "at most one holder per slot number"},
+    {"slots.grantAfterMajority", "cut-control", 1, "at most one holder per slot number"},
     {"batches.startedBeforeRun", "power-loss", 10, "runs at most once"},
     {"batches.firstResultWins", "chaos", 2, "a result never changes"},
     {"batches.acceptAfterMajority", "power-loss", 2, "an accepted batch is never lost"},
@@ -31,7 +31,7 @@
     {"batches.cancelStopsStarts", "freeze-stores", 6, "a cancelled batch starts no item"},
 };
 
-bool shows(const SimulationResult& result, const std::string& invariant) {
+bool hasViolation(const SimulationResult& result, const std::string& invariant) {
   return std::any_of(
       result.violations.begin(), result.violations.end(),
       [&](const std::string& line) { return line.find(invariant) != std::string::npos; });
@@ -39,14 +39,14 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(invariants_notice_each_missing_safeguard) {
-  for (const Switch& mutation : kSwitches) {
+BOOST_AUTO_TEST_CASE(invariants_detect_each_disabled_safeguard) {
+  for (const SafeguardMutation& mutation : kMutations) {
     BOOST_TEST_CONTEXT(mutation.safeguard) {
       const SimulationResult without =
           runSeed(mutation.scenario, mutation.seed, mutation.safeguard);
-      BOOST_TEST(shows(without, mutation.invariant));
+      BOOST_TEST(hasViolation(without, mutation.invariant));
       const SimulationResult with = runSeed(mutation.scenario, mutation.seed);
-      BOOST_TEST(!shows(with, mutation.invariant));
+      BOOST_TEST(!hasViolation(with, mutation.invariant));
     }
   }
 }
